--- a/coordination/address/address_test.go
+++ b/coordination/address/address_test.go
@@ -80,7 +80,7 @@
 			}
 		}
 		got := address.Order(address.Config{}, caller(1, "ernakulam"), cs)
-		Expect(got).To(HaveLen(address.DefaultCount))
+		Expect(got).To(HaveLen(address.DefaultMaxAddresses))
 		Expect(got[0].Domain).To(Equal(state.FailureDomain("ernakulam")))
 		Expect(got[len(got)-1].Domain).To(Equal(state.FailureDomain("kottayam")))
 	})
@@ -92,16 +92,16 @@
 	// If entry-0 had closed its listener by its own answers alone, the caller
 	// would be turned away by an address that it was told to use.
 	It("accepts until the last answer of any peer has run out", Label("failure:planned-stop"), func() {
-		cfg := address.Config{Valid: 15 * time.Second, Notice: 10 * time.Second}
+		cfg := address.Config{TTL: 15 * time.Second, DrainPropagationBound: 10 * time.Second}
 		self := address.New(cfg, "entry-0")
 		peer := address.New(cfg, "entry-1")
 		cs := fleet(3)
 		until := self.Drain(t0)
 
-		learned := t0.Add(cfg.Notice)
-		a := peer.Answer(learned, learned, caller(1, ""), cs)
+		learned := t0.Add(cfg.DrainPropagationBound)
+		a := peer.Resolve(learned, learned, caller(1, ""), cs)
 		Expect(a.Daemons).To(HaveLen(3))
-		Expect(learned.Add(a.Valid)).NotTo(BeTemporally(">", until))
+		Expect(learned.Add(a.TTL)).NotTo(BeTemporally(">", until))
 		Expect(self.Drain(t0.Add(time.Hour))).To(Equal(until))
 	})
 
@@ -109,11 +109,11 @@
 	// its old view and answers a caller before it has heard from anyone. With the
 	// full validity the caller would keep a dead address for long.
 	It("gives short answers from a view that is out of touch", Label("failure:planned-stop"), func() {
-		cfg := address.Config{Valid: 15 * time.Second, Notice: 10 * time.Second, MinValid: time.Second}
+		cfg := address.Config{TTL: 15 * time.Second, DrainPropagationBound: 10 * time.Second, MinTTL: time.Second}
 		peer := address.New(cfg, "entry-1")
 		woke := t0.Add(30 * time.Second)
-		Expect(peer.Answer(woke, t0, caller(1, ""), fleet(3)).Valid).To(Equal(cfg.MinValid))
-		Expect(peer.Answer(woke, woke, caller(1, ""), fleet(3)).Valid).To(Equal(cfg.Valid))
+		Expect(peer.Resolve(woke, t0, caller(1, ""), fleet(3)).TTL).To(Equal(cfg.MinTTL))
+		Expect(peer.Resolve(woke, woke, caller(1, ""), fleet(3)).TTL).To(Equal(cfg.TTL))
 	})
 })
 
@@ -123,9 +123,9 @@
 func TestNoAnswerOutlivesTheDrain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := address.Config{
-			Valid:    time.Duration(rapid.IntRange(2, 20).Draw(t, "valid")) * time.Second,
-			Notice:   time.Duration(rapid.IntRange(1, 10).Draw(t, "notice")) * time.Second,
-			MinValid: time.Millisecond,
+			TTL:                   time.Duration(rapid.IntRange(2, 20).Draw(t, "valid")) * time.Second,
+			DrainPropagationBound: time.Duration(rapid.IntRange(1, 10).Draw(t, "notice")) * time.Second,
+			MinTTL:                time.Millisecond,
 		}
 		self := address.New(cfg, "entry-0")
 		peer := address.New(cfg, "entry-1")
@@ -142,21 +142,21 @@
 				touch = now
 			}
 			// In touch later than drain + notice, a peer knows of the drain.
-			knows := touch.After(t0.Add(drainAt + cfg.Notice))
+			knows := touch.After(t0.Add(drainAt + cfg.DrainPropagationBound))
 			cs := fleet(2)
 			cs[0].Draining = knows
-			for _, b := range []*address.Book{self, peer} {
+			for _, b := range []*address.Resolver{self, peer} {
 				at := touch
 				if b == self {
 					at = now
 				}
-				a := b.Answer(now, at, caller(s, ""), cs)
+				a := b.Resolve(now, at, caller(s, ""), cs)
 				for _, d := range a.Daemons {
 					if d.Draining || (b == self && !now.Before(t0.Add(drainAt))) && d.ID == "entry-0" {
 						t.Fatalf("%s named while draining", d.ID)
 					}
-					if d.ID == "entry-0" && a.Valid > cfg.MinValid && now.Add(a.Valid).After(last) {
-						last = now.Add(a.Valid)
+					if d.ID == "entry-0" && a.TTL > cfg.MinTTL && now.Add(a.TTL).After(last) {
+						last = now.Add(a.TTL)
 					}
 				}
 			}
--- a/coordination/address/book.go
+++ b/coordination/address/book.go
@@ -9,12 +9,12 @@
 // Answer is what a caller is told.
 type Answer struct {
 	Daemons []Candidate // best first; empty when no daemon takes new callers
-	Valid   time.Duration
+	TTL     time.Duration
 }
 
 // Book answers callers for one daemon and remembers what it promised. It belongs
 // to one goroutine.
-type Book struct {
+type Resolver struct {
 	cfg  Config
 	self state.DaemonID
 
@@ -23,8 +23,8 @@
 }
 
 // New returns the book of the daemon self.
-func New(cfg Config, self state.DaemonID) *Book {
-	return &Book{cfg: cfg.withDefaults(), self: self}
+func New(cfg Config, self state.DaemonID) *Resolver {
+	return &Resolver{cfg: cfg.withDefaults(), self: self}
 }
 
 // Answer orders candidates for the caller. inTouch is when the answering daemon
@@ -36,25 +36,25 @@
 // at least until inTouch + Valid (see Drain), and the answer runs out by then. An
 // older view's answers hold for MinValid; a connection to a closed peer is then
 // refused, which proves the request not run, and the caller takes the next address.
-func (b *Book) Answer(now, inTouch time.Time, q Query, candidates []Candidate) Answer {
+func (b *Resolver) Resolve(now, inTouch time.Time, q Query, candidates []Candidate) Answer {
 	if !b.drainUntil.IsZero() {
 		candidates = without(candidates, b.self)
 	}
 	a := Answer{
 		Daemons: Order(b.cfg, q, candidates),
-		Valid:   b.valid(now, inTouch),
+		TTL:     b.valid(now, inTouch),
 	}
 	for _, d := range a.Daemons {
 		if d.ID == b.self {
-			b.given = later(b.given, now.Add(a.Valid))
+			b.given = later(b.given, now.Add(a.TTL))
 		}
 	}
 	return a
 }
 
-func (b *Book) valid(now, inTouch time.Time) time.Duration {
-	left := inTouch.Add(b.cfg.Valid).Sub(now)
-	return max(b.cfg.MinValid, min(b.cfg.Valid, left))
+func (b *Resolver) valid(now, inTouch time.Time) time.Duration {
+	left := inTouch.Add(b.cfg.TTL).Sub(now)
+	return max(b.cfg.MinTTL, min(b.cfg.TTL, left))
 }
 
 // Drain begins a planned stop and gives DrainUntil; a second call changes
@@ -62,9 +62,9 @@
 //
 // Guard (planned-stop): peers may name this daemon until they have learned of
 // the drain, at most Notice from now, and such an answer holds for Valid more.
-func (b *Book) Drain(now time.Time) time.Time {
+func (b *Resolver) Drain(now time.Time) time.Time {
 	if b.drainUntil.IsZero() {
-		b.drainUntil = later(b.given, now.Add(b.cfg.Notice+b.cfg.Valid))
+		b.drainUntil = later(b.given, now.Add(b.cfg.DrainPropagationBound+b.cfg.TTL))
 	}
 	return b.drainUntil
 }
@@ -72,7 +72,7 @@
 // DrainUntil is when the last answer that names this daemon, its own or a
 // peer's, has run out: before then it must accept callers, after then no caller
 // has reason to come. ok is false while the daemon does not drain.
-func (b *Book) DrainUntil() (until time.Time, ok bool) {
+func (b *Resolver) DrainUntil() (until time.Time, ok bool) {
 	return b.drainUntil, !b.drainUntil.IsZero()
 }
 
--- a/coordination/address/order.go
+++ b/coordination/address/order.go
@@ -72,7 +72,7 @@
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
-	rs = cut(rs, cfg.Count)
+	rs = cut(rs, cfg.MaxAddresses)
 	out := make([]Candidate, len(rs))
 	for i, r := range rs {
 		out[i] = r.Candidate
--- a/daemon/addresses.go
+++ b/daemon/addresses.go
@@ -17,14 +17,14 @@
 // addressesPart answers which daemons a caller should use.
 type addressesPart struct {
 	c    *control
-	book *address.Book
+	book *address.Resolver
 }
 
 func newAddressesPart(c *control) *addressesPart {
 	cfg := address.Config{
-		Valid:    c.d.set.AddressAnswerValid.Std(),
-		MinValid: min(time.Second, c.d.set.AddressAnswerValid.Std()),
-		Notice:   c.d.set.Drain.Notice.Std(),
+		TTL:                   c.d.set.AddressAnswerValid.Std(),
+		MinTTL:                min(time.Second, c.d.set.AddressAnswerValid.Std()),
+		DrainPropagationBound: c.d.set.Drain.Notice.Std(),
 	}
 	return &addressesPart{c: c, book: address.New(cfg, c.d.self.ID)}
 }
@@ -34,12 +34,12 @@
 	candidates := lo.FilterMap(view.Members, func(i membership.Info, _ int) (address.Candidate, bool) {
 		return candidateOf(i), i.Live()
 	})
-	a := p.book.Answer(p.c.now, view.Reach.InTouch(p.c.now), address.Query{
+	a := p.book.Resolve(p.c.now, view.Reach.InTouch(p.c.now), address.Query{
 		Customer: q.Customer, Caller: q.Caller, Domain: q.Domain,
 	}, candidates)
 	return caller.AddressAnswer{
 		Addresses: lo.Map(a.Daemons, func(c address.Candidate, _ int) string { return c.Address }),
-		Valid:     a.Valid,
+		Valid:     a.TTL,
 	}
 }
 
