--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -20,7 +20,7 @@
 		const back = 1200
 		answered, refused := 0, 0
 		for ms := 0; ms < back; ms += 17 {
-			until := admission.Wait{Arrived: at(ms), Deadline: at(ms + 20000)}.Until()
+			until := admission.WaitingRequest{Arrived: at(ms), Deadline: at(ms + 20000)}.RejectAt()
 			Expect(until.Sub(at(ms))).To(BeNumerically("<", 2*time.Second), "callers leave then")
 			if until.Before(at(back)) {
 				refused++
@@ -35,7 +35,7 @@
 	// A clerk's check must have its answer within a second. It is turned away while
 	// there is time to come back.
 	It("waits for a small part of a short time", func() {
-		until := admission.Wait{Arrived: at(0), Deadline: at(1000)}.Until()
+		until := admission.WaitingRequest{Arrived: at(0), Deadline: at(1000)}.RejectAt()
 		Expect(until).To(Equal(at(75)))
 	})
 
@@ -43,15 +43,15 @@
 	// leaves with them, the others have no room for 1.5 s, and then have. Cause: they were cut
 	// when a request that has not begun is turned away.
 	It("is not ended once its answer has begun, and asks again those that had no room", Label("failure:begun-answer-cut"), func() {
-		w := admission.Wait{Arrived: at(0), Deadline: at(20000), LastEvent: at(6000)}
-		Expect(w.Until()).To(Equal(at(20000)), "its caller leaves before, or its time is up")
+		w := admission.WaitingRequest{Arrived: at(0), Deadline: at(20000), LastEvent: at(6000)}
+		Expect(w.RejectAt()).To(Equal(at(20000)), "its caller leaves before, or its time is up")
 		asked := 0
-		var turned admission.Turned
+		var turned admission.Rejections
 		for ms := 6000; ms < 8000; ms += 10 { // callers leave a stream that shows nothing for 2 s
-			if turned.Forgives(at(ms)) {
-				turned = admission.Turned{}
+			if turned.BackoffElapsed(at(ms)) {
+				turned = admission.Rejections{}
 			}
-			if turned.Rests(at(ms)) {
+			if turned.BackingOff(at(ms)) {
 				continue
 			}
 			asked++
@@ -70,18 +70,18 @@
 	// callers wait for 1.5 s and more, and leave. Order: 10 of 41 servers are listed
 	// first, the others over 0.8 s. Cause: what came in between went to those 10.
 	It("has requests wait while it fills, and no longer", Label("failure:restart-beside-lapsed-entries"), func() {
-		l := admission.List{First: at(0), Joined: at(0), Copies: 1}
-		Expect(l.Filling(at(10))).To(BeFalse(), "it came whole, as on any other start")
+		l := admission.ServerList{FirstRead: at(0), LastAdded: at(0), MinCopies: 1}
+		Expect(l.Populating(at(10))).To(BeFalse(), "it came whole, as on any other start")
 		for ms := 50; ms <= 800; ms += 50 {
-			l.Joined = at(ms)
-			Expect(l.Filling(at(ms + 40))).To(BeTrue())
+			l.LastAdded = at(ms)
+			Expect(l.Populating(at(ms + 40))).To(BeTrue())
 		}
-		Expect(l.Filling(at(999))).To(BeTrue())
-		Expect(l.Filling(at(1000))).To(BeFalse(), "the rest may be gone for good")
-		l.Joined = at(300)
-		Expect(l.Filling(at(500))).To(BeFalse(), "nothing came for a while")
-		l.Copies = 2
-		Expect(l.Filling(at(310))).To(BeFalse(), "enough are there")
+		Expect(l.Populating(at(999))).To(BeTrue())
+		Expect(l.Populating(at(1000))).To(BeFalse(), "the rest may be gone for good")
+		l.LastAdded = at(300)
+		Expect(l.Populating(at(500))).To(BeFalse(), "nothing came for a while")
+		l.MinCopies = 2
+		Expect(l.Populating(at(310))).To(BeFalse(), "enough are there")
 	})
 })
 
@@ -94,23 +94,23 @@
 	// for a second for want of those 0.2 s.
 	It("has requests wait until it can know the configuration", Label("failure:all-start-at-once"), func() {
 		for ms := 0; ms < 290; ms += 3 {
-			w := admission.Wait{Arrived: at(ms), Deadline: at(ms + 20000)}
-			Expect(admission.Start{Began: at(0)}.Until(w)).To(BeTemporally(">", at(290)))
+			w := admission.WaitingRequest{Arrived: at(ms), Deadline: at(ms + 20000)}
+			Expect(admission.Startup{StartedAt: at(0)}.RejectAt(w)).To(BeTemporally(">", at(290)))
 		}
 	})
 
 	It("sends callers away at once where it can't say when it will serve", func() {
-		w := admission.Wait{Arrived: at(100), Deadline: at(20100)}
-		Expect(admission.Start{Began: at(0), Failed: true}.Until(w)).To(Equal(at(100)))
-		Expect(admission.Start{Began: at(-600)}.Until(w)).To(BeTemporally("<=", at(100)), "it had its time")
+		w := admission.WaitingRequest{Arrived: at(100), Deadline: at(20100)}
+		Expect(admission.Startup{StartedAt: at(0), Failed: true}.RejectAt(w)).To(Equal(at(100)))
+		Expect(admission.Startup{StartedAt: at(-600)}.RejectAt(w)).To(BeTemporally("<=", at(100)), "it had its time")
 		w.Deadline = at(1100)
-		Expect(admission.Start{Began: at(0)}.Until(w)).To(Equal(at(175)), "a check is short of time")
+		Expect(admission.Startup{StartedAt: at(0)}.RejectAt(w)).To(Equal(at(175)), "a check is short of time")
 	})
 })
 
 var _ = Describe("A caller that is turned away", func() {
 	It("comes back when that can help, and while it has time", func() {
-		for _, r := range []admission.Refusal{admission.Busy, admission.Uncovered, admission.Stopping, admission.AllStopping, admission.Unready} {
+		for _, r := range []admission.Refusal{admission.Busy, admission.Uncovered, admission.Stopping, admission.AllStopping, admission.NotReady} {
 			Expect(r.RetryAfter()).To(And(BeNumerically(">", 0), BeNumerically("<=", 2*time.Second)))
 		}
 		Expect(admission.Stopping.RetryAfter()).To(BeNumerically("<", admission.Busy.RetryAfter()), "others take it now")
@@ -119,10 +119,10 @@
 	// All daemons are stopped, each a second after the other. Cause of an earlier fault:
 	// each sent new streams to others that sent them on, until their callers gave up.
 	It("is kept by the last daemons that stop, while a stream still ends in time", func() {
-		stop := admission.Stop{Grace: 8 * time.Second}
+		stop := admission.Shutdown{Grace: 8 * time.Second}
 		taken := func(since time.Duration, elsewhere bool) (bool, admission.Refusal) {
-			stop.Since, stop.Elsewhere = since, elsewhere
-			return stop.TakesStream()
+			stop.Elapsed, stop.OthersAccept = since, elsewhere
+			return stop.AcceptsStream()
 		}
 		ok, _ := taken(time.Second, true)
 		Expect(ok).To(BeTrue(), "callers still hold answers that name this daemon")
--- a/coordination/admission/filling.go
+++ b/coordination/admission/filling.go
@@ -14,10 +14,10 @@
 )
 
 // List is what a daemon that has just started knows of its servers.
-type List struct {
-	First  time.Time // when it was first read
-	Joined time.Time // when a server was last added
-	Copies int       // servers that hold the layer that is held by the fewest
+type ServerList struct {
+	FirstRead time.Time // when it was first read
+	LastAdded time.Time // when a server was last added
+	MinCopies int       // servers that hold the layer that is held by the fewest
 }
 
 // Filling reports whether requests had better wait for more servers. A daemon that
@@ -25,7 +25,7 @@
 // them, and be read there seconds later, when their callers have left. Five days of a
 // deployment of seven daemons that end in such a restart are worth 0.65 with it and
 // 0.61 without (means, one play each).
-func (l List) Filling(now time.Time) bool {
-	grows := l.Joined.After(l.First) && now.Sub(l.Joined) < fillingPause
-	return grows && now.Sub(l.First) < fillingFor && l.Copies < enoughCopies
+func (l ServerList) Populating(now time.Time) bool {
+	grows := l.LastAdded.After(l.FirstRead) && now.Sub(l.LastAdded) < fillingPause
+	return grows && now.Sub(l.FirstRead) < fillingFor && l.MinCopies < enoughCopies
 }
--- a/coordination/admission/limited.go
+++ b/coordination/admission/limited.go
@@ -7,14 +7,14 @@
 const leastLimited = 50 * time.Millisecond
 
 // Limited is a request that only servers could take which name a limit of requests a second.
-type Limited struct {
+type RateLimited struct {
 	// Permit is how long it is likely to take until there is a permit for the request.
-	Permit time.Duration
+	PermitWait time.Duration
 }
 
 // TooLate reports whether no permit will come while the request may wait, so that it is turned
 // away at once.
-func (l Limited) TooLate(left time.Duration) bool { return l.Permit > left }
+func (l RateLimited) PermitTooLate(left time.Duration) bool { return l.PermitWait > left }
 
 // RetryAfter is when the caller may come back: a permit is there by then.
-func (l Limited) RetryAfter() time.Duration { return max(l.Permit, leastLimited) }
+func (l RateLimited) RetryAfter() time.Duration { return max(l.PermitWait, leastLimited) }
--- a/coordination/admission/refusal.go
+++ b/coordination/admission/refusal.go
@@ -16,7 +16,7 @@
 	// AllStopping: so are all that this daemon knows.
 	AllStopping
 	// Unready: this daemon knows no configuration yet.
-	Unready
+	NotReady
 )
 
 const (
@@ -46,7 +46,7 @@
 		return afterStopping
 	case AllStopping:
 		return afterAllStopping
-	case Unready:
+	case NotReady:
 		return afterUnready
 	default:
 		panic("admission: unknown refusal")
--- a/coordination/admission/start.go
+++ b/coordination/admission/start.go
@@ -9,8 +9,8 @@
 const startMost = 500 * time.Millisecond
 
 // Start is a daemon that knows no configuration yet.
-type Start struct {
-	Began time.Time
+type Startup struct {
+	StartedAt time.Time
 	// Failed: the store has not answered it, and no other daemon knows more. It is not
 	// known when it can serve.
 	Failed bool
@@ -18,12 +18,12 @@
 
 // Until is when a request that meets this daemon is turned away if the daemon is still
 // not ready: at once where it can't say that it will be.
-func (s Start) Until(w Wait) time.Time {
+func (s Startup) RejectAt(w WaitingRequest) time.Time {
 	if s.Failed {
 		return w.Arrived
 	}
-	until := s.Began.Add(startMost)
-	if own := w.Until(); own.Before(until) {
+	until := s.StartedAt.Add(startMost)
+	if own := w.RejectAt(); own.Before(until) {
 		until = own
 	}
 	return until
--- a/coordination/admission/stop.go
+++ b/coordination/admission/stop.go
@@ -13,22 +13,22 @@
 )
 
 // Stop is a planned stop of this daemon.
-type Stop struct {
-	Since time.Duration // its beginning
-	Grace time.Duration // in which it has to end
+type Shutdown struct {
+	Elapsed time.Duration // its beginning
+	Grace   time.Duration // in which it has to end
 	// Elsewhere: another daemon takes new streams.
-	Elsewhere bool
+	OthersAccept bool
 }
 
 // TakesStream reports whether a new stream is to be taken, and if not, why its caller is
 // turned away. Where all daemons are stopping, each a second after the other, streams are
 // taken for longer, and callers then sent back until one of them has started again.
-func (s Stop) TakesStream() (bool, Refusal) {
-	share := float64(s.Since) / float64(s.Grace)
+func (s Shutdown) AcceptsStream() (bool, Refusal) {
+	share := float64(s.Elapsed) / float64(s.Grace)
 	switch {
 	case share < takeShare:
 		return true, 0
-	case s.Elsewhere:
+	case s.OthersAccept:
 		return false, Stopping
 	default:
 		return share < takeLastShare, AllStopping
--- a/coordination/admission/wait.go
+++ b/coordination/admission/wait.go
@@ -19,7 +19,7 @@
 const forgiveAfter = 500 * time.Millisecond
 
 // Wait is a request that finds no server.
-type Wait struct {
+type WaitingRequest struct {
 	Arrived  time.Time
 	Deadline time.Time // when it must have its final answer
 	// LastEvent is when its caller got the last event of an answer that has begun, zero
@@ -33,7 +33,7 @@
 // its caller leaves, who knows better for how long to wait. Turned away as others are, drafts
 // end in the middle while engines are replaced beside a burst, although room comes free a
 // moment later.
-func (w Wait) Until() time.Time {
+func (w WaitingRequest) RejectAt() time.Time {
 	if !w.LastEvent.IsZero() {
 		return w.Deadline
 	}
@@ -42,7 +42,7 @@
 }
 
 // Turned is how often in a row servers had no room for the rest of an answer that has begun.
-type Turned struct {
+type Rejections struct {
 	Count int
 	Last  time.Time
 }
@@ -52,11 +52,11 @@
 const turnedMost = 2
 
 // Rests reports whether no server is to be asked now.
-func (t Turned) Rests(now time.Time) bool {
-	return t.Count >= turnedMost && !t.Forgives(now)
+func (t Rejections) BackingOff(now time.Time) bool {
+	return t.Count >= turnedMost && !t.BackoffElapsed(now)
 }
 
 // Forgives reports whether those that had no room may be asked again.
-func (t Turned) Forgives(now time.Time) bool {
+func (t Rejections) BackoffElapsed(now time.Time) bool {
 	return t.Count > 0 && !now.Before(t.Last.Add(forgiveAfter))
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -212,8 +212,8 @@
 	elsewhere := slices.ContainsFunc(g.current.Load().members.Members, func(i membership.Info) bool {
 		return i.Member.ID != g.self.ID && i.State == membership.Alive && !i.Draining
 	})
-	stop := admission.Stop{Since: g.steady(now) - time.Duration(began), Grace: g.set().Grace, Elsewhere: elsewhere}
-	return stop.TakesStream()
+	stop := admission.Shutdown{Elapsed: g.steady(now) - time.Duration(began), Grace: g.set().Grace, OthersAccept: elsewhere}
+	return stop.AcceptsStream()
 }
 
 // Closing reports whether callers are to use another connection next time.
--- a/gateway/listing.go
+++ b/gateway/listing.go
@@ -188,16 +188,16 @@
 // filling reports whether requests had better wait for more servers to be listed.
 func (p *listingPart) filling() bool {
 	v := &p.c.view
-	list := admission.List{First: p.first, Joined: p.joined}
-	if v.config == nil || !list.Filling(p.c.now) {
+	list := admission.ServerList{FirstRead: p.first, LastAdded: p.joined}
+	if v.config == nil || !list.Populating(p.c.now) {
 		return false // it does not grow, whatever it holds
 	}
 	for id, svc := range v.config.Services {
 		if svc.Engine == nil {
 			continue
 		}
-		list.Copies = cover(svc.Engine, v.servers[id]).Least()
-		if list.Filling(p.c.now) {
+		list.MinCopies = cover(svc.Engine, v.servers[id]).Least()
+		if list.Populating(p.c.now) {
 			return true
 		}
 	}
--- a/gateway/permitrequest.go
+++ b/gateway/permitrequest.go
@@ -130,12 +130,12 @@
 	if !r.permit.waits() || r.headed {
 		return false
 	}
-	return admission.Limited{Permit: r.g.book.expectPermit(&r.permit)}.TooLate(time.Until(until))
+	return admission.RateLimited{PermitWait: r.g.book.expectPermit(&r.permit)}.PermitTooLate(time.Until(until))
 }
 
 // refusedLimited is the result of a request for which there was no permit.
 func (r *run) refusedLimited() Result {
 	r.g.metrics.CountReason(telemetry.GatewayLimitedTotal, limitedRefused)
-	limited := admission.Limited{Permit: r.g.book.expectPermit(&r.permit)}
+	limited := admission.RateLimited{PermitWait: r.g.book.expectPermit(&r.permit)}
 	return Result{Outcome: Refused, Reason: string(relay.ReasonLimited), RetryAfter: limited.RetryAfter()}
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -36,7 +36,7 @@
 	avoid    map[string]bool
 	after    string // id of the last event that the caller has
 	headed   bool   // the head of an answer was given
-	turned   admission.Turned
+	turned   admission.Rejections
 	permit   permitRequest
 	sends    int
 	at       string // address of the server of the attempt under way
@@ -59,7 +59,7 @@
 // serve runs the stages: route, customer, admission, attempts.
 func (r *run) serve(ctx context.Context) Result {
 	if !r.awaitStart(ctx) {
-		return refused("no_configuration", admission.Unready)
+		return refused("no_configuration", admission.NotReady)
 	}
 	if res, ok := r.findRoute(); !ok {
 		return res
--- a/gateway/wait.go
+++ b/gateway/wait.go
@@ -18,7 +18,7 @@
 // hold waits until try succeeds, for as long as the request may wait. One without a permit
 // does not wait where none will come in time.
 func (r *run) hold(ctx context.Context, try func() bool) bool {
-	wait := admission.Wait{Arrived: r.req.Arrived, Deadline: r.deadline}
+	wait := admission.WaitingRequest{Arrived: r.req.Arrived, Deadline: r.deadline}
 	if r.headed {
 		wait.LastEvent = r.pauses.last
 	}
@@ -35,7 +35,7 @@
 	}
 	r.g.waiting.Add(1)
 	defer r.g.waiting.Add(-1)
-	for until := wait.Until(); time.Now().Before(until) && ctx.Err() == nil; {
+	for until := wait.RejectAt(); time.Now().Before(until) && ctx.Err() == nil; {
 		if r.permitTooLate(until) {
 			return false
 		}
@@ -54,10 +54,10 @@
 	if !r.headed {
 		return true
 	}
-	if r.turned.Forgives(now) {
-		r.avoid, r.turned = nil, admission.Turned{}
+	if r.turned.BackoffElapsed(now) {
+		r.avoid, r.turned = nil, admission.Rejections{}
 	}
-	return !r.turned.Rests(now)
+	return !r.turned.BackingOff(now)
 }
 
 // awaitStart waits while this daemon has just started and does not know the
@@ -66,12 +66,12 @@
 	if r.view.known() {
 		return true
 	}
-	wait := admission.Wait{Arrived: r.req.Arrived, Deadline: r.req.Arrived.Add(r.req.Wait)}
+	wait := admission.WaitingRequest{Arrived: r.req.Arrived, Deadline: r.req.Arrived.Add(r.req.Wait)}
 	r.g.waiting.Add(1)
 	defer r.g.waiting.Add(-1)
 	for {
-		start := admission.Start{Began: r.g.born, Failed: r.g.unanswered.Load()}
-		if !time.Now().Before(start.Until(wait)) || ctx.Err() != nil {
+		start := admission.Startup{StartedAt: r.g.born, Failed: r.g.unanswered.Load()}
+		if !time.Now().Before(start.RejectAt(wait)) || ctx.Err() != nil {
 			return false
 		}
 		pause(ctx, holdStep)
