--- a/coordination/catalog/catalog.go
+++ b/coordination/catalog/catalog.go
@@ -15,17 +15,17 @@
 
 // Config is a daemon's settings.
 type Config struct {
-	Fanout     int           // peers told of a change at once
-	Interval   time.Duration // between comparisons with one peer
-	WantAgain  time.Duration // until an unanswered Want may be sent again
-	LogLength  int           // changes kept per service, to answer Want with
-	PartLength int           // replicas in one message
+	Fanout            int           // peers told of a change at once
+	CompareInterval   time.Duration // between comparisons with one peer
+	PullRetryInterval time.Duration // until an unanswered Want may be sent again
+	MaxLogLength      int           // changes kept per service, to answer Want with
+	PartSize          int           // replicas in one message
 }
 
 // DefaultConfig returns the settings that docs/design/leases-and-orders.md works
 // out.
 func DefaultConfig() Config {
-	return Config{Fanout: 3, Interval: time.Second, WantAgain: 500 * time.Millisecond, LogLength: 64, PartLength: 64}
+	return Config{Fanout: 3, CompareInterval: time.Second, PullRetryInterval: 500 * time.Millisecond, MaxLogLength: 64, PartSize: 64}
 }
 
 // entry is one service's table.
@@ -72,7 +72,7 @@
 	case Tick:
 	case Members:
 		c.live = slices.Clone(ev.Live)
-	case Offered:
+	case OfferTable:
 		out = c.offered(ev.Table)
 	case Received:
 		out = c.received(now, ev)
@@ -82,15 +82,15 @@
 	if now.Before(c.next) {
 		return out
 	}
-	c.next = now.Add(c.cfg.Interval)
-	return c.tell(out, 1, Have{Held: c.held(), All: true})
+	c.next = now.Add(c.cfg.CompareInterval)
+	return c.tell(out, 1, Versions{Services: c.held(), All: true})
 }
 
-func (c *Catalog) held() []Held {
+func (c *Catalog) held() []ServiceVersion {
 	ids := lo.Keys(c.entries)
 	slices.Sort(ids)
-	return lo.Map(ids, func(id state.ServiceID, _ int) Held {
-		return Held{Service: id, Version: versionOf(c.entries[id].table)}
+	return lo.Map(ids, func(id state.ServiceID, _ int) ServiceVersion {
+		return ServiceVersion{Service: id, Version: versionOf(c.entries[id].table)}
 	})
 }
 
@@ -124,13 +124,13 @@
 	t.Replicas = slices.Clone(t.Replicas)
 	slices.SortFunc(t.Replicas, byID)
 	e.log = append(e.log, difference(e.table, t))
-	if len(e.log) > c.cfg.LogLength {
+	if len(e.log) > c.cfg.MaxLogLength {
 		e.log = slices.Clone(e.log[1:])
 	}
 	e.table = t
 	e.parts = nil
-	out := []Action{Changed{Table: t}}
-	return c.tell(out, c.cfg.Fanout, Have{Held: []Held{{Service: t.Service, Version: versionOf(t)}}})
+	out := []Action{TableChanged{Table: t}}
+	return c.tell(out, c.cfg.Fanout, Versions{Services: []ServiceVersion{{Service: t.Service, Version: versionOf(t)}}})
 }
 
 func byID(a, b controller.Replica) int {
@@ -139,9 +139,9 @@
 
 func (c *Catalog) received(now time.Time, ev Received) []Action {
 	switch msg := ev.Msg.(type) {
-	case Have:
+	case Versions:
 		return c.compare(now, ev.From.ID, msg)
-	case Want:
+	case Pull:
 		return c.answer(ev.From.ID, msg)
 	case Delta:
 		return c.delta(msg)
@@ -152,11 +152,11 @@
 
 // compare asks for what the peer has newer and, of a full list, tells what it has
 // older.
-func (c *Catalog) compare(now time.Time, from state.DaemonID, msg Have) []Action {
+func (c *Catalog) compare(now time.Time, from state.DaemonID, msg Versions) []Action {
 	var out []Action
-	var newer []Held
-	theirs := make(map[state.ServiceID]Version, len(msg.Held))
-	for _, h := range msg.Held {
+	var newer []ServiceVersion
+	theirs := make(map[state.ServiceID]Version, len(msg.Services))
+	for _, h := range msg.Services {
 		theirs[h.Service] = h.Version
 		e := c.entry(h.Service)
 		mine := versionOf(e.table)
@@ -164,11 +164,11 @@
 			continue
 		}
 		asked := e.wanted == h.Version || e.wanted.newer(h.Version)
-		if asked && now.Sub(e.askedAt) < c.cfg.WantAgain {
+		if asked && now.Sub(e.askedAt) < c.cfg.PullRetryInterval {
 			continue // several peers tell of one change; one of them is enough
 		}
 		e.wanted, e.askedAt = h.Version, now
-		out = append(out, Send{To: from, Msg: Want{Service: h.Service, Have: mine}})
+		out = append(out, Send{To: from, Msg: Pull{Service: h.Service, Have: mine}})
 	}
 	if !msg.All {
 		return out
@@ -179,14 +179,14 @@
 		}
 	}
 	if len(newer) > 0 {
-		out = append(out, Send{To: from, Msg: Have{Held: newer}})
+		out = append(out, Send{To: from, Msg: Versions{Services: newer}})
 	}
 	return out
 }
 
 // answer sends the changes since the peer's version, or the whole table if they
 // are not kept any more.
-func (c *Catalog) answer(to state.DaemonID, msg Want) []Action {
+func (c *Catalog) answer(to state.DaemonID, msg Pull) []Action {
 	e, ok := c.entries[msg.Service]
 	if !ok || !versionOf(e.table).newer(msg.Have) {
 		return nil
@@ -196,7 +196,7 @@
 		d = difference(controller.Table{Service: msg.Service}, e.table)
 	}
 	var out []Action
-	sets := lo.Chunk(d.Set, c.cfg.PartLength)
+	sets := lo.Chunk(d.Set, c.cfg.PartSize)
 	if len(sets) == 0 {
 		sets = [][]controller.Replica{nil}
 	}
@@ -204,7 +204,7 @@
 		p := d
 		p.Set, p.Part, p.Parts = set, i, len(sets)
 		if i > 0 {
-			p.Gone = nil
+			p.Removed = nil
 		}
 		out = append(out, Send{To: to, Msg: p})
 	}
--- a/coordination/catalog/catalog_test.go
+++ b/coordination/catalog/catalog_test.go
@@ -59,7 +59,7 @@
 func (f *fleet) step(i int, ev catalog.Event) {
 	for _, a := range f.nodes[i].Step(f.now, ev) {
 		switch a := a.(type) {
-		case catalog.Changed:
+		case catalog.TableChanged:
 			if !a.Table.Newer(f.seen[i][a.Table.Service]) {
 				f.backward = fmt.Sprintf("%s went back to %d/%d", id(i), a.Table.Fencing, a.Table.Serial)
 			}
@@ -130,7 +130,7 @@
 			if next.Newer(newest) {
 				newest = next
 			}
-			f.step(rapid.IntRange(0, len(f.nodes)-1).Draw(t, "at"), catalog.Offered{Table: next})
+			f.step(rapid.IntRange(0, len(f.nodes)-1).Draw(t, "at"), catalog.OfferTable{Table: next})
 			f.run(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 		}
 		f.lost = 0
@@ -157,7 +157,7 @@
 		first.Replicas = append(first.Replicas, replica(i, false))
 	}
 	for i := range n {
-		f.step(i, catalog.Offered{Table: first})
+		f.step(i, catalog.OfferTable{Table: first})
 	}
 	f.run(2 * time.Second)
 	f.bytes = 0
@@ -167,7 +167,7 @@
 	next := table("drafts", 1, 2, slices.Clone(first.Replicas)...)
 	next.Replicas[17].Leaving = true
 	begin := f.now
-	f.step(0, catalog.Offered{Table: next})
+	f.step(0, catalog.OfferTable{Table: next})
 	for reached := 0; reached < n && f.now.Sub(begin) < time.Minute; {
 		f.run(10 * time.Millisecond)
 		reached = 0
@@ -206,7 +206,7 @@
 		for i := range 800 {
 			first.Replicas = append(first.Replicas, replica(i, false))
 		}
-		f.step(0, catalog.Offered{Table: first})
+		f.step(0, catalog.OfferTable{Table: first})
 		f.run(3 * time.Second)
 		got, ok := f.nodes[2].Get("drafts")
 		Expect(ok).To(BeTrue())
@@ -220,7 +220,7 @@
 	for i := range 800 {
 		t.Replicas = append(t.Replicas, replica(i, false))
 	}
-	c.Step(time.Unix(0, 0), catalog.Offered{Table: t})
+	c.Step(time.Unix(0, 0), catalog.OfferTable{Table: t})
 	b.ReportAllocs()
 	for b.Loop() {
 		from := catalog.Version{Fencing: 1, Serial: t.Serial}
--- a/coordination/catalog/delta.go
+++ b/coordination/catalog/delta.go
@@ -26,7 +26,7 @@
 	}
 	for _, r := range a.Replicas {
 		if !kept[r.Chain.ID] {
-			d.Gone = append(d.Gone, r.Chain.ID)
+			d.Removed = append(d.Removed, r.Chain.ID)
 		}
 	}
 	return d
@@ -46,7 +46,7 @@
 			set[r.Chain.ID] = r
 			delete(gone, r.Chain.ID)
 		}
-		for _, id := range d.Gone {
+		for _, id := range d.Removed {
 			delete(set, id)
 			gone[id] = true
 		}
@@ -54,8 +54,8 @@
 	}
 	sum.Set = lo.Values(set)
 	slices.SortFunc(sum.Set, byID)
-	sum.Gone = lo.Keys(gone)
-	slices.Sort(sum.Gone)
+	sum.Removed = lo.Keys(gone)
+	slices.Sort(sum.Removed)
 	return sum, true
 }
 
@@ -70,7 +70,7 @@
 		for _, r := range p.Set {
 			replaced[r.Chain.ID] = true
 		}
-		for _, id := range p.Gone {
+		for _, id := range p.Removed {
 			replaced[id] = true
 		}
 	}
--- a/coordination/catalog/messages.go
+++ b/coordination/catalog/messages.go
@@ -30,20 +30,20 @@
 type Message interface{ message() }
 
 // Held is one service's version at the sender.
-type Held struct {
+type ServiceVersion struct {
 	Service state.ServiceID `msgpack:"service"`
 	Version Version         `msgpack:"version"`
 }
 
 // Have tells versions. All says that it lists every service, so that the receiver
 // answers with what it has newer.
-type Have struct {
-	Held []Held `msgpack:"held"`
-	All  bool   `msgpack:"all"`
+type Versions struct {
+	Services []ServiceVersion `msgpack:"held"`
+	All      bool             `msgpack:"all"`
 }
 
 // Want asks for what changed since Have.
-type Want struct {
+type Pull struct {
 	Service state.ServiceID `msgpack:"service"`
 	Have    Version         `msgpack:"have"`
 }
@@ -56,14 +56,14 @@
 	To       Version               `msgpack:"to"`
 	Document state.DocumentVersion `msgpack:"document"`
 	Set      []controller.Replica  `msgpack:"set"`
-	Gone     []state.ReplicaID     `msgpack:"gone"`
+	Removed  []state.ReplicaID     `msgpack:"gone"`
 	Part     int                   `msgpack:"part"`
 	Parts    int                   `msgpack:"parts"`
 }
 
-func (Have) message()  {}
-func (Want) message()  {}
-func (Delta) message() {}
+func (Versions) message() {}
+func (Pull) message()     {}
+func (Delta) message()    {}
 
 // Event is what the machine is stepped with.
 type Event interface{ event() }
@@ -75,7 +75,7 @@
 type Members struct{ Live []state.DaemonID }
 
 // Offered is a whole table from this daemon's own controller or from the store.
-type Offered struct{ Table controller.Table }
+type OfferTable struct{ Table controller.Table }
 
 // Received is a message of another daemon.
 type Received struct {
@@ -83,10 +83,10 @@
 	Msg  Message
 }
 
-func (Tick) event()     {}
-func (Members) event()  {}
-func (Offered) event()  {}
-func (Received) event() {}
+func (Tick) event()       {}
+func (Members) event()    {}
+func (OfferTable) event() {}
+func (Received) event()   {}
 
 // Action is what the daemon is to do.
 type Action interface{ action() }
@@ -98,7 +98,7 @@
 }
 
 // Changed says that a table is in force here from now on.
-type Changed struct{ Table controller.Table }
+type TableChanged struct{ Table controller.Table }
 
-func (Send) action()    {}
-func (Changed) action() {}
+func (Send) action()         {}
+func (TableChanged) action() {}
--- a/daemon/catalog.go
+++ b/daemon/catalog.go
@@ -69,7 +69,7 @@
 		}
 		p.scanAt = time.Time{}
 		for _, row := range res.Rows {
-			p.step(catalog.Offered{Table: tableOf(row)})
+			p.step(catalog.OfferTable{Table: tableOf(row)})
 		}
 	})
 }
@@ -79,7 +79,7 @@
 		switch a := a.(type) {
 		case catalog.Send:
 			p.c.d.send(p.c.members.address(a.To), a.Msg)
-		case catalog.Changed:
+		case catalog.TableChanged:
 			p.changed(a.Table)
 		}
 	}
--- a/daemon/messages.go
+++ b/daemon/messages.go
@@ -87,8 +87,8 @@
 
 // registerPlacement lists the messages on replica tables, leases and weights.
 func registerPlacement(r *peer.Registry) {
-	peer.Register[catalog.Have](r, kindCatalog)
-	peer.Register[catalog.Want](r, kindCatalog+1)
+	peer.Register[catalog.Versions](r, kindCatalog)
+	peer.Register[catalog.Pull](r, kindCatalog+1)
 	peer.Register[catalog.Delta](r, kindCatalog+2)
 
 	peer.Register[lease.HandOn](r, kindLeases)
--- a/daemon/tables.go
+++ b/daemon/tables.go
@@ -98,7 +98,7 @@
 	}
 	r.told = true
 	serial, published := r.table.Serial, r.published
-	p.c.catalog.step(catalog.Offered{Table: r.table})
+	p.c.catalog.step(catalog.OfferTable{Table: r.table})
 	p.c.later(func() { published(serial) })
 }
 
@@ -153,7 +153,7 @@
 	r.known, r.revision = true, revision
 	if t.Newer(r.table) {
 		r.wanted = false
-		p.c.catalog.step(catalog.Offered{Table: t})
+		p.c.catalog.step(catalog.OfferTable{Table: t})
 		return
 	}
 	p.write(r)
@@ -189,7 +189,7 @@
 			then(t, false)
 			return
 		}
-		p.c.catalog.step(catalog.Offered{Table: t})
+		p.c.catalog.step(catalog.OfferTable{Table: t})
 		if held, known := p.c.catalog.m.Get(id); known {
 			t = held
 		}
