--- a/coordination/claims/batcher.go
+++ b/coordination/claims/batcher.go
@@ -17,31 +17,31 @@
 
 	// ReadBelow is the size up to which the rows of a conflicting transaction
 	// are read one by one; a larger one is halved.
-	ReadBelow int
+	ReadThreshold int
 
 	// Remembered is how many rows a home keeps to answer repeats from, each for
 	// RememberFor, far less than the sweep's retention. A repeat that went to
 	// the store would fail the whole transaction that it is in.
-	Remembered  int
-	RememberFor time.Duration
+	CacheSize int
+	CacheTTL  time.Duration
 
-	LazyDelay time.Duration // longest wait of a lazy write for company
-	Retry     time.Duration // back-off after a transaction that was not answered
-	Patience  time.Duration // after it a write is answered Unanswered
+	MaxLazyDelay time.Duration // longest wait of a lazy write for company
+	Retry        time.Duration // back-off after a transaction that was not answered
+	WriteTimeout time.Duration // after it a write is answered Unanswered
 }
 
 // DefaultBatchConfig returns the values used by a daemon.
 func DefaultBatchConfig() BatchConfig {
 	return BatchConfig{
-		MaxRows:     64,
-		MaxInFlight: 1,
-		MaxPending:  8192,
-		ReadBelow:   8,
-		Remembered:  32768,
-		RememberFor: 10 * time.Minute,
-		LazyDelay:   200 * time.Millisecond,
-		Retry:       100 * time.Millisecond,
-		Patience:    time.Second,
+		MaxRows:       64,
+		MaxInFlight:   1,
+		MaxPending:    8192,
+		ReadThreshold: 8,
+		CacheSize:     32768,
+		CacheTTL:      10 * time.Minute,
+		MaxLazyDelay:  200 * time.Millisecond,
+		Retry:         100 * time.Millisecond,
+		WriteTimeout:  time.Second,
 	}
 }
 
@@ -51,14 +51,14 @@
 }
 
 // Wanted is one write, from another daemon or this one.
-type Wanted struct {
+type WriteRequested struct {
 	From    state.Member
 	Request WriteRequest
 }
 
-func (Wanted) batchEvent()   {}
-func (Answered) batchEvent() {}
-func (Tick) batchEvent()     {}
+func (WriteRequested) batchEvent() {}
+func (StoreResult) batchEvent()    {}
+func (Tick) batchEvent()           {}
 
 // BatchAction is what a Batcher asks for: CallStore or Reply.
 type BatchAction interface {
@@ -117,13 +117,13 @@
 
 // BatchStats counts what a Batcher did since it was made.
 type BatchStats struct {
-	Wanted     int // writes asked for
-	Joined     int // of them, not sent because another of the key was under way
-	Remembered int // of them, answered by a row that this home knew
-	Txns       int // transactions sent
-	Rows       int // rows in them
-	Reads      int // rows read to settle conflicts
-	Conflicts  int // transactions that conflicted
+	Requested int // writes asked for
+	Coalesced int // of them, not sent because another of the key was under way
+	FromCache int // of them, answered by a row that this home knew
+	Txns      int // transactions sent
+	Rows      int // rows in them
+	Reads     int // rows read to settle conflicts
+	Conflicts int // transactions that conflicted
 }
 
 // seen is a row as a home last saw it.
@@ -134,7 +134,7 @@
 
 // NewBatcher returns an empty Batcher.
 func NewBatcher(cfg BatchConfig) *Batcher {
-	recent, err := lru.New[string, seen](cfg.Remembered)
+	recent, err := lru.New[string, seen](cfg.CacheSize)
 	if err != nil {
 		panic("claims: BatchConfig.Remembered must be positive: " + err.Error())
 	}
@@ -168,7 +168,7 @@
 		earlier(f.retryAt)
 	}
 	if len(b.lazy) > 0 && len(b.flights) == 0 {
-		earlier(b.lazy[0].at.Add(b.cfg.LazyDelay))
+		earlier(b.lazy[0].at.Add(b.cfg.MaxLazyDelay))
 	}
 	return next
 }
@@ -178,9 +178,9 @@
 	b.now = now
 	b.out = nil
 	switch ev := ev.(type) {
-	case Wanted:
+	case WriteRequested:
 		b.want(&item{from: ev.From, req: ev.Request, at: now})
-	case Answered:
+	case StoreResult:
 		b.answered(ev.Result)
 	case Tick:
 	}
@@ -190,14 +190,14 @@
 }
 
 func (b *Batcher) want(it *item) {
-	b.stats.Wanted++
+	b.stats.Requested++
 	if lead, ok := b.byKey[it.req.Key]; ok {
-		b.stats.Joined++
+		b.stats.Coalesced++
 		lead.followers = append(lead.followers, it)
 		return
 	}
 	if row, ok := b.remembered(it); ok {
-		b.stats.Remembered++
+		b.stats.FromCache++
 		b.reply(it, store.Conflict, &row)
 		return
 	}
@@ -213,7 +213,7 @@
 // conditioned on its revision, or ends in a phase that does not change.
 func (b *Batcher) remembered(it *item) (store.Row, bool) {
 	s, ok := b.recent.Get(it.req.Key)
-	if !ok || b.now.Sub(s.at) > b.cfg.RememberFor || s.row.Revision <= it.req.Base {
+	if !ok || b.now.Sub(s.at) > b.cfg.CacheTTL || s.row.Revision <= it.req.Base {
 		return store.Row{}, false
 	}
 	return s.row, true
--- a/coordination/claims/batcher_test.go
+++ b/coordination/claims/batcher_test.go
@@ -110,20 +110,20 @@
 			}
 			l.asked[n] = l.now
 			h := l.homeOf(key)
-			l.act(h, l.homes[h].Step(l.now, claims.Wanted{Request: claims.WriteRequest{Call: n, Key: key, Value: []byte("claim")}}))
+			l.act(h, l.homes[h].Step(l.now, claims.WriteRequested{Request: claims.WriteRequest{Call: n, Key: key, Value: []byte("claim")}}))
 		}
 		for len(l.lazy) > 0 && !l.lazy[0].at.After(l.now) {
 			req := l.lazy[0].req
 			l.lazy = l.lazy[1:]
 			h := l.homeOf(req.Key)
-			l.act(h, l.homes[h].Step(l.now, claims.Wanted{Request: req}))
+			l.act(h, l.homes[h].Step(l.now, claims.WriteRequested{Request: req}))
 		}
 		for len(l.due) > 0 && !l.due[0].at.After(l.now) {
 			d := l.due[0]
 			l.due = l.due[1:]
 			res := l.store.serve(d.call.Request, fateOK)
 			res.Call = d.call.ID
-			l.act(d.home, l.homes[d.home].Step(l.now, claims.Answered{Result: res}))
+			l.act(d.home, l.homes[d.home].Step(l.now, claims.StoreResult{Result: res}))
 		}
 		for h, b := range l.homes {
 			if at := b.NextTick(); !at.IsZero() && !at.After(l.now) {
@@ -210,10 +210,10 @@
 		c := claims.New(claims.DefaultConfig(), rng, n, claims.Request{
 			Key: claims.Key{Service: "s", Customer: "c", Key: "k"}, Nonce: "n", Deadline: now.Add(time.Second),
 		})
-		written := func(actions []claims.Action) claims.Answered {
+		written := func(actions []claims.Action) claims.StoreResult {
 			call := actions[0].(claims.CallStore).Call
 			w := call.Request.(store.Commit).Txn.Writes[0]
-			return claims.Answered{Result: store.Result{Call: call.ID, Status: store.Done, Rows: []store.Row{{Value: w.Value, Revision: 1}}}}
+			return claims.StoreResult{Result: store.Result{Call: call.ID, Status: store.Done, Rows: []store.Row{{Value: w.Value, Revision: 1}}}}
 		}
 		c.Step(now, written(c.Step(now, claims.Start{})))
 		c.Step(now, written(c.Step(now, claims.Ended{Phase: claims.PhaseDone})))
@@ -232,7 +232,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		req := claims.WriteRequest{Call: uint64(i), Key: fmt.Sprintf("k%d", i%1024), Value: []byte("v"), Base: s.rows[fmt.Sprintf("k%d", i%1024)].Revision}
-		for _, a := range m.Step(now, claims.Wanted{Request: req}) {
+		for _, a := range m.Step(now, claims.WriteRequested{Request: req}) {
 			if _, ok := a.(claims.CallStore); ok {
 				under = append(under, a)
 			}
@@ -243,7 +243,7 @@
 				under = under[1:]
 				res := s.serve(call.Request, fateOK)
 				res.Call = call.ID
-				for _, a := range m.Step(now, claims.Answered{Result: res}) {
+				for _, a := range m.Step(now, claims.StoreResult{Result: res}) {
 					if _, ok := a.(claims.CallStore); ok {
 						under = append(under, a)
 					}
--- a/coordination/claims/claim.go
+++ b/coordination/claims/claim.go
@@ -12,16 +12,16 @@
 type Config struct {
 	// RetryMin and RetryMax bound the back-off between store calls that were
 	// not answered; each wait is drawn from the upper half of the current one.
-	RetryMin time.Duration
-	RetryMax time.Duration
+	MinBackoff time.Duration
+	MaxBackoff time.Duration
 
 	// SettleGrace is how long a claim that is given up waits for the store
 	// before its caller is told VerdictUnsettled.
-	SettleGrace time.Duration
+	SettleTimeout time.Duration
 
 	// EndTries bounds the writes of a terminal outcome. Losing it costs a
 	// later repeat a "duplicate" for an "unknown", never a second run.
-	EndTries int
+	MaxOutcomeWrites int
 
 	// ViaHome sends the first try of each write through the key's home.
 	ViaHome bool
@@ -30,17 +30,17 @@
 // DefaultConfig returns the values used by a daemon.
 func DefaultConfig() Config {
 	return Config{
-		RetryMin:    50 * time.Millisecond,
-		RetryMax:    2 * time.Second,
-		SettleGrace: 250 * time.Millisecond,
-		EndTries:    4,
-		ViaHome:     true,
+		MinBackoff:       50 * time.Millisecond,
+		MaxBackoff:       2 * time.Second,
+		SettleTimeout:    250 * time.Millisecond,
+		MaxOutcomeWrites: 4,
+		ViaHome:          true,
 	}
 }
 
 // View is the daemon's belief about owners of claims. It may be wrong: it
 // decides between joining and taking over, both of which are safe.
-type View interface {
+type OwnerView interface {
 	// Owns reports whether rec.Owner is believed to live and to hold
 	// rec.Request. For the daemon itself that is whether it keeps the Claim.
 	Owns(rec Record) bool
@@ -84,7 +84,7 @@
 type Claim struct {
 	cfg  Config
 	rng  *rand.Rand
-	view View
+	view OwnerView
 	req  Request
 
 	mode   mode
@@ -123,7 +123,7 @@
 }
 
 // New returns the claim of req. It does nothing before Start.
-func New(cfg Config, rng *rand.Rand, view View, req Request) *Claim {
+func New(cfg Config, rng *rand.Rand, view OwnerView, req Request) *Claim {
 	return &Claim{cfg: cfg, rng: rng, view: view, req: req, clean: true}
 }
 
@@ -160,7 +160,7 @@
 		earlier(c.req.Deadline)
 	}
 	if c.awaitsVerdict() {
-		earlier(c.gaveUpAt.Add(c.cfg.SettleGrace))
+		earlier(c.gaveUpAt.Add(c.cfg.SettleTimeout))
 	}
 	return next
 }
@@ -175,14 +175,14 @@
 	switch ev := ev.(type) {
 	case Start:
 		c.start(ev.Slot)
-	case Answered:
+	case StoreResult:
 		c.answered(ev.Result)
 	case Tick:
 	case GiveUp:
 		c.giveUp(ev)
 	case Reuse:
 		c.reuse(ev)
-	case Move:
+	case Redispatch:
 		c.move(ev)
 	case Ended:
 		c.ended(ev)
@@ -276,7 +276,7 @@
 	return c.isConfirmed && c.confirmed.Phase == PhaseClaimed && c.sentSeq <= c.confirmed.Seq
 }
 
-func (c *Claim) move(ev Move) {
+func (c *Claim) move(ev Redispatch) {
 	if c.mode != modeHeld || c.continued || !ev.Proof.Valid() {
 		return
 	}
@@ -299,6 +299,6 @@
 	rec := c.target
 	rec.Phase = ev.Phase
 	rec.Digest = ev.Digest
-	c.endTries = c.cfg.EndTries
+	c.endTries = c.cfg.MaxOutcomeWrites
 	c.aim(intentEnd, rec, c.base)
 }
--- a/coordination/claims/decide.go
+++ b/coordination/claims/decide.go
@@ -90,15 +90,15 @@
 		return
 	}
 	switch {
-	case ev.Kind == EvidenceHeld && !forgot(c.target.Slot.Backends, ev.Boots):
+	case ev.Kind == EvidenceHeld && !forgot(c.target.Slot.Backends, ev.BootIDs):
 		c.mode = modeHeld
 		c.dispatched = true
 		c.continued = true
 		c.out = append(c.out, Continue{Record: c.target})
-	case ev.Kind == EvidenceLater:
+	case ev.Kind == EvidenceUnavailable:
 		c.askBackoff = nextBackoff(c.askBackoff, c.cfg)
 		c.wakeAt = c.now.Add(c.jitter(c.askBackoff))
-	case ev.Kind == EvidenceNeverBegan && sameBoots(c.target.Slot.Backends, ev.Boots):
+	case ev.Kind == EvidenceNotStarted && sameBoots(c.target.Slot.Backends, ev.BootIDs):
 		c.rerun()
 	default:
 		// Never to be known, so a later repeat need not ask again.
@@ -121,7 +121,7 @@
 // sameBoots guards against a backend server that restarted and forgot: it
 // would say that the attempt never began, although it ran before the restart.
 func sameBoots(backends []Backend, boots []string) bool {
-	recorded := lo.Map(backends, func(b Backend, _ int) string { return b.Boot })
+	recorded := lo.Map(backends, func(b Backend, _ int) string { return b.BootID })
 	return len(recorded) > 0 && !slices.Contains(recorded, "") && slices.Equal(recorded, boots)
 }
 
@@ -130,7 +130,7 @@
 // once more.
 func forgot(backends []Backend, boots []string) bool {
 	for i, b := range backends {
-		if b.Boot != "" && (i >= len(boots) || boots[i] != b.Boot) {
+		if b.BootID != "" && (i >= len(boots) || boots[i] != b.BootID) {
 			return true
 		}
 	}
--- a/coordination/claims/events.go
+++ b/coordination/claims/events.go
@@ -18,7 +18,7 @@
 }
 
 // Answered is the result of a CallStore.
-type Answered struct {
+type StoreResult struct {
 	Result store.Result
 }
 
@@ -44,7 +44,7 @@
 // Move asks to dispatch again in another slot, with proof that the attempt
 // before never began. The row must name the new backend servers first, or a
 // takeover would ask the wrong ones.
-type Move struct {
+type Redispatch struct {
 	Slot  Slot
 	Proof state.NotRunProof
 }
@@ -65,10 +65,10 @@
 	// backend server that is gone.
 	EvidenceNone EvidenceKind = iota
 	// EvidenceLater: a backend server could not be reached; ask again.
-	EvidenceLater
+	EvidenceUnavailable
 	// EvidenceNeverBegan: each server answered a Resume of the new epoch and
 	// holds nothing of the attempt. It counts only with equal Boots.
-	EvidenceNeverBegan
+	EvidenceNotStarted
 	// EvidenceHeld: the servers hold the attempt whole, so it can go on from
 	// where it is, or is complete. It counts only if no Boot that was recorded
 	// changed.
@@ -78,9 +78,9 @@
 // Evidence answers an Ask of the same epoch. Boots lists the servers' boots in
 // the order of Record.Slot.Backends.
 type Evidence struct {
-	Epoch state.Epoch
-	Kind  EvidenceKind
-	Boots []string
+	Epoch   state.Epoch
+	Kind    EvidenceKind
+	BootIDs []string
 }
 
 // OwnerGone tells a claim with a VerdictJoin that the joined owner died, or
@@ -89,15 +89,15 @@
 	Owner state.Member
 }
 
-func (Start) claimEvent()     {}
-func (Answered) claimEvent()  {}
-func (Tick) claimEvent()      {}
-func (GiveUp) claimEvent()    {}
-func (Reuse) claimEvent()     {}
-func (Move) claimEvent()      {}
-func (Ended) claimEvent()     {}
-func (Evidence) claimEvent()  {}
-func (OwnerGone) claimEvent() {}
+func (Start) claimEvent()       {}
+func (StoreResult) claimEvent() {}
+func (Tick) claimEvent()        {}
+func (GiveUp) claimEvent()      {}
+func (Reuse) claimEvent()       {}
+func (Redispatch) claimEvent()  {}
+func (Ended) claimEvent()       {}
+func (Evidence) claimEvent()    {}
+func (OwnerGone) claimEvent()   {}
 
 // Action is what a Claim asks for.
 type Action interface {
@@ -120,7 +120,7 @@
 // Ask has the recorded backend servers asked (engine.Resume with Record.Epoch
 // at each) what became of the attempt of an owner that is gone. The answer is
 // Evidence.
-type Ask struct {
+type QueryAttempt struct {
 	Record Record
 }
 
@@ -174,9 +174,9 @@
 	KeyChecked bool
 }
 
-func (CallStore) claimAction() {}
-func (Dispatch) claimAction()  {}
-func (Ask) claimAction()       {}
-func (Continue) claimAction()  {}
-func (Released) claimAction()  {}
-func (Verdict) claimAction()   {}
+func (CallStore) claimAction()    {}
+func (Dispatch) claimAction()     {}
+func (QueryAttempt) claimAction() {}
+func (Continue) claimAction()     {}
+func (Released) claimAction()     {}
+func (Verdict) claimAction()      {}
--- a/coordination/claims/failure_test.go
+++ b/coordination/claims/failure_test.go
@@ -201,7 +201,7 @@
 			w.calls(fateOK)
 			Expect(w.asks).To(HaveLen(1))
 			ask := w.asks[0]
-			w.step(ask.owner, ask.claim, claims.Evidence{Epoch: ask.rec.Epoch, Kind: claims.EvidenceHeld, Boots: boots})
+			w.step(ask.owner, ask.claim, claims.Evidence{Epoch: ask.rec.Epoch, Kind: claims.EvidenceHeld, BootIDs: boots})
 			same := len(boots) == 1 && boots[0] == "boot-0"
 			Expect(ask.claim.continued).To(Equal(same))
 			Expect(w.last(b) == claims.VerdictUnknown).To(Equal(!same))
--- a/coordination/claims/flight.go
+++ b/coordination/claims/flight.go
@@ -34,7 +34,7 @@
 	n := min(len(b.urgent), b.cfg.MaxRows)
 	items := b.urgent[:n:n]
 	b.urgent = b.urgent[n:]
-	if n == 0 && (len(b.lazy) == 0 || b.now.Before(b.lazy[0].at.Add(b.cfg.LazyDelay))) {
+	if n == 0 && (len(b.lazy) == 0 || b.now.Before(b.lazy[0].at.Add(b.cfg.MaxLazyDelay))) {
 		return nil
 	}
 	m := min(len(b.lazy), b.cfg.MaxRows-n)
@@ -118,7 +118,7 @@
 // conflict narrows down which row conflicted. Nothing was written.
 func (b *Batcher) conflict(f *flight) {
 	b.stats.Conflicts++
-	if len(f.items) > b.cfg.ReadBelow {
+	if len(f.items) > b.cfg.ReadThreshold {
 		mid := len(f.items) / 2
 		b.commit(f.items[:mid:mid], true)
 		b.commit(f.items[mid:], true)
@@ -148,7 +148,7 @@
 }
 
 func (b *Batcher) requeue(it *item) {
-	if !b.now.Before(it.at.Add(b.cfg.Patience)) {
+	if !b.now.Before(it.at.Add(b.cfg.WriteTimeout)) {
 		b.finish(it, b.unanswered(it), nil)
 		return
 	}
@@ -165,7 +165,7 @@
 // again waits to send a flight once more, or gives its writes up.
 func (b *Batcher) again(id store.CallID, f *flight) {
 	f.retryAt = b.now.Add(b.cfg.Retry)
-	if f.retryAt.Before(f.items[0].at.Add(b.cfg.Patience)) {
+	if f.retryAt.Before(f.items[0].at.Add(b.cfg.WriteTimeout)) {
 		return
 	}
 	b.drop(id)
--- a/coordination/claims/record.go
+++ b/coordination/claims/record.go
@@ -60,8 +60,8 @@
 // server does not report one, and then nothing it says proves that an attempt
 // never began.
 type Backend struct {
-	ID   state.BackendID `json:"id" msgpack:"id"`
-	Boot string          `json:"boot,omitempty" msgpack:"boot"`
+	ID     state.BackendID `json:"id" msgpack:"id"`
+	BootID string          `json:"boot,omitempty" msgpack:"boot"`
 }
 
 // Slot is the capacity in hand for one attempt. The claimant names the attempt.
--- a/coordination/claims/timers.go
+++ b/coordination/claims/timers.go
@@ -15,14 +15,14 @@
 		}
 		c.giveUp(GiveUp{Reason: reason})
 	}
-	if c.awaitsVerdict() && !c.now.Before(c.gaveUpAt.Add(c.cfg.SettleGrace)) {
+	if c.awaitsVerdict() && !c.now.Before(c.gaveUpAt.Add(c.cfg.SettleTimeout)) {
 		c.unsettled = true
 		c.verdict(VerdictUnsettled, Record{})
 	}
 	if !c.wakeAt.IsZero() && !c.now.Before(c.wakeAt) {
 		c.wakeAt = time.Time{}
 		if c.mode == modeAsking {
-			c.out = append(c.out, Ask{Record: c.target})
+			c.out = append(c.out, QueryAttempt{Record: c.target})
 			return
 		}
 		c.advance()
--- a/coordination/claims/world_test.go
+++ b/coordination/claims/world_test.go
@@ -120,7 +120,7 @@
 	return claims.Slot{
 		Attempt:  state.Attempt(0).Next(uint32(n)),
 		Replica:  replica(i),
-		Backends: []claims.Backend{{ID: state.BackendID(replica(i)), Boot: w.servers[replica(i)].boot}},
+		Backends: []claims.Backend{{ID: state.BackendID(replica(i)), BootID: w.servers[replica(i)].boot}},
 	}
 }
 
@@ -169,7 +169,7 @@
 		}
 		w.air = append(w.air, airCall{n, a.Call.Request, func(res store.Result) {
 			res.Call = a.Call.ID
-			w.step(n, k, claims.Answered{Result: res})
+			w.step(n, k, claims.StoreResult{Result: res})
 		}})
 	case claims.Dispatch:
 		k.sent = true
@@ -178,7 +178,7 @@
 	case claims.Continue:
 		k.sent = true
 		k.continued = true
-	case claims.Ask:
+	case claims.QueryAttempt:
 		w.asks = append(w.asks, step{n, k, a.Record})
 	case claims.Verdict:
 		id := k.Request().ID
@@ -192,17 +192,17 @@
 	home := w.nodes[w.choose(len(w.nodes), "home")]
 	req, _ := a.WriteRequest(uint64(a.Call.ID))
 	if home.dead || home.paused {
-		w.step(n, k, claims.Answered{Result: store.Result{Call: a.Call.ID, Status: store.NotSent}})
+		w.step(n, k, claims.StoreResult{Result: store.Result{Call: a.Call.ID, Status: store.NotSent}})
 		return
 	}
 	// The claimant's own timeout: the reply may come after it, and is ignored.
 	w.air = append(w.air, airCall{n, nil, func(store.Result) {
-		w.step(n, k, claims.Answered{Result: store.Result{Call: a.Call.ID}})
+		w.step(n, k, claims.StoreResult{Result: store.Result{Call: a.Call.ID}})
 	}})
 	replies[replyKey{home, n, k, uint64(a.Call.ID)}] = func(r claims.WriteReply) {
-		w.step(n, k, claims.Answered{Result: r.Result(a.Call.ID, req.Key)})
+		w.step(n, k, claims.StoreResult{Result: r.Result(a.Call.ID, req.Key)})
 	}
-	w.stepHome(home, claims.Wanted{From: memberOf(n, k), Request: req})
+	w.stepHome(home, claims.WriteRequested{From: memberOf(n, k), Request: req})
 }
 
 // replyKey routes a Reply back; memberOf makes the claimant unique by claim.
@@ -228,7 +228,7 @@
 		case claims.CallStore:
 			w.air = append(w.air, airCall{home, a.Call.Request, func(res store.Result) {
 				res.Call = a.Call.ID
-				w.stepHome(home, claims.Answered{Result: res})
+				w.stepHome(home, claims.StoreResult{Result: res})
 			}})
 		case claims.Reply:
 			w.route(home, a)
--- a/coordination/claims/worldsteps_test.go
+++ b/coordination/claims/worldsteps_test.go
@@ -36,7 +36,7 @@
 	s := w.steps[i]
 	w.steps = slices.Delete(w.steps, i, i+1)
 	srv := w.servers[s.rec.Slot.Replica]
-	boot := s.rec.Slot.Backends[0].Boot
+	boot := s.rec.Slot.Backends[0].BootID
 	key := attemptKey(s.rec)
 	barred := srv.bars[key] > s.rec.Epoch || (boot != "" && boot != srv.boot)
 	if refused || barred {
@@ -56,7 +56,7 @@
 	proof, _ := s.claim.dispatches.NotRun()
 	if w.choose(2, "move") == 1 {
 		w.nonces++
-		w.step(s.owner, s.claim, claims.Move{Slot: w.slot(w.choose(3, "slot"), w.nonces), Proof: proof})
+		w.step(s.owner, s.claim, claims.Redispatch{Slot: w.slot(w.choose(3, "slot"), w.nonces), Proof: proof})
 		return
 	}
 	w.step(s.owner, s.claim, claims.GiveUp{Reason: state.ReasonNoReplica, Proof: proof})
@@ -71,19 +71,19 @@
 	ev := claims.Evidence{Epoch: s.rec.Epoch}
 	switch {
 	case !reachable:
-		ev.Kind = claims.EvidenceLater
+		ev.Kind = claims.EvidenceUnavailable
 	case srv.boot == "":
 		// A server that remembers nothing, asked by a careful daemon or by
 		// one that takes its ignorance for an answer.
 		ev.Kind = claims.EvidenceNone
 		if w.choose(2, "careful") == 1 {
-			ev.Kind = claims.EvidenceNeverBegan
-			ev.Boots = []string{""}
+			ev.Kind = claims.EvidenceNotStarted
+			ev.BootIDs = []string{""}
 		}
 	default:
 		srv.bars[key] = max(srv.bars[key], s.rec.Epoch)
-		ev.Kind = claims.EvidenceNeverBegan
-		ev.Boots = []string{srv.boot}
+		ev.Kind = claims.EvidenceNotStarted
+		ev.BootIDs = []string{srv.boot}
 		if srv.held[key] {
 			ev.Kind = claims.EvidenceHeld
 		}
--- a/coordination/claims/write.go
+++ b/coordination/claims/write.go
@@ -152,9 +152,9 @@
 
 func nextBackoff(last time.Duration, cfg Config) time.Duration {
 	if last == 0 {
-		return cfg.RetryMin
+		return cfg.MinBackoff
 	}
-	return min(2*last, cfg.RetryMax)
+	return min(2*last, cfg.MaxBackoff)
 }
 
 func (c *Claim) jitter(d time.Duration) time.Duration {
@@ -218,7 +218,7 @@
 	case intentTakeover:
 		c.mode = modeAsking
 		c.askBackoff = 0
-		c.out = append(c.out, Ask{Record: c.target})
+		c.out = append(c.out, QueryAttempt{Record: c.target})
 	case intentVoid:
 		c.finish(VerdictNotRun, Record{})
 	case intentEnd:
--- a/daemon/batcher.go
+++ b/daemon/batcher.go
@@ -100,7 +100,7 @@
 	p.last++
 	p.waiting[p.last] = batchWait{call: req.Call, answer: answer}
 	req.Call = p.last
-	p.step(claims.Wanted{From: p.c.d.self, Request: req})
+	p.step(claims.WriteRequested{From: p.c.d.self, Request: req})
 }
 
 // serve answers a claimant at another daemon.
@@ -119,7 +119,7 @@
 	for _, a := range p.m.Step(p.c.now, ev) {
 		switch a := a.(type) {
 		case claims.CallStore:
-			p.c.store.do(a.Call, func(res store.Result) { p.step(claims.Answered{Result: res}) })
+			p.c.store.do(a.Call, func(res store.Result) { p.step(claims.StoreResult{Result: res}) })
 		case claims.Reply:
 			p.reply(a.Reply)
 		}
@@ -144,4 +144,4 @@
 	return store.Unanswered
 }
 
-var _ claims.View = (*claimsPart)(nil)
+var _ claims.OwnerView = (*claimsPart)(nil)
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -74,7 +74,7 @@
 		p.begin(r, slot)
 	case run.r == r:
 		run.settled = false
-		run.step(claims.Move{Slot: slot, Proof: a.Proof})
+		run.step(claims.Redispatch{Slot: slot, Proof: a.Proof})
 	case run.m.Request().Content != r.content:
 		go r.post(request.ClaimSettled{Result: request.ClaimElsewhere, Reason: state.ReasonKeyReused})
 	case run.r == nil && run.m.Reusable():
@@ -109,7 +109,7 @@
 		Attempt: a.Attempt,
 		Replica: a.Replica.ID,
 		Backends: lo.Map(a.Replica.Stages, func(s state.Stage, _ int) claims.Backend {
-			return claims.Backend{ID: s.Backend, Boot: s.Life}
+			return claims.Backend{ID: s.Backend, BootID: s.Life}
 		}),
 	}
 }
@@ -192,7 +192,7 @@
 		run.answer(request.ClaimSettled{Result: request.ClaimWon})
 	case claims.Continue:
 		run.continued(a.Record)
-	case claims.Ask:
+	case claims.QueryAttempt:
 		go c.d.askRecorded(a.Record, func(ev claims.Evidence) { c.post(func() { run.step(ev) }) })
 	case claims.Verdict:
 		run.verdict(a)
@@ -218,7 +218,7 @@
 // callStore sends the claim's write, by way of the key's home if it may.
 func (run *claimRun) callStore(a claims.CallStore) {
 	c := run.p.c
-	answered := func(res store.Result) { run.step(claims.Answered{Result: res}) }
+	answered := func(res store.Result) { run.step(claims.StoreResult{Result: res}) }
 	if req, ok := a.WriteRequest(uint64(a.Call.ID)); ok && a.ViaHome {
 		c.batcher.write(run.m.Key(), req, func(reply claims.WriteReply) {
 			answered(reply.Result(a.Call.ID, req.Key))
--- a/daemon/slots.go
+++ b/daemon/slots.go
@@ -402,7 +402,7 @@
 		if r.Stages[i].Backend != b.ID {
 			return state.Replica{}, false
 		}
-		r.Stages[i].Life = b.Boot
+		r.Stages[i].Life = b.BootID
 	}
 	return r, true
 }
--- a/daemon/steps.go
+++ b/daemon/steps.go
@@ -247,17 +247,17 @@
 			// A process that is gone has lost what it held; one that only
 			// doesn't answer may be asked again.
 			if !engine.NotSent(err) && !errors.Is(err, engine.ErrEpoch) {
-				ev.Kind = claims.EvidenceLater
+				ev.Kind = claims.EvidenceUnavailable
 			}
 			answer(ev)
 			return
 		}
-		ev.Boots = append(ev.Boots, h.Life)
+		ev.BootIDs = append(ev.BootIDs, h.Life)
 		if h.Known && !h.Canceled {
 			held++
 		}
 	}
-	ev.Kind = claims.EvidenceNeverBegan
+	ev.Kind = claims.EvidenceNotStarted
 	if held > 0 {
 		// Stages may stand one token apart; the request's machine finds the
 		// next step.
--- a/scenario/claim.go
+++ b/scenario/claim.go
@@ -57,7 +57,7 @@
 func (n *node) putClaim(r *run, a request.PutClaim) {
 	slot := claims.Slot{Attempt: a.Attempt, Replica: a.Replica.ID}
 	for _, s := range a.Replica.Stages {
-		slot.Backends = append(slot.Backends, claims.Backend{ID: s.Backend, Boot: s.Life})
+		slot.Backends = append(slot.Backends, claims.Backend{ID: s.Backend, BootID: s.Life})
 	}
 	c := n.claim(keyOf(r))
 	switch {
@@ -65,7 +65,7 @@
 		n.beginClaim(r, slot)
 	case c.r == r:
 		c.settled = false
-		c.step(claims.Move{Slot: slot, Proof: a.Proof})
+		c.step(claims.Redispatch{Slot: slot, Proof: a.Proof})
 	case c.r == nil && c.m.Reusable():
 		c.r = r
 		c.settled = false
@@ -142,13 +142,13 @@
 	switch a := a.(type) {
 	case claims.CallStore:
 		w.call(a.Call, func(res store.Result) {
-			c.n.do(func() { c.step(claims.Answered{Result: res}) })
+			c.n.do(func() { c.step(claims.StoreResult{Result: res}) })
 		})
 	case claims.Dispatch:
 		c.answer(request.ClaimSettled{Result: request.ClaimWon})
 	case claims.Continue:
 		c.continued(a.Record)
-	case claims.Ask:
+	case claims.QueryAttempt:
 		w.after(hop, func() {
 			ev := w.evidence(a.Record)
 			w.after(hop, func() { c.n.do(func() { c.step(ev) }) })
@@ -174,12 +174,12 @@
 		if !ok {
 			return ev
 		}
-		ev.Boots = append(ev.Boots, h.Life)
+		ev.BootIDs = append(ev.BootIDs, h.Life)
 		if h.Known && !h.Canceled {
 			held++
 		}
 	}
-	ev.Kind = claims.EvidenceNeverBegan
+	ev.Kind = claims.EvidenceNotStarted
 	if held > 0 {
 		ev.Kind = claims.EvidenceHeld
 	}
@@ -204,7 +204,7 @@
 	}
 	replica.Stages = slices.Clone(replica.Stages)
 	for i, b := range rec.Slot.Backends {
-		replica.Stages[i].Life = b.Boot
+		replica.Stages[i].Life = b.BootID
 	}
 	c.r.execution = rec.Request
 	c.answer(request.ClaimSettled{
