--- a/coordination/catalog/catalog.go
+++ b/coordination/catalog/catalog.go
@@ -30,7 +30,7 @@
 
 // entry is one service's table.
 type entry struct {
-	table   controller.Table
+	table   controller.ReplicaTable
 	log     []Delta // changes that led here, each From the To before
 	parts   []Delta // of a Delta that has not come whole
 	wanted  Version
@@ -52,10 +52,10 @@
 }
 
 // Get returns the table in force of a service.
-func (c *Catalog) Get(service state.ServiceID) (controller.Table, bool) {
+func (c *Catalog) Get(service state.ServiceID) (controller.ReplicaTable, bool) {
 	e, ok := c.entries[service]
 	if !ok {
-		return controller.Table{}, false
+		return controller.ReplicaTable{}, false
 	}
 	return e.table, true
 }
@@ -105,14 +105,14 @@
 func (c *Catalog) entry(service state.ServiceID) *entry {
 	e, ok := c.entries[service]
 	if !ok {
-		e = &entry{table: controller.Table{Service: service}}
+		e = &entry{table: controller.ReplicaTable{Service: service}}
 		c.entries[service] = e
 	}
 	return e
 }
 
 // offered takes in a whole table if it is newer.
-func (c *Catalog) offered(t controller.Table) []Action {
+func (c *Catalog) offered(t controller.ReplicaTable) []Action {
 	e := c.entry(t.Service)
 	if !t.Newer(e.table) {
 		return nil
@@ -120,7 +120,7 @@
 	return c.install(e, t)
 }
 
-func (c *Catalog) install(e *entry, t controller.Table) []Action {
+func (c *Catalog) install(e *entry, t controller.ReplicaTable) []Action {
 	t.Replicas = slices.Clone(t.Replicas)
 	slices.SortFunc(t.Replicas, byID)
 	e.log = append(e.log, difference(e.table, t))
@@ -193,7 +193,7 @@
 	}
 	d, ok := since(e.log, msg.Have)
 	if !ok {
-		d = difference(controller.Table{Service: msg.Service}, e.table)
+		d = difference(controller.ReplicaTable{Service: msg.Service}, e.table)
 	}
 	var out []Action
 	sets := lo.Chunk(d.Set, c.cfg.PartSize)
--- a/coordination/catalog/catalog_test.go
+++ b/coordination/catalog/catalog_test.go
@@ -27,7 +27,7 @@
 	bytes    int
 	messages int
 	backward string
-	seen     []map[state.ServiceID]controller.Table
+	seen     []map[state.ServiceID]controller.ReplicaTable
 }
 
 type delivery struct {
@@ -42,7 +42,7 @@
 	f := &fleet{rng: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(0, 0)}
 	for i := range n {
 		f.nodes = append(f.nodes, catalog.New(catalog.DefaultConfig(), rand.New(rand.NewPCG(seed, uint64(i)))))
-		f.seen = append(f.seen, map[state.ServiceID]controller.Table{})
+		f.seen = append(f.seen, map[state.ServiceID]controller.ReplicaTable{})
 	}
 	for i := range n {
 		var peers []state.DaemonID
@@ -96,16 +96,16 @@
 	}
 }
 
-func table(service state.ServiceID, fencing state.FencingNumber, serial uint64, replicas ...controller.Replica) controller.Table {
-	return controller.Table{Service: service, Document: 1, Fencing: fencing, Serial: serial, Replicas: replicas}
+func table(service state.ServiceID, fencing state.FencingNumber, serial uint64, replicas ...controller.Replica) controller.ReplicaTable {
+	return controller.ReplicaTable{Service: service, Document: 1, Fencing: fencing, Serial: serial, Replicas: replicas}
 }
 
 func replica(i int, leaving bool) controller.Replica {
 	c := controller.Chain{ID: state.ReplicaID(fmt.Sprintf("drafts-%04d", i))}
 	for j := range 4 {
 		c.Stages = append(c.Stages, controller.Stage{
-			Backend: state.BackendID(fmt.Sprintf("engine-%05d", 4*i+j)),
-			Holding: controller.Holding{Model: "kerala-notes", Version: "2026-11-30", Layers: state.LayerRange{First: 20 * j, End: 20*j + 20}},
+			Backend:    state.BackendID(fmt.Sprintf("engine-%05d", 4*i+j)),
+			Assignment: controller.Assignment{Model: "kerala-notes", Version: "2026-11-30", Layers: state.LayerRange{First: 20 * j, End: 20*j + 20}},
 		})
 	}
 	return controller.Replica{Chain: c, Leaving: leaving}
--- a/coordination/catalog/delta.go
+++ b/coordination/catalog/delta.go
@@ -11,7 +11,7 @@
 
 // difference is the change from a to b. A replica's chain never changes under its
 // ID, so only its coming, leaving and going tell.
-func difference(a, b controller.Table) Delta {
+func difference(a, b controller.ReplicaTable) Delta {
 	d := Delta{Service: b.Service, From: versionOf(a), To: versionOf(b), Document: b.Document, Parts: 1}
 	old := make(map[state.ReplicaID]bool, len(a.Replicas))
 	for _, r := range a.Replicas {
@@ -61,9 +61,9 @@
 
 // apply changes t by the parts of one Delta. A change from the empty table
 // replaces t.
-func apply(t controller.Table, parts []Delta) controller.Table {
+func apply(t controller.ReplicaTable, parts []Delta) controller.ReplicaTable {
 	d := parts[0]
-	next := controller.Table{Service: d.Service, Document: d.Document, Fencing: d.To.Fencing, Serial: d.To.Serial}
+	next := controller.ReplicaTable{Service: d.Service, Document: d.Document, Fencing: d.To.Fencing, Serial: d.To.Serial}
 	replaced := make(map[state.ReplicaID]bool)
 	for _, p := range parts {
 		next.Replicas = append(next.Replicas, p.Set...)
--- a/coordination/catalog/messages.go
+++ b/coordination/catalog/messages.go
@@ -15,7 +15,7 @@
 	Serial  uint64              `msgpack:"s"`
 }
 
-func versionOf(t controller.Table) Version {
+func versionOf(t controller.ReplicaTable) Version {
 	return Version{Fencing: t.Fencing, Serial: t.Serial}
 }
 
@@ -75,7 +75,7 @@
 type Members struct{ Live []state.DaemonID }
 
 // Offered is a whole table from this daemon's own controller or from the store.
-type OfferTable struct{ Table controller.Table }
+type OfferTable struct{ Table controller.ReplicaTable }
 
 // Received is a message of another daemon.
 type Received struct {
@@ -98,7 +98,7 @@
 }
 
 // Changed says that a table is in force here from now on.
-type TableChanged struct{ Table controller.Table }
+type TableChanged struct{ Table controller.ReplicaTable }
 
 func (Send) action()         {}
 func (TableChanged) action() {}
--- a/coordination/controller/controller_test.go
+++ b/coordination/controller/controller_test.go
@@ -55,7 +55,7 @@
 		if (spare && least < n) || least < n-1 {
 			t.Fatalf("%d replicas served while %d were asked for", least, n)
 		}
-		if w.loading > w.cfg.LoadsAlways {
+		if w.loading > w.cfg.GuaranteedLoads {
 			t.Fatalf("%d loads at one time", w.loading)
 		}
 	})
@@ -84,7 +84,7 @@
 	wrong := time.Duration(0)
 	for until := w.now.Add(run); w.now.Before(until); {
 		w.run(tickOf)
-		if w.servers[old.heldUp].state.Holding.Version == "v2" {
+		if w.servers[old.heldUp].state.Loaded.Version == "v2" {
 			wrong += tickOf
 		}
 	}
@@ -100,8 +100,8 @@
 		w, old, wrong := overtake(3, always, "v1", 40*time.Second, 60*time.Second)
 		Expect(old.heldUp).NotTo(BeEmpty())
 		Expect(wrong).To(BeZero())
-		Expect(w.servers["b00"].state.Holding.Version).To(Equal("v1"))
-		Expect(w.servers["b01"].state.Holding.Version).To(Equal("v1"))
+		Expect(w.servers["b00"].state.Loaded.Version).To(Equal("v1"))
+		Expect(w.servers["b01"].state.Loaded.Version).To(Equal("v1"))
 		Expect(w.servers["b00"].state.Fencing).To(BeEquivalentTo(2))
 	})
 
@@ -110,7 +110,7 @@
 	// orders come last.
 	It("of a former holder are waited out", Label("failure:fencing-ignored"), func() {
 		for seed := range uint64(20) {
-			w, _, _ := overtake(seed, never, "v3", w0().LongestOrder-time.Second, 60*time.Second)
+			w, _, _ := overtake(seed, never, "v3", w0().MaxOrderDelay-time.Second, 60*time.Second)
 			next := w.holders[1]
 			for id, f := range w.servers {
 				Expect(slices.IsSorted(f.numbers)).To(BeTrue(), "%s took %v", id, f.numbers)
@@ -120,7 +120,7 @@
 			for _, o := range next.orders {
 				Expect(o.NotAfter).NotTo(BeZero())
 			}
-			Expect(w.servers["b00"].state.Holding.Version).To(Equal("v3"))
+			Expect(w.servers["b00"].state.Loaded.Version).To(Equal("v3"))
 			Expect(w.serving("v3")).To(Equal(1))
 		}
 	})
@@ -132,14 +132,14 @@
 		var stood []time.Duration
 		for seed := range uint64(40) {
 			w, _, wrong := overtake(seed, never, "v1", 60*time.Second+time.Duration(seed)*370*time.Millisecond, 150*time.Second)
-			Expect(w.servers["b00"].state.Holding.Version).To(Equal("v1"))
+			Expect(w.servers["b00"].state.Loaded.Version).To(Equal("v1"))
 			Expect(w.serving("v1")).To(Equal(1))
 			stood = append(stood, wrong)
 		}
 		slices.Sort(stood)
 		AddReportEntry("a stale order stood: median, longest", fmt.Sprint(stood[len(stood)/2], stood[len(stood)-1]))
 		Expect(stood[0]).To(BeNumerically(">", 0), "the order must have taken effect")
-		Expect(stood[len(stood)-1]).To(BeNumerically("<=", w0().Reconcile+w0().ReadFresh))
+		Expect(stood[len(stood)-1]).To(BeNumerically("<=", w0().ReconcileInterval+w0().MaxStateAge))
 	})
 
 	// The store is down and the lease has lapsed. A stage dies and its layers are
@@ -152,12 +152,12 @@
 		h.lease(lease.Lapsed, 1, true, -time.Second)
 		h.step(controller.Desired{Document: 2, Chains: chains("v1", 0, 2)})
 		w.run(30 * time.Second)
-		Expect(w.servers["b01"].state.Holding.Version).To(Equal("v1"))
-		Expect(w.servers["b02"].state.Holding.Version).To(BeEmpty())
+		Expect(w.servers["b01"].state.Loaded.Version).To(Equal("v1"))
+		Expect(w.servers["b02"].state.Loaded.Version).To(BeEmpty())
 		Expect(w.serving("v1")).To(Equal(1))
 		h.lease(lease.Held, 1, true, time.Hour)
 		w.run(30 * time.Second)
-		Expect(w.servers["b02"].state.Holding.Version).To(Equal("v1"))
+		Expect(w.servers["b02"].state.Loaded.Version).To(Equal("v1"))
 		Expect(w.serving("v1")).To(Equal(2))
 	})
 
@@ -188,7 +188,7 @@
 		w.run(10 * time.Second)
 		before = h.calls["b00"]
 		h.step(controller.Desired{Document: 3})
-		for w.servers["b00"].state.Holding.Version != "" {
+		for w.servers["b00"].state.Loaded.Version != "" {
 			w.run(tickOf)
 		}
 		w.run(time.Second)
@@ -219,7 +219,7 @@
 
 	It("set a role without a load and leave other services' servers alone", func() {
 		w := newWorld(1, always, 4)
-		w.servers["b02"].state = controller.ServerState{Service: "other", Holding: controller.Holding{Model: "x"}}
+		w.servers["b02"].state = controller.ServerState{Service: "other", Loaded: controller.Assignment{Model: "x"}}
 		h := w.hold(1, true, controller.Desired{Document: 1, Chains: chains("v1", 0, 2)})
 		w.run(20 * time.Second)
 		Expect(w.serving("v1")).To(Equal(1))
@@ -227,12 +227,12 @@
 		changed := chains("v1", 0, 1)
 		changed[0].ID = "v1-decode"
 		for i := range changed[0].Stages {
-			changed[0].Stages[i].Holding.Role = "decode"
+			changed[0].Stages[i].Assignment.Role = "decode"
 		}
 		before := len(h.orders)
 		h.step(controller.Desired{Document: 2, Chains: changed})
 		w.run(30 * time.Second)
-		Expect(w.servers["b00"].state.Holding.Role).To(Equal("decode"))
+		Expect(w.servers["b00"].state.Loaded.Role).To(Equal("decode"))
 		for _, o := range h.orders[before:] {
 			Expect(o.Kind).NotTo(Equal(controller.OrderLoad))
 		}
@@ -262,10 +262,10 @@
 					actions = actions[1:]
 					switch a := a.(type) {
 					case controller.ReadState:
-						actions = append(actions, m.Step(now, controller.StateRead{Call: a.Call, State: servers[a.Backend]})...)
+						actions = append(actions, m.Step(now, controller.ReadResult{Call: a.Call, State: servers[a.Backend]})...)
 					case controller.Order:
-						servers[a.Backend] = controller.ServerState{Service: drafts, Holding: a.Holding}
-						actions = append(actions, m.Step(now, controller.Answered{Call: a.Call, Status: controller.Applied, State: servers[a.Backend]})...)
+						servers[a.Backend] = controller.ServerState{Service: drafts, Loaded: a.Assignment}
+						actions = append(actions, m.Step(now, controller.OrderResult{Call: a.Call, Status: controller.StatusApplied, State: servers[a.Backend]})...)
 					}
 				}
 			}
@@ -291,7 +291,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				w := newWorld(1, always, n)
-				w.cfg.LoadsAlways = n
+				w.cfg.GuaranteedLoads = n
 				d := controller.Desired{Document: 1, Chains: chains("v1", 0, n/2)}
 				old := w.hold(1, true, d)
 				w.run(2 * time.Minute)
@@ -299,7 +299,7 @@
 					b.Fatal("not ready")
 				}
 				old.lease(lease.None, 0, false, 0)
-				w.reads, w.cfg.LoadsAlways = 0, 4
+				w.reads, w.cfg.GuaranteedLoads = 0, 4
 				next := w.hold(2, false, d)
 				begin, fenced := w.now, time.Duration(0)
 				for fenced == 0 && w.now.Sub(begin) < 10*time.Minute {
--- a/coordination/controller/events.go
+++ b/coordination/controller/events.go
@@ -20,7 +20,7 @@
 type Lease struct{ Status lease.Status }
 
 // Adopt brings the replicas last published, by whoever held the lease.
-type Adopt struct{ Table Table }
+type Adopt struct{ Table ReplicaTable }
 
 // Desired is the placement in force for a document version. A chain that was
 // changed has another ID.
@@ -33,20 +33,20 @@
 type Backends struct{ List []Backend }
 
 // Answered is a server's answer to an Order, with its state after it.
-type Answered struct {
+type OrderResult struct {
 	Call   CallNumber
 	Status OrderStatus
 	State  ServerState
 }
 
 // StateRead is a server's answer to a ReadState.
-type StateRead struct {
+type ReadResult struct {
 	Call  CallNumber
 	State ServerState
 }
 
 // Unanswered says that a call's fate is unknown.
-type Unanswered struct{ Call CallNumber }
+type ResultUnknown struct{ Call CallNumber }
 
 // Observed is a server's state seen by another daemon.
 type Observed struct {
@@ -55,13 +55,13 @@
 }
 
 // InFlight is a replica's home's count of requests that run there.
-type InFlight struct {
+type ReplicaRequests struct {
 	Replica state.ReplicaID
 	Count   int
 }
 
 // Running is a server's own count of its requests, queued ones included.
-type Running struct {
+type BackendRequests struct {
 	Backend state.BackendID
 	Count   int
 }
@@ -72,7 +72,7 @@
 
 // Weights says how many loads at one time this service may run beyond
 // Config.LoadsAlways, until a moment.
-type Weights struct {
+type LoadGrant struct {
 	Slots int
 	Until time.Time
 }
@@ -81,31 +81,31 @@
 // released as clean.
 type Stop struct{}
 
-func (Tick) event()       {}
-func (Lease) event()      {}
-func (Adopt) event()      {}
-func (Desired) event()    {}
-func (Backends) event()   {}
-func (Answered) event()   {}
-func (StateRead) event()  {}
-func (Unanswered) event() {}
-func (Observed) event()   {}
-func (InFlight) event()   {}
-func (Running) event()    {}
-func (Published) event()  {}
-func (Weights) event()    {}
-func (Stop) event()       {}
+func (Tick) event()            {}
+func (Lease) event()           {}
+func (Adopt) event()           {}
+func (Desired) event()         {}
+func (Backends) event()        {}
+func (OrderResult) event()     {}
+func (ReadResult) event()      {}
+func (ResultUnknown) event()   {}
+func (Observed) event()        {}
+func (ReplicaRequests) event() {}
+func (BackendRequests) event() {}
+func (Published) event()       {}
+func (LoadGrant) event()       {}
+func (Stop) event()            {}
 
 // Action is what the daemon is to do.
 type Action interface{ action() }
 
 // Order asks a server for a change.
 type Order struct {
-	Call    CallNumber
-	Backend state.BackendID
-	Kind    OrderKind
-	Fencing state.FencingNumber
-	Holding Holding
+	Call       CallNumber
+	Backend    state.BackendID
+	Kind       OrderKind
+	Fencing    state.FencingNumber
+	Assignment Assignment
 
 	// NotAfter is when the order may no longer leave; zero where the server
 	// checks Fencing.
@@ -119,29 +119,29 @@
 }
 
 // Publish stores the table and tells the peers, unless a newer one is there.
-type Publish struct{ Table Table }
+type Publish struct{ Table ReplicaTable }
 
 // AskRunning asks the homes of replicas and the servers themselves for their
 // counts of requests.
-type AskRunning struct {
+type QueryRequestCounts struct {
 	Replicas []state.ReplicaID
 	Backends []state.BackendID
 }
 
 // WantWeights says how many loads wait or run beyond Config.LoadsAlways.
-type WantWeights struct{ Slots int }
+type RequestLoadSlots struct{ Slots int }
 
 // NumberRefused says that a server has seen a higher fencing number; it goes to
 // the lease machine as lease.Refused.
-type NumberRefused struct {
+type FencingRefused struct {
 	Backend state.BackendID
 	Fencing state.FencingNumber
 	Seen    state.FencingNumber
 }
 
-func (Order) action()         {}
-func (ReadState) action()     {}
-func (Publish) action()       {}
-func (AskRunning) action()    {}
-func (WantWeights) action()   {}
-func (NumberRefused) action() {}
+func (Order) action()              {}
+func (ReadState) action()          {}
+func (Publish) action()            {}
+func (QueryRequestCounts) action() {}
+func (RequestLoadSlots) action()   {}
+func (FencingRefused) action()     {}
--- a/coordination/controller/machine.go
+++ b/coordination/controller/machine.go
@@ -33,7 +33,7 @@
 	told    []Replica // as last published
 	toldYet bool
 
-	weights     Weights
+	weights     LoadGrant
 	wanted      int
 	readTokens  float64
 	readTokenAt time.Time
@@ -55,7 +55,7 @@
 	if m.rights.standing == lease.None {
 		return time.Time{}
 	}
-	return m.stepped.Add(m.cfg.StepEvery)
+	return m.stepped.Add(m.cfg.TickInterval)
 }
 
 // Clean reports whether no order of this or an earlier holder can be under way.
@@ -92,25 +92,25 @@
 		m.desired(ev)
 	case Backends:
 		m.backends(ev.List)
-	case Answered:
+	case OrderResult:
 		out = m.answered(now, ev)
-	case StateRead:
+	case ReadResult:
 		if sv, ok := m.take(ev.Call); ok {
 			m.dirty = sv.learn(now, ev.State)
 		}
-	case Unanswered:
+	case ResultUnknown:
 		m.unanswered(now, ev.Call)
 	case Observed:
 		m.observed(now, ev)
-	case InFlight:
+	case ReplicaRequests:
 		m.inFlight(now, ev)
-	case Running:
+	case BackendRequests:
 		if sv, ok := m.servers[ev.Backend]; ok {
 			sv.idleAt = idleSince(now, ev.Count)
 		}
 	case Published:
 		m.published(now, ev)
-	case Weights:
+	case LoadGrant:
 		m.weights = ev
 	case Stop:
 		m.stopping = true
@@ -147,7 +147,7 @@
 		m.rights.began = now
 		m.rights.waitOut = now
 		if !s.Clean {
-			m.rights.waitOut = now.Add(m.cfg.LongestOrder)
+			m.rights.waitOut = now.Add(m.cfg.MaxOrderDelay)
 		}
 		m.rights.reign = s.Reign
 		m.rights.base = s.Fencing
@@ -158,7 +158,7 @@
 }
 
 // adopt takes over the replicas that callers' requests may be running on.
-func (m *Machine) adopt(t Table) {
+func (m *Machine) adopt(t ReplicaTable) {
 	m.adopted = true
 	m.serial = max(m.serial, t.Serial)
 	for _, r := range t.Replicas {
@@ -228,7 +228,7 @@
 // answered takes in a server's answer. A server that ignores numbers is read
 // again: its answer shows the order's effect, but not that an older order did
 // not come after it.
-func (m *Machine) answered(now time.Time, ev Answered) []Action {
+func (m *Machine) answered(now time.Time, ev OrderResult) []Action {
 	sv, ok := m.take(ev.Call)
 	if !ok {
 		return nil
@@ -238,13 +238,13 @@
 		sv.readAt = time.Time{}
 	}
 	switch ev.Status {
-	case Applied:
+	case StatusApplied:
 		return nil
-	case Stale:
-		sv.notUntil = now.Add(m.cfg.Retry)
-		return []Action{NumberRefused{Backend: sv.id, Fencing: m.rights.fencing, Seen: ev.State.Fencing}}
+	case StatusStale:
+		sv.notUntil = now.Add(m.cfg.RetryDelay)
+		return []Action{FencingRefused{Backend: sv.id, Fencing: m.rights.fencing, Seen: ev.State.Fencing}}
 	default:
-		sv.notUntil = now.Add(m.cfg.Retry)
+		sv.notUntil = now.Add(m.cfg.RetryDelay)
 		return nil
 	}
 }
@@ -257,9 +257,9 @@
 		return
 	}
 	if sv.ordering && !sv.checks {
-		sv.notUntil = sv.callAt.Add(m.cfg.LongestOrder)
+		sv.notUntil = sv.callAt.Add(m.cfg.MaxOrderDelay)
 	} else {
-		sv.notUntil = now.Add(m.cfg.Retry)
+		sv.notUntil = now.Add(m.cfg.RetryDelay)
 	}
 	sv.doubt = sv.doubt || (sv.ordering && sv.loads)
 	sv.readAt = time.Time{}
@@ -272,12 +272,12 @@
 	if !ok || sv.call != 0 || sv.readAt.IsZero() {
 		return
 	}
-	if !sv.state.Holding.equal(ev.State.Holding) || sv.state.Loading != ev.State.Loading {
-		sv.readAt = now.Add(-m.cfg.Reconcile)
+	if !sv.state.Loaded.equal(ev.State.Loaded) || sv.state.Loading != ev.State.Loading {
+		sv.readAt = now.Add(-m.cfg.ReconcileInterval)
 	}
 }
 
-func (m *Machine) inFlight(now time.Time, ev InFlight) {
+func (m *Machine) inFlight(now time.Time, ev ReplicaRequests) {
 	if c := m.chain(ev.Replica); c != nil {
 		c.idleAt = idleSince(now, ev.Count)
 	}
@@ -329,7 +329,7 @@
 // learn takes in a state and reports whether it says something new.
 func (sv *server) learn(now time.Time, s ServerState) bool {
 	news := sv.readAt.IsZero() || sv.state.Service != s.Service ||
-		sv.state.Loading != s.Loading || !sv.state.Holding.equal(s.Holding)
+		sv.state.Loading != s.Loading || !sv.state.Loaded.equal(s.Loaded)
 	sv.state = s
 	sv.readAt = now
 	sv.doubt = false
--- a/coordination/controller/messages.go
+++ b/coordination/controller/messages.go
@@ -3,12 +3,12 @@
 import "github.com/hibiscuswick/hibiscuswick/state"
 
 // CountAsk asks a daemon how many requests run on replicas that it is home of.
-type CountAsk struct {
+type RequestCountQuery struct {
 	Replicas []state.ReplicaID `msgpack:"replicas"`
 }
 
 // CountTold answers a CountAsk with the replicas that the daemon knows.
-type CountTold struct {
+type RequestCountReply struct {
 	Counts []ReplicaCount `msgpack:"counts"`
 }
 
--- a/coordination/controller/orders.go
+++ b/coordination/controller/orders.go
@@ -15,7 +15,7 @@
 			loads++
 		}
 	}
-	slots := m.cfg.LoadsAlways
+	slots := m.cfg.GuaranteedLoads
 	if now.Before(m.weights.Until) {
 		slots += m.weights.Slots
 	}
@@ -39,20 +39,20 @@
 				loads++
 			}
 		case m.unfenced(sv) && m.may(sv, now) && m.token(now):
-			out = m.send(out, sv, OrderSetRole, sv.state.Holding, now)
+			out = m.send(out, sv, OrderSetRole, sv.state.Loaded, now)
 		case m.dueRead(sv, now) && m.token(now):
 			out = m.read(out, sv, now)
 			m.next = (first + i + 1) % len(m.order)
 		}
 	}
-	return m.want(out, loads+waiting-m.cfg.LoadsAlways)
+	return m.want(out, loads+waiting-m.cfg.GuaranteedLoads)
 }
 
 // change says what brings a server to its target. A server that holds another
 // service's layers is left alone until that service's controller has unloaded
 // it.
 func (m *Machine) change(sv *server) (OrderKind, bool) {
-	held, target := sv.state.Holding, sv.target
+	held, target := sv.state.Loaded, sv.target
 	if sv.readAt.IsZero() || held.equal(target) {
 		return "", false
 	}
@@ -91,10 +91,10 @@
 	if now.Before(sv.notUntil) && sv.readAt.IsZero() {
 		return false
 	}
-	if sv.state.Loading && now.Sub(sv.readAt) >= m.cfg.LoadPoll {
+	if sv.state.Loading && now.Sub(sv.readAt) >= m.cfg.LoadPollInterval {
 		return true
 	}
-	stale := now.Sub(sv.readAt) > m.cfg.ReadFresh
+	stale := now.Sub(sv.readAt) > m.cfg.MaxStateAge
 	return change && !sv.checks && stale && m.may(sv, now)
 }
 
@@ -102,7 +102,7 @@
 // reign's. A delayed order of a former holder would be taken by a server that the
 // new holder had no reason to order; so the role that it has is ordered once.
 func (m *Machine) unfenced(sv *server) bool {
-	return sv.checks && !sv.readAt.IsZero() && !sv.state.Holding.Empty() &&
+	return sv.checks && !sv.readAt.IsZero() && !sv.state.Loaded.Empty() &&
 		sv.state.Service == m.cfg.Service && sv.state.Fencing < m.rights.base
 }
 
@@ -111,14 +111,14 @@
 	if sv.readAt.IsZero() {
 		return !now.Before(sv.notUntil)
 	}
-	return now.Sub(sv.readAt) >= m.cfg.Reconcile
+	return now.Sub(sv.readAt) >= m.cfg.ReconcileInterval
 }
 
 // token spends one of the calls that the rates allow.
 func (m *Machine) token(now time.Time) bool {
 	rate := float64(m.cfg.ReadsPerSecond)
-	if now.Sub(m.rights.began) < m.cfg.Takeover {
-		rate = float64(m.cfg.TakeoverPerSecond)
+	if now.Sub(m.rights.began) < m.cfg.TakeoverPeriod {
+		rate = float64(m.cfg.TakeoverReadsPerSecond)
 	}
 	m.readTokens = min(rate, m.readTokens+now.Sub(m.readTokenAt).Seconds()*rate)
 	m.readTokenAt = now
@@ -134,12 +134,12 @@
 	return append(out, ReadState{Call: m.call(sv, now), Backend: sv.id})
 }
 
-func (m *Machine) send(out []Action, sv *server, kind OrderKind, h Holding, now time.Time) []Action {
+func (m *Machine) send(out []Action, sv *server, kind OrderKind, h Assignment, now time.Time) []Action {
 	sv.ordering = true
 	sv.loads = kind == OrderLoad
 	o := Order{
 		Call: m.call(sv, now), Backend: sv.id, Kind: kind,
-		Fencing: m.rights.fencing, Holding: h,
+		Fencing: m.rights.fencing, Assignment: h,
 	}
 	if !sv.checks {
 		o.NotAfter = m.rights.until
@@ -161,14 +161,14 @@
 		return out
 	}
 	m.wanted = slots
-	return append(out, WantWeights{Slots: slots})
+	return append(out, RequestLoadSlots{Slots: slots})
 }
 
 // Target is what a server is to hold, for status pages.
-func (m *Machine) Target(id state.BackendID) (Holding, bool) {
+func (m *Machine) Target(id state.BackendID) (Assignment, bool) {
 	sv, ok := m.servers[id]
 	if !ok {
-		return Holding{}, false
+		return Assignment{}, false
 	}
 	return sv.target, true
 }
--- a/coordination/controller/rollout.go
+++ b/coordination/controller/rollout.go
@@ -41,7 +41,7 @@
 func (m *Machine) whole(c *chain) bool {
 	for _, st := range c.Stages {
 		sv, ok := m.servers[st.Backend]
-		if !ok || sv.readAt.IsZero() || sv.state.Loading || sv.state.Service != m.cfg.Service || !sv.state.Holding.equal(st.Holding) {
+		if !ok || sv.readAt.IsZero() || sv.state.Loading || sv.state.Service != m.cfg.Service || !sv.state.Loaded.equal(st.Assignment) {
 			return false
 		}
 	}
@@ -56,7 +56,7 @@
 		if !ok {
 			return true
 		}
-		if !sv.readAt.IsZero() && !sv.state.Holding.equal(st.Holding) {
+		if !sv.readAt.IsZero() && !sv.state.Loaded.equal(st.Assignment) {
 			return true
 		}
 	}
@@ -110,7 +110,7 @@
 				continue
 			}
 			for _, ost := range o.Stages {
-				if ost.Backend == st.Backend && !ost.Holding.equal(st.Holding) {
+				if ost.Backend == st.Backend && !ost.Assignment.equal(st.Assignment) {
 					return o
 				}
 			}
@@ -127,7 +127,7 @@
 	if c.toldLeaving.IsZero() {
 		return false
 	}
-	since := c.toldLeaving.Add(m.cfg.Spread + m.cfg.ReportLag)
+	since := c.toldLeaving.Add(m.cfg.PropagationDelay + m.cfg.ReportLag)
 	if !c.idleAt.After(since) {
 		return false
 	}
@@ -150,7 +150,7 @@
 			continue
 		}
 		for _, ost := range o.Stages {
-			if ost.Backend == st.Backend && ost.Holding.equal(st.Holding) {
+			if ost.Backend == st.Backend && ost.Assignment.equal(st.Assignment) {
 				return true
 			}
 		}
@@ -162,12 +162,12 @@
 // on it needs, else what a wanted chain needs, else nothing.
 func (m *Machine) retarget() {
 	for _, sv := range m.order {
-		sv.target = Holding{}
+		sv.target = Assignment{}
 	}
 	set := func(c *chain) {
 		for _, st := range c.Stages {
 			if sv, ok := m.servers[st.Backend]; ok {
-				sv.target = st.Holding
+				sv.target = st.Assignment
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 	m.told = now
 	m.toldYet = true
 	m.serial++
-	return append(out, Publish{Table: Table{
+	return append(out, Publish{Table: ReplicaTable{
 		Service: m.cfg.Service, Document: m.document, Fencing: m.rights.fencing,
 		Serial: m.serial, Replicas: now,
 	}})
@@ -210,7 +210,7 @@
 	if now.Before(m.askAt) {
 		return out
 	}
-	var a AskRunning
+	var a QueryRequestCounts
 	for _, c := range m.chains {
 		if c.phase != leaving {
 			continue
@@ -221,6 +221,6 @@
 	if len(a.Replicas) == 0 {
 		return out
 	}
-	m.askAt = now.Add(m.cfg.AskEvery)
+	m.askAt = now.Add(m.cfg.CountQueryInterval)
 	return append(out, a)
 }
--- a/coordination/controller/types.go
+++ b/coordination/controller/types.go
@@ -13,62 +13,62 @@
 	Service state.ServiceID
 
 	// Reconcile is the longest time between two reads of a server's state.
-	Reconcile time.Duration
+	ReconcileInterval time.Duration
 	// ReadsPerSecond bounds the reads that Reconcile makes.
 	ReadsPerSecond int
 	// TakeoverPerSecond takes its place for the first Takeover of a reign, when
 	// every server must be read, and be told the number if it checks that.
-	TakeoverPerSecond int
-	Takeover          time.Duration
+	TakeoverReadsPerSecond int
+	TakeoverPeriod         time.Duration
 	// LongestOrder is how long after its sending an order may take effect,
 	// network and server working as they should.
-	LongestOrder time.Duration
+	MaxOrderDelay time.Duration
 	// ReadFresh is how old a state may be when an order is based on it.
-	ReadFresh time.Duration
+	MaxStateAge time.Duration
 	// CallTimeout is when a call without an answer counts as unanswered.
 	CallTimeout time.Duration
 	// LoadPoll is the time between reads of a server that is loading.
-	LoadPoll time.Duration
+	LoadPollInterval time.Duration
 	// Retry is the pause after an order that failed.
-	Retry time.Duration
+	RetryDelay time.Duration
 	// Spread is the longest time from Published until no daemon sends new work
 	// to a leaving replica.
-	Spread time.Duration
+	PropagationDelay time.Duration
 	// ReportLag is how far a report of running requests is behind.
 	ReportLag time.Duration
 	// StepEvery is the time between Ticks while the machine may act.
-	StepEvery time.Duration
+	TickInterval time.Duration
 	// AskEvery is the time between questions for counts of running requests while
 	// a chain drains.
-	AskEvery time.Duration
+	CountQueryInterval time.Duration
 	// LoadsAlways is how many loads at one time need no weight grant.
-	LoadsAlways int
+	GuaranteedLoads int
 }
 
 // DefaultConfig returns the settings that docs/design/leases-and-orders.md works
 // out.
 func DefaultConfig(service state.ServiceID) Config {
 	return Config{
-		Service:           service,
-		Reconcile:         10 * time.Second,
-		ReadsPerSecond:    20,
-		TakeoverPerSecond: 100,
-		Takeover:          30 * time.Second,
-		LongestOrder:      10 * time.Second,
-		ReadFresh:         time.Second,
-		CallTimeout:       5 * time.Second,
-		LoadPoll:          time.Second,
-		Retry:             2 * time.Second,
-		Spread:            3 * time.Second,
-		ReportLag:         2 * time.Second,
-		StepEvery:         250 * time.Millisecond,
-		AskEvery:          time.Second,
-		LoadsAlways:       1,
+		Service:                service,
+		ReconcileInterval:      10 * time.Second,
+		ReadsPerSecond:         20,
+		TakeoverReadsPerSecond: 100,
+		TakeoverPeriod:         30 * time.Second,
+		MaxOrderDelay:          10 * time.Second,
+		MaxStateAge:            time.Second,
+		CallTimeout:            5 * time.Second,
+		LoadPollInterval:       time.Second,
+		RetryDelay:             2 * time.Second,
+		PropagationDelay:       3 * time.Second,
+		ReportLag:              2 * time.Second,
+		TickInterval:           250 * time.Millisecond,
+		CountQueryInterval:     time.Second,
+		GuaranteedLoads:        1,
 	}
 }
 
 // Holding is what a server is to hold, or holds.
-type Holding struct {
+type Assignment struct {
 	Model    string           `msgpack:"model" json:"model"`
 	Version  string           `msgpack:"version" json:"version"`
 	Adapters []string         `msgpack:"adapters" json:"adapters"`
@@ -77,24 +77,24 @@
 }
 
 // Empty reports whether nothing is held.
-func (h Holding) Empty() bool {
+func (h Assignment) Empty() bool {
 	return h.Model == ""
 }
 
 // sameWeights leaves the role out, which changes without a load.
-func (h Holding) sameWeights(o Holding) bool {
+func (h Assignment) sameWeights(o Assignment) bool {
 	return h.Model == o.Model && h.Version == o.Version && h.Layers == o.Layers &&
 		slices.Equal(h.Adapters, o.Adapters)
 }
 
-func (h Holding) equal(o Holding) bool {
+func (h Assignment) equal(o Assignment) bool {
 	return h.Role == o.Role && h.sameWeights(o)
 }
 
 // ServerState is what a server says that it holds.
 type ServerState struct {
 	Service state.ServiceID
-	Holding Holding
+	Loaded  Assignment
 	Fencing state.FencingNumber // the highest seen; 0 where numbers are ignored
 	Loading bool
 }
@@ -107,8 +107,8 @@
 
 // Stage is one server's part of a chain.
 type Stage struct {
-	Backend state.BackendID `msgpack:"backend" json:"backend"`
-	Holding Holding         `msgpack:"holding" json:"holding"`
+	Backend    state.BackendID `msgpack:"backend" json:"backend"`
+	Assignment Assignment      `msgpack:"holding" json:"holding"`
 }
 
 // Backend is one live backend server that the service may use.
@@ -132,9 +132,9 @@
 
 // The values of OrderStatus.
 const (
-	Applied OrderStatus = "applied"
-	Stale   OrderStatus = "stale" // a higher fencing number was seen
-	Refused OrderStatus = "refused"
+	StatusApplied OrderStatus = "applied"
+	StatusStale   OrderStatus = "stale" // a higher fencing number was seen
+	StatusRefused OrderStatus = "refused"
 )
 
 // Replica is one published chain.
@@ -145,7 +145,7 @@
 
 // Table is what all daemons need to know of a service's replicas. Of two tables
 // the one with the higher (Fencing, Serial) holds.
-type Table struct {
+type ReplicaTable struct {
 	Service  state.ServiceID       `msgpack:"service" json:"service"`
 	Document state.DocumentVersion `msgpack:"document" json:"document"`
 	Fencing  state.FencingNumber   `msgpack:"fencing" json:"fencing"`
@@ -154,7 +154,7 @@
 }
 
 // Newer reports whether t takes the place of o.
-func (t Table) Newer(o Table) bool {
+func (t ReplicaTable) Newer(o ReplicaTable) bool {
 	if t.Fencing != o.Fencing {
 		return t.Fencing > o.Fencing
 	}
@@ -182,7 +182,7 @@
 type server struct {
 	id     state.BackendID
 	checks bool
-	target Holding
+	target Assignment
 
 	state    ServerState
 	readAt   time.Time // when state was taken in; zero: not in this reign
--- a/coordination/controller/world_test.go
+++ b/coordination/controller/world_test.go
@@ -24,8 +24,8 @@
 	cfg     controller.Config
 	servers map[state.BackendID]*fake
 	holders []*holder
-	table   controller.Table // as last published
-	viewed  controller.Table // as the traffic sees it, up to Spread later
+	table   controller.ReplicaTable // as last published
+	viewed  controller.ReplicaTable // as the traffic sees it, up to Spread later
 
 	lost     float64 // of calls, either way
 	maxDelay time.Duration
@@ -68,7 +68,7 @@
 		rng: rand.New(rand.NewPCG(seed, 9)), now: time.Unix(0, 0), cfg: controller.DefaultConfig(drafts),
 		servers: map[state.BackendID]*fake{}, flights: map[state.ReplicaID]int{}, maxDelay: 20 * time.Millisecond,
 	}
-	w.cfg.LoadsAlways = 4
+	w.cfg.GuaranteedLoads = 4
 	for i := range servers {
 		id := state.BackendID(fmt.Sprintf("b%02d", i))
 		w.servers[id] = &fake{id: id, checks: checks(i)}
@@ -194,28 +194,28 @@
 		w.reads++
 		h.calls[a.Backend] += "r"
 		h.call(a.Call, w.delay(), func() controller.Event {
-			return controller.StateRead{Call: a.Call, State: w.servers[a.Backend].state}
+			return controller.ReadResult{Call: a.Call, State: w.servers[a.Backend].state}
 		})
 	case controller.Publish:
 		w.table = a.Table
 		w.after(w.delay(), func() { h.step(controller.Published{Serial: a.Table.Serial}) })
-		w.after(time.Duration(w.rng.Int64N(int64(w.cfg.Spread))), func() {
+		w.after(time.Duration(w.rng.Int64N(int64(w.cfg.PropagationDelay))), func() {
 			if a.Table.Newer(w.viewed) {
 				w.viewed = a.Table
 			}
 		})
-	case controller.AskRunning:
+	case controller.QueryRequestCounts:
 		for _, id := range a.Replicas {
 			n := w.flights[id]
-			w.after(w.delay(), func() { h.step(controller.InFlight{Replica: id, Count: n}) })
+			w.after(w.delay(), func() { h.step(controller.ReplicaRequests{Replica: id, Count: n}) })
 		}
 		for _, id := range a.Backends {
 			n := w.servers[id].inFlight
 			w.after(time.Duration(w.rng.Int64N(int64(w.cfg.ReportLag))), func() {
-				h.step(controller.Running{Backend: id, Count: n})
+				h.step(controller.BackendRequests{Backend: id, Count: n})
 			})
 		}
-	case controller.NumberRefused:
+	case controller.FencingRefused:
 		h.refused++
 	}
 }
@@ -223,13 +223,13 @@
 func (h *holder) call(c controller.CallNumber, d time.Duration, effect func() controller.Event) {
 	w := h.w
 	if w.rng.Float64() < w.lost {
-		w.after(time.Second, func() { h.step(controller.Unanswered{Call: c}) })
+		w.after(time.Second, func() { h.step(controller.ResultUnknown{Call: c}) })
 		return
 	}
 	w.after(d, func() {
 		ev := effect()
 		if w.rng.Float64() < w.lost {
-			ev = controller.Unanswered{Call: c}
+			ev = controller.ResultUnknown{Call: c}
 		}
 		w.after(w.delay(), func() { h.step(ev) })
 	})
@@ -238,7 +238,7 @@
 // order is the server's side: a load takes three seconds.
 func (f *fake) order(w *world, o controller.Order) controller.Event {
 	if f.checks && o.Fencing < f.state.Fencing {
-		return controller.Answered{Call: o.Call, Status: controller.Stale, State: f.state}
+		return controller.OrderResult{Call: o.Call, Status: controller.StatusStale, State: f.state}
 	}
 	if f.checks {
 		f.state.Fencing = o.Fencing
@@ -250,15 +250,15 @@
 	f.state.Service = drafts
 	switch o.Kind {
 	case controller.OrderUnload:
-		f.state.Holding = controller.Holding{}
+		f.state.Loaded = controller.Assignment{}
 	case controller.OrderSetRole:
-		f.state.Holding.Role = o.Holding.Role
+		f.state.Loaded.Role = o.Assignment.Role
 	case controller.OrderLoad:
-		f.state.Holding = o.Holding
+		f.state.Loaded = o.Assignment
 		f.ready = w.now.Add(3 * time.Second)
 		f.state.Loading = true
 	}
-	return controller.Answered{Call: o.Call, Status: controller.Applied, State: f.state}
+	return controller.OrderResult{Call: o.Call, Status: controller.StatusApplied, State: f.state}
 }
 
 // chains lays a version's replicas of two stages over servers from a first one.
@@ -268,8 +268,8 @@
 		c := controller.Chain{ID: state.ReplicaID(fmt.Sprintf("%s-%d", version, i))}
 		for j := range 2 {
 			c.Stages = append(c.Stages, controller.Stage{
-				Backend: state.BackendID(fmt.Sprintf("b%02d", first+2*i+j)),
-				Holding: controller.Holding{Model: "m", Version: version, Layers: state.LayerRange{First: 10 * j, End: 10*j + 10}},
+				Backend:    state.BackendID(fmt.Sprintf("b%02d", first+2*i+j)),
+				Assignment: controller.Assignment{Model: "m", Version: version, Layers: state.LayerRange{First: 10 * j, End: 10*j + 10}},
 			})
 		}
 		out = append(out, c)
@@ -281,7 +281,7 @@
 func (w *world) serving(version string) int {
 	n := 0
 	for _, r := range w.table.Replicas {
-		if !r.Leaving && (version == "" || r.Chain.Stages[0].Holding.Version == version) {
+		if !r.Leaving && (version == "" || r.Chain.Stages[0].Assignment.Version == version) {
 			n++
 		}
 	}
--- a/daemon/catalog.go
+++ b/daemon/catalog.go
@@ -94,7 +94,7 @@
 	})})
 }
 
-func (p *catalogPart) changed(t controller.Table) {
+func (p *catalogPart) changed(t controller.ReplicaTable) {
 	if service, ok := serviceOfLayout(t.Service); ok {
 		p.c.controllers.layoutChanged(service, t)
 		return
@@ -103,7 +103,7 @@
 }
 
 // table returns the replica table in force of a service.
-func (p *catalogPart) table(id state.ServiceID) controller.Table {
+func (p *catalogPart) table(id state.ServiceID) controller.ReplicaTable {
 	t, _ := p.m.Get(id)
 	return t
 }
--- a/daemon/controllers.go
+++ b/daemon/controllers.go
@@ -31,7 +31,7 @@
 	// former are the fixed chains of services that are placed automatically since
 	// an edit: they serve on until the controller has published its first table,
 	// and are drained then.
-	former map[state.ServiceID]controller.Table
+	former map[state.ServiceID]controller.ReplicaTable
 
 	placeable   []platform.Instance // as of placeableAt
 	placeableAt time.Time
@@ -50,7 +50,7 @@
 	adopting bool
 	adoptAt  time.Time
 	servers  []controller.Backend // as last told
-	applied  map[state.BackendID]controller.Holding
+	applied  map[state.BackendID]controller.Assignment
 	wanted   int // loads beyond those that need no share
 	asker    *weights.Asker
 }
@@ -59,21 +59,21 @@
 	return &controllersPart{
 		c:         c,
 		byService: make(map[state.ServiceID]*serviceController),
-		former:    make(map[state.ServiceID]controller.Table),
+		former:    make(map[state.ServiceID]controller.ReplicaTable),
 	}
 }
 
 func controllerConfig(d *Daemon, id state.ServiceID) controller.Config {
 	set := d.set.Leases
 	cfg := controller.DefaultConfig(id)
-	cfg.Reconcile = set.Reconcile.Std()
-	cfg.LongestOrder = set.LongestOrder.Std()
-	cfg.Spread = set.DrainSpread.Std()
+	cfg.ReconcileInterval = set.Reconcile.Std()
+	cfg.MaxOrderDelay = set.LongestOrder.Std()
+	cfg.PropagationDelay = set.DrainSpread.Std()
 	cfg.ReportLag = set.ReportLag.Std()
-	cfg.LoadPoll = min(cfg.LoadPoll, cfg.Reconcile/2)
-	cfg.AskEvery = min(cfg.AskEvery, cfg.Reconcile/2)
-	cfg.StepEvery = min(cfg.StepEvery, cfg.Reconcile/stepsPerReconcile)
-	cfg.Retry = min(cfg.Retry, cfg.Reconcile/2)
+	cfg.LoadPollInterval = min(cfg.LoadPollInterval, cfg.ReconcileInterval/2)
+	cfg.CountQueryInterval = min(cfg.CountQueryInterval, cfg.ReconcileInterval/2)
+	cfg.TickInterval = min(cfg.TickInterval, cfg.ReconcileInterval/stepsPerReconcile)
+	cfg.RetryDelay = min(cfg.RetryDelay, cfg.ReconcileInterval/2)
 	// A call ends by itself after askTimeout; the machine gives it up later, so
 	// that it hears of an answer that came.
 	cfg.CallTimeout = 2 * d.askTimeout
@@ -97,7 +97,7 @@
 		s = &serviceController{
 			c: p.c, service: id,
 			m:       controller.New(controllerConfig(p.c.d, id)),
-			applied: make(map[state.BackendID]controller.Holding),
+			applied: make(map[state.BackendID]controller.Assignment),
 			asker:   weights.NewAsker(weightsConfig(p.c.d), id),
 		}
 		p.byService[id] = s
@@ -115,12 +115,12 @@
 
 // fixedTable writes the chains of a document with fixed placement as a table that
 // any other takes the place of.
-func fixedTable(doc *service.Document) controller.Table {
-	t := controller.Table{Service: doc.Service}
+func fixedTable(doc *service.Document) controller.ReplicaTable {
+	t := controller.ReplicaTable{Service: doc.Service}
 	for _, chain := range doc.Placement.Chains {
 		c := controller.Chain{ID: fixedID(doc.Service, chain.ID)}
 		for _, s := range chain.Stages {
-			c.Stages = append(c.Stages, controller.Stage{Backend: s.Backend, Holding: controller.Holding{
+			c.Stages = append(c.Stages, controller.Stage{Backend: s.Backend, Assignment: controller.Assignment{
 				Model: doc.Model.Name, Version: doc.Model.Version, Adapters: doc.Model.Adapters,
 				Layers: state.LayerRange{First: s.First, End: s.End},
 			}})
@@ -132,7 +132,7 @@
 
 // table returns the replica table of a service, or its fixed chains of before
 // where there is none yet.
-func (p *controllersPart) table(id state.ServiceID) controller.Table {
+func (p *controllersPart) table(id state.ServiceID) controller.ReplicaTable {
 	t := p.c.catalog.table(id)
 	if t.Fencing == 0 {
 		return p.former[id]
@@ -190,7 +190,7 @@
 }
 
 // layoutChanged brings the chains that a service is to have.
-func (p *controllersPart) layoutChanged(id state.ServiceID, t controller.Table) {
+func (p *controllersPart) layoutChanged(id state.ServiceID, t controller.ReplicaTable) {
 	if s, ok := p.byService[id]; ok {
 		s.placed(t)
 	}
@@ -222,8 +222,8 @@
 	}
 	s.adopting = true
 	reign := s.status.Reign
-	s.c.tables.newest(layoutOf(s.service), func(layout controller.Table, known bool) {
-		s.c.tables.newest(s.service, func(t controller.Table, ok bool) {
+	s.c.tables.newest(layoutOf(s.service), func(layout controller.ReplicaTable, known bool) {
+		s.c.tables.newest(s.service, func(t controller.ReplicaTable, ok bool) {
 			s.adopting = false
 			if !ok || !known || layout.Fencing == 0 || reign != s.status.Reign {
 				s.adoptAt = s.c.now.Add(adoptRetry)
@@ -240,7 +240,7 @@
 }
 
 // placed takes over what the layout says of the service.
-func (s *serviceController) placed(t controller.Table) {
+func (s *serviceController) placed(t controller.ReplicaTable) {
 	if t.Fencing == 0 {
 		return // nothing is laid out yet
 	}
@@ -309,13 +309,13 @@
 			s.readState(a)
 		case controller.Publish:
 			s.publish(a.Table)
-		case controller.AskRunning:
+		case controller.QueryRequestCounts:
 			s.askRunning(a)
-		case controller.WantWeights:
+		case controller.RequestLoadSlots:
 			s.wanted = a.Slots
 			s.asker.Want(s.c.now, a.Slots)
 			s.c.later(func() { s.share(s.c.now) })
-		case controller.NumberRefused:
+		case controller.FencingRefused:
 			s.c.d.metrics.Add(telemetry.StaleOrdersTotal, 1)
 			s.c.d.log.Emit(telemetry.EventOrderStale, telemetry.Service(s.service), telemetry.Backend(a.Backend), telemetry.Fencing(a.Fencing))
 			refused := lease.Refused{Service: s.service, Fencing: a.Fencing, Seen: a.Seen}
@@ -324,6 +324,6 @@
 	}
 }
 
-func (s *serviceController) publish(t controller.Table) {
+func (s *serviceController) publish(t controller.ReplicaTable) {
 	s.c.tables.publish(t, func(serial uint64) { s.step(controller.Published{Serial: serial}) })
 }
--- a/daemon/layout.go
+++ b/daemon/layout.go
@@ -56,7 +56,7 @@
 
 	// latest are the layouts that this daemon published; the catalog has them
 	// only once they are stored.
-	latest map[state.ServiceID]controller.Table
+	latest map[state.ServiceID]controller.ReplicaTable
 }
 
 // layoutJob is one computation with all that it reads.
@@ -68,7 +68,7 @@
 }
 
 func newLayoutPart(c *control) *layoutPart {
-	return &layoutPart{c: c, short: make(map[state.ServiceID]int), latest: make(map[state.ServiceID]controller.Table)}
+	return &layoutPart{c: c, short: make(map[state.ServiceID]int), latest: make(map[state.ServiceID]controller.ReplicaTable)}
 }
 
 func (p *layoutPart) nextTick(now time.Time) time.Time {
@@ -105,7 +105,7 @@
 	reign := p.status.Reign
 	whole := true
 	for _, id := range ids {
-		p.c.tables.newest(layoutOf(id), func(t controller.Table, ok bool) {
+		p.c.tables.newest(layoutOf(id), func(t controller.ReplicaTable, ok bool) {
 			missing--
 			whole = whole && ok
 			p.serial = max(p.serial, t.Serial)
@@ -220,7 +220,7 @@
 		return
 	}
 	p.serial++
-	t := controller.Table{
+	t := controller.ReplicaTable{
 		Service: layoutOf(id), Document: version, Fencing: p.status.Fencing, Serial: p.serial, Replicas: next,
 	}
 	log := []telemetry.Field{telemetry.Service(id), telemetry.Version(version), telemetry.Count(len(next))}
@@ -233,7 +233,7 @@
 }
 
 // table returns the newest layout of a service.
-func (p *layoutPart) table(id state.ServiceID) controller.Table {
+func (p *layoutPart) table(id state.ServiceID) controller.ReplicaTable {
 	t := p.c.catalog.table(layoutOf(id))
 	if own, ok := p.latest[id]; ok && own.Newer(t) {
 		return own
@@ -292,9 +292,9 @@
 func placementChain(id state.ServiceID, c controller.Chain) placement.Chain {
 	out := placement.Chain{Service: id}
 	for _, st := range c.Stages {
-		out.Model = st.Holding.Model
-		out.Version = joinVersion(st.Holding.Version, st.Holding.Adapters)
-		out.Stages = append(out.Stages, placement.Stage{Backend: st.Backend, Layers: st.Holding.Layers})
+		out.Model = st.Assignment.Model
+		out.Version = joinVersion(st.Assignment.Version, st.Assignment.Adapters)
+		out.Stages = append(out.Stages, placement.Stage{Backend: st.Backend, Layers: st.Assignment.Layers})
 	}
 	return out
 }
@@ -307,7 +307,7 @@
 	out := controller.Chain{}
 	for _, st := range c.Stages {
 		_, _ = fmt.Fprintf(h, "\x00%s%s", st.Backend, st.Layers)
-		out.Stages = append(out.Stages, controller.Stage{Backend: st.Backend, Holding: controller.Holding{
+		out.Stages = append(out.Stages, controller.Stage{Backend: st.Backend, Assignment: controller.Assignment{
 			Model: doc.Model.Name, Version: doc.Model.Version, Adapters: doc.Model.Adapters, Layers: st.Layers,
 		}})
 	}
--- a/daemon/messages.go
+++ b/daemon/messages.go
@@ -92,8 +92,8 @@
 	peer.Register[catalog.Delta](r, kindCatalog+2)
 
 	peer.Register[lease.HandOn](r, kindLeases)
-	peer.Register[controller.CountAsk](r, kindLeases+1)
-	peer.Register[controller.CountTold](r, kindLeases+2)
+	peer.Register[controller.RequestCountQuery](r, kindLeases+1)
+	peer.Register[controller.RequestCountReply](r, kindLeases+2)
 
 	peer.Register[weights.Ask](r, kindWeights)
 	peer.Register[weights.Grant](r, kindWeights+1)
@@ -148,8 +148,8 @@
 			return streams.LookedUp{Known: known, Record: rec}
 		})
 		return found, nil
-	case controller.CountAsk:
-		told, _ := ask(ctx, d.control, func() controller.CountTold { return d.control.slots.counts(msg) })
+	case controller.RequestCountQuery:
+		told, _ := ask(ctx, d.control, func() controller.RequestCountReply { return d.control.slots.counts(msg) })
 		return told, nil
 	case platform.ListAsk:
 		told, _ := ask(ctx, d.control, func() platform.ListTold { return d.control.instances.told(msg.From) })
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -21,9 +21,9 @@
 }
 
 var orderStatuses = map[engine.OrderStatus]controller.OrderStatus{
-	engine.OrderApplied: controller.Applied,
-	engine.OrderStale:   controller.Stale,
-	engine.OrderRefused: controller.Refused,
+	engine.OrderApplied: controller.StatusApplied,
+	engine.OrderStale:   controller.StatusStale,
+	engine.OrderRefused: controller.StatusRefused,
 }
 
 // order sends one order. The lease is asked for once more here, and the clock
@@ -32,21 +32,21 @@
 	address, ok := s.c.instances.address(a.Backend)
 	holds := a.NotAfter.IsZero() || s.c.leases.m.Holds(s.service, time.Now())
 	if !ok || !holds {
-		s.c.later(func() { s.step(controller.Unanswered{Call: a.Call}) })
+		s.c.later(func() { s.step(controller.ResultUnknown{Call: a.Call}) })
 		return
 	}
 	s.noteOrder(a)
 	d := s.c.d
 	o := engine.Order{
 		Kind: orderKinds[a.Kind], Fencing: a.Fencing, Service: s.service,
-		Model: a.Holding.Model, Version: a.Holding.Version, Adapters: a.Holding.Adapters,
-		Layers: a.Holding.Layers, Role: a.Holding.Role,
+		Model: a.Assignment.Model, Version: a.Assignment.Version, Adapters: a.Assignment.Adapters,
+		Layers: a.Assignment.Layers, Role: a.Assignment.Role,
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), d.askTimeout)
 		defer cancel()
 		if !a.NotAfter.IsZero() && !time.Now().Before(a.NotAfter) {
-			s.c.post(func() { s.step(controller.Unanswered{Call: a.Call}) })
+			s.c.post(func() { s.step(controller.ResultUnknown{Call: a.Call}) })
 			return
 		}
 		res, err := d.clients.engine(address).Order(ctx, o)
@@ -64,33 +64,33 @@
 	s.c.d.metrics.Add(telemetry.OrdersTotal, 1)
 	s.c.d.log.Emit(telemetry.EventOrderSent, fields...)
 	was, ok := s.applied[a.Backend]
-	if ok && !a.NotAfter.IsZero() && sameHolding(was, a.Holding) {
+	if ok && !a.NotAfter.IsZero() && sameHolding(was, a.Assignment) {
 		s.c.d.log.Emit(telemetry.EventOrderUndone, fields...)
 	}
 }
 
-func sameHolding(a, b controller.Holding) bool {
+func sameHolding(a, b controller.Assignment) bool {
 	return a.Model == b.Model && a.Version == b.Version && a.Layers == b.Layers && a.Role == b.Role
 }
 
 func (s *serviceController) ordered(a controller.Order, res engine.OrderResult, err error) {
 	s.c.deaths.heard(a.Backend, err == nil)
 	if err != nil {
-		s.step(controller.Unanswered{Call: a.Call})
+		s.step(controller.ResultUnknown{Call: a.Call})
 		return
 	}
 	if res.Status == engine.OrderApplied {
-		s.applied[a.Backend] = a.Holding
+		s.applied[a.Backend] = a.Assignment
 		s.c.d.log.Emit(telemetry.EventOrderApplied, telemetry.Service(s.service),
 			telemetry.Backend(a.Backend), telemetry.Fencing(a.Fencing), telemetry.Detail(string(a.Kind)))
 	}
-	s.step(controller.Answered{Call: a.Call, Status: orderStatuses[res.Status], State: serverState(res.State)})
+	s.step(controller.OrderResult{Call: a.Call, Status: orderStatuses[res.Status], State: serverState(res.State)})
 }
 
 func (s *serviceController) readState(a controller.ReadState) {
 	address, ok := s.c.instances.address(a.Backend)
 	if !ok {
-		s.c.later(func() { s.step(controller.Unanswered{Call: a.Call}) })
+		s.c.later(func() { s.step(controller.ResultUnknown{Call: a.Call}) })
 		return
 	}
 	d := s.c.d
@@ -101,10 +101,10 @@
 		s.c.post(func() {
 			s.c.deaths.heard(a.Backend, err == nil)
 			if err != nil {
-				s.step(controller.Unanswered{Call: a.Call})
+				s.step(controller.ResultUnknown{Call: a.Call})
 				return
 			}
-			s.step(controller.StateRead{Call: a.Call, State: serverState(st)})
+			s.step(controller.ReadResult{Call: a.Call, State: serverState(st)})
 		})
 	}()
 }
@@ -112,7 +112,7 @@
 func serverState(st engine.State) controller.ServerState {
 	return controller.ServerState{
 		Service: st.Service,
-		Holding: controller.Holding{
+		Loaded: controller.Assignment{
 			Model: st.Model, Version: st.Version, Adapters: st.Adapters, Layers: st.Layers, Role: st.Role,
 		},
 		Fencing: st.Fencing,
@@ -128,7 +128,7 @@
 
 // askRunning asks the homes of replicas and the servers for their counts of
 // requests. What is not answered is asked again while the chain drains.
-func (s *serviceController) askRunning(a controller.AskRunning) {
+func (s *serviceController) askRunning(a controller.QueryRequestCounts) {
 	byHome := make(map[state.DaemonID][]state.ReplicaID)
 	for _, id := range a.Replicas {
 		if at, ok := s.c.slots.router.HomeOf(id); ok {
@@ -136,7 +136,7 @@
 		}
 	}
 	for at, ids := range byHome {
-		s.askHome(at, controller.CountAsk{Replicas: ids})
+		s.askHome(at, controller.RequestCountQuery{Replicas: ids})
 	}
 	for _, id := range a.Backends {
 		if address, ok := s.c.instances.address(id); ok {
@@ -145,7 +145,7 @@
 	}
 }
 
-func (s *serviceController) askHome(at state.DaemonID, q controller.CountAsk) {
+func (s *serviceController) askHome(at state.DaemonID, q controller.RequestCountQuery) {
 	if at == s.c.d.self.ID {
 		s.c.later(func() { s.counted(s.c.slots.counts(q)) })
 		return
@@ -155,15 +155,15 @@
 		ctx, cancel := context.WithTimeout(context.Background(), d.askTimeout)
 		defer cancel()
 		res, err := d.node.Call(ctx, address, q)
-		if told, ok := res.Msg.(controller.CountTold); err == nil && ok {
+		if told, ok := res.Msg.(controller.RequestCountReply); err == nil && ok {
 			s.c.post(func() { s.counted(told) })
 		}
 	}()
 }
 
-func (s *serviceController) counted(told controller.CountTold) {
+func (s *serviceController) counted(told controller.RequestCountReply) {
 	for _, n := range told.Counts {
-		s.step(controller.InFlight(n))
+		s.step(controller.ReplicaRequests(n))
 	}
 }
 
@@ -172,13 +172,13 @@
 	defer cancel()
 	load, err := s.c.d.clients.engine(address).Load(ctx)
 	if err == nil {
-		s.c.post(func() { s.step(controller.Running{Backend: id, Count: load.Running + load.Queued}) })
+		s.c.post(func() { s.step(controller.BackendRequests{Backend: id, Count: load.Running + load.Queued}) })
 	}
 }
 
 // counts answers a controller that waits for replicas to drain.
-func (p *slotsPart) counts(q controller.CountAsk) controller.CountTold {
-	return controller.CountTold{Counts: lo.FilterMap(q.Replicas, func(id state.ReplicaID, _ int) (controller.ReplicaCount, bool) {
+func (p *slotsPart) counts(q controller.RequestCountQuery) controller.RequestCountReply {
+	return controller.RequestCountReply{Counts: lo.FilterMap(q.Replicas, func(id state.ReplicaID, _ int) (controller.ReplicaCount, bool) {
 		n, known := p.homes.InFlight(id)
 		return controller.ReplicaCount{Replica: id, Count: n}, known
 	})}
--- a/daemon/placement_test.go
+++ b/daemon/placement_test.go
@@ -171,7 +171,7 @@
 	Eventually(func(g Gomega) {
 		rows := lo.Filter(r.Platform.Rows(catalog.Table), func(row platform.Row, _ int) bool { return row.Key == string(drafts) })
 		g.Expect(rows).To(HaveLen(1))
-		var t controller.Table
+		var t controller.ReplicaTable
 		g.Expect(json.Unmarshal(rows[0].Value, &t)).To(Succeed())
 		g.Expect(t.Replicas).To(HaveLen(replicas))
 		for _, replica := range t.Replicas {
--- a/daemon/replicas.go
+++ b/daemon/replicas.go
@@ -57,7 +57,7 @@
 }
 
 // published builds the replicas of a table.
-func (p *instancesPart) published(doc *service.Document, t controller.Table) []state.Replica {
+func (p *instancesPart) published(doc *service.Document, t controller.ReplicaTable) []state.Replica {
 	var replicas []state.Replica
 	for _, r := range t.Replicas {
 		if replica, ok := p.placed(doc, r); ok {
@@ -80,11 +80,11 @@
 		if !ok {
 			return r, false
 		}
-		r.Model, r.Version = s.Holding.Model, s.Holding.Version
+		r.Model, r.Version = s.Assignment.Model, s.Assignment.Version
 		r.Leaving = r.Leaving || inst.Leaving
 		r.FailureDomain = inst.Domain
 		r.Speed = min(r.Speed, doc.KindSpeed(inst.Kind))
-		r.Stages = append(r.Stages, state.Stage{Backend: s.Backend, Address: inst.Address, Layers: s.Holding.Layers})
+		r.Stages = append(r.Stages, state.Stage{Backend: s.Backend, Address: inst.Address, Layers: s.Assignment.Layers})
 	}
 	return r, true
 }
--- a/daemon/tables.go
+++ b/daemon/tables.go
@@ -27,7 +27,7 @@
 
 // tableRow is one table on its way into its row.
 type tableRow struct {
-	table     controller.Table
+	table     controller.ReplicaTable
 	wanted    bool // table is not stored yet
 	told      bool
 	tellBy    time.Time
@@ -73,7 +73,7 @@
 
 // publish stores a table and tells it; published runs once, when it is stored or
 // was told to peers while the store does not answer.
-func (p *tablesPart) publish(t controller.Table, published func(serial uint64)) {
+func (p *tablesPart) publish(t controller.ReplicaTable, published func(serial uint64)) {
 	r, ok := p.rows[t.Service]
 	if !ok {
 		r = &tableRow{}
@@ -106,7 +106,7 @@
 func (p *tablesPart) write(r *tableRow) {
 	r.busy = true
 	if !r.known {
-		p.read(r.table.Service, func(t controller.Table, revision uint64, ok bool) { p.found(r, t, revision, ok) })
+		p.read(r.table.Service, func(t controller.ReplicaTable, revision uint64, ok bool) { p.found(r, t, revision, ok) })
 		return
 	}
 	value, err := json.Marshal(r.table)
@@ -144,7 +144,7 @@
 
 // found takes in what the row holds. A newer table there is a successor's: this
 // daemon's is dropped.
-func (p *tablesPart) found(r *tableRow, t controller.Table, revision uint64, ok bool) {
+func (p *tablesPart) found(r *tableRow, t controller.ReplicaTable, revision uint64, ok bool) {
 	r.busy = false
 	if !ok {
 		r.retryAt = p.c.now.Add(writeRetry)
@@ -160,10 +160,10 @@
 }
 
 // read gets a table's row; ok is false where the store did not answer.
-func (p *tablesPart) read(id state.ServiceID, then func(t controller.Table, revision uint64, ok bool)) {
+func (p *tablesPart) read(id state.ServiceID, then func(t controller.ReplicaTable, revision uint64, ok bool)) {
 	call := store.Call{Class: store.ClassLease, Request: store.Get{Table: catalog.Table, Key: string(id)}}
 	p.c.store.do(call, func(res store.Result) {
-		t := controller.Table{Service: id}
+		t := controller.ReplicaTable{Service: id}
 		row, found := res.Row()
 		if found {
 			t = tableOf(row)
@@ -174,8 +174,8 @@
 
 // tableOf reads a row. One that can't be read is a later release's, which this
 // daemon then overwrites only with a newer fencing number.
-func tableOf(row store.Row) controller.Table {
-	t := controller.Table{}
+func tableOf(row store.Row) controller.ReplicaTable {
+	t := controller.ReplicaTable{}
 	_ = json.Unmarshal(row.Value, &t)
 	t.Service = state.ServiceID(row.Key)
 	return t
@@ -183,8 +183,8 @@
 
 // newest reads the table last published, by whoever did, and takes the newer of
 // the store's and the catalog's: the store may have been down when it was told.
-func (p *tablesPart) newest(id state.ServiceID, then func(t controller.Table, ok bool)) {
-	p.read(id, func(t controller.Table, _ uint64, ok bool) {
+func (p *tablesPart) newest(id state.ServiceID, then func(t controller.ReplicaTable, ok bool)) {
+	p.read(id, func(t controller.ReplicaTable, _ uint64, ok bool) {
 		if !ok {
 			then(t, false)
 			return
--- a/daemon/weights.go
+++ b/daemon/weights.go
@@ -52,7 +52,7 @@
 	}
 	s.asker.Granted(g)
 	slots, until := s.asker.Share()
-	s.step(controller.Weights{Slots: slots, Until: until})
+	s.step(controller.LoadGrant{Slots: slots, Until: until})
 }
 
 // share asks for a share of the weight store's rate when that is due.
