--- a/coordination/crashes/crashes.go
+++ b/coordination/crashes/crashes.go
@@ -9,7 +9,7 @@
 const (
 	// KeptFor is how long an implication counts after the last one: a caller that
 	// repeats a request does so within minutes.
-	KeptFor = 10 * time.Minute
+	ImplicationTTL = 10 * time.Minute
 	// convictedBy is how many servers must have died under a content. One may be an
 	// accident of another's making; two that died under the same one are not.
 	convictedBy = 2
@@ -21,13 +21,13 @@
 type Fingerprint uint64
 
 // Told is what a daemon tells the others: servers that died under a content.
-type Told struct {
+type Implication struct {
 	Fingerprint Fingerprint  `msgpack:"f"`
 	Servers     []state.Life `msgpack:"s"`
 }
 
 // Book is what one daemon knows. It is not safe for use by several goroutines.
-type Book struct {
+type Tracker struct {
 	contents map[Fingerprint]*content
 }
 
@@ -38,13 +38,13 @@
 }
 
 // NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{contents: make(map[Fingerprint]*content)}
+func NewTracker() *Tracker {
+	return &Tracker{contents: make(map[Fingerprint]*content)}
 }
 
 // Implicate notes that servers died under a content. It returns what to tell the
 // other daemons, and false if all of it was known.
-func (b *Book) Implicate(now time.Time, fp Fingerprint, servers ...state.Life) (Told, bool) {
+func (b *Tracker) Implicate(now time.Time, fp Fingerprint, servers ...state.Life) (Implication, bool) {
 	c, ok := b.contents[fp]
 	if !ok {
 		b.makeRoom(now)
@@ -59,7 +59,7 @@
 		}
 	}
 	c.at = now
-	return Told{Fingerprint: fp, Servers: c.servers}, news
+	return Implication{Fingerprint: fp, Servers: c.servers}, news
 }
 
 func (c *content) has(s state.Life) bool {
@@ -72,28 +72,28 @@
 }
 
 // Empty reports whether nothing is implicated.
-func (b *Book) Empty() bool { return len(b.contents) == 0 }
+func (b *Tracker) Empty() bool { return len(b.contents) == 0 }
 
 // Clear notes that an answer to a content has begun.
-func (b *Book) Clear(fp Fingerprint) {
+func (b *Tracker) Clear(fp Fingerprint) {
 	delete(b.contents, fp)
 }
 
 // Convicted reports whether a content is to be refused.
-func (b *Book) Convicted(now time.Time, fp Fingerprint) bool {
+func (b *Tracker) IsBlocked(now time.Time, fp Fingerprint) bool {
 	c, ok := b.contents[fp]
-	return ok && len(c.servers) >= convictedBy && now.Sub(c.at) < KeptFor
+	return ok && len(c.servers) >= convictedBy && now.Sub(c.at) < ImplicationTTL
 }
 
 // makeRoom drops what no longer counts, or else the oldest.
-func (b *Book) makeRoom(now time.Time) {
+func (b *Tracker) makeRoom(now time.Time) {
 	if len(b.contents) < maxContents {
 		return
 	}
 	var oldest Fingerprint
 	var at time.Time
 	for fp, c := range b.contents {
-		if now.Sub(c.at) >= KeptFor {
+		if now.Sub(c.at) >= ImplicationTTL {
 			delete(b.contents, fp)
 		} else if at.IsZero() || c.at.Before(at) {
 			oldest, at = fp, c.at
--- a/gateway/book.go
+++ b/gateway/book.go
@@ -26,7 +26,7 @@
 	streams  map[*stream]struct{}
 	pipes    pipes
 	waits    map[state.ServiceID]*waits
-	crashes  *crashes.Book
+	crashes  *crashes.Tracker
 	permits  *permits.Permits
 	states   []pathing.State // of the roster's cards in a choice; kept for the next one
 }
@@ -40,7 +40,7 @@
 		streams:  make(map[*stream]struct{}),
 		pipes:    make(pipes),
 		waits:    make(map[state.ServiceID]*waits),
-		crashes:  crashes.NewBook(),
+		crashes:  crashes.NewTracker(),
 		permits:  permits.New(),
 		budget:   retrybudget.New(budgetConfig(set), time.Now()),
 	}
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -40,7 +40,7 @@
 	r.g.book.clear(r.fingerprint)
 }
 
-func (b *book) implicate(now time.Time, fp crashes.Fingerprint, servers ...state.Life) (crashes.Told, bool) {
+func (b *book) implicate(now time.Time, fp crashes.Fingerprint, servers ...state.Life) (crashes.Implication, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.crashes.Implicate(now, fp, servers...)
@@ -49,7 +49,7 @@
 func (b *book) convicted(now time.Time, fingerprint func() crashes.Fingerprint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.crashes.Empty() && b.crashes.Convicted(now, fingerprint())
+	return !b.crashes.Empty() && b.crashes.IsBlocked(now, fingerprint())
 }
 
 // clear forgets a content. Its fingerprint is worked out only where any is known.
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -51,7 +51,7 @@
 func newRegistry() *peer.Registry {
 	r := peer.NewRegistry()
 	peer.RegisterMembership(r, kindMembership)
-	peer.Register[crashes.Told](r, kindCrashes)
+	peer.Register[crashes.Implication](r, kindCrashes)
 	peer.Register[following.Announcement](r, kindFollowing)
 	peer.Register[suspect.Outdated](r, kindOutdated)
 	peer.Register[suspect.Refusal](r, kindRefusal)
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -83,7 +83,7 @@
 		g.book.leaves(at, m)
 	case permits.Told:
 		g.control.permits.step(permits.Learned{Told: m, At: at})
-	case crashes.Told:
+	case crashes.Implication:
 		g.book.implicate(at, m.Fingerprint, m.Servers...)
 	}
 }
