--- a/coordination/documents/currency.go
+++ b/coordination/documents/currency.go
@@ -28,15 +28,15 @@
 
 func (d *Documents) scanned(res store.Result) {
 	d.polling = false
-	every := d.cfg.PollEvery
+	every := d.cfg.PollInterval
 	if d.inMajority() {
-		every = max(every, time.Duration(len(d.live)+1)*d.cfg.PollPerMember)
+		every = max(every, time.Duration(len(d.live)+1)*d.cfg.PollIntervalPerMember)
 	}
 	d.pollAt = d.now.Add(every*3/4 + time.Duration(d.rng.Int64N(int64(every/2)+1)))
 	if res.Status != store.Done {
 		d.storeDown = true
 		if !d.ready {
-			d.pollAt = d.now.Add(d.jitter(d.cfg.RetryMax))
+			d.pollAt = d.now.Add(d.jitter(d.cfg.MaxBackoff))
 		}
 		return
 	}
@@ -71,7 +71,7 @@
 		return
 	}
 	d.askedAt = d.now
-	for _, m := range d.pick(d.cfg.BootPeers+1, state.Member{}) {
+	for _, m := range d.pick(d.cfg.BootstrapPeers+1, state.Member{}) {
 		d.send(m, Versions{Have: d.versions()})
 	}
 }
@@ -80,11 +80,11 @@
 // Daemons that are dead can't; they count against the majority only, or a daemon
 // that replaces a dead one during an outage of the store would wait for it.
 func (d *Documents) enoughTold() bool {
-	needed := max(1, min(d.cfg.BootPeers, len(d.live)))
+	needed := max(1, min(d.cfg.BootstrapPeers, len(d.live)))
 	return d.inMajority() && len(d.told) >= needed
 }
 
-func (d *Documents) reach(ev Reach) {
+func (d *Documents) reach(ev Members) {
 	d.live = ev.Live
 	d.known = max(ev.Known, 1)
 	if d.inMajority() {
@@ -92,7 +92,7 @@
 		return
 	}
 	// Now the store is the only source that shows that this daemon is current.
-	if soon := d.now.Add(d.cfg.PollEvery); d.pollAt.After(soon) {
+	if soon := d.now.Add(d.cfg.PollInterval); d.pollAt.After(soon) {
 		d.pollAt = soon
 	}
 }
--- a/coordination/documents/documents.go
+++ b/coordination/documents/documents.go
@@ -17,23 +17,23 @@
 	// the larger of PollEvery and PollPerMember times the live daemons, so that
 	// the site's polls stay under 1/PollPerMember a second at any size. A
 	// daemon without the greater part of its peers polls every PollEvery.
-	PollEvery     time.Duration
-	PollPerMember time.Duration
+	PollInterval          time.Duration
+	PollIntervalPerMember time.Duration
 
 	// FirstFanout is how many daemons the one that accepted an edit tells of
 	// it, Fanout how many each other one that adopts it.
-	FirstFanout int
-	Fanout      int
+	OriginFanout int
+	Fanout       int
 
 	// CompareEvery bounds how often differing digests lead to a comparison.
 	// None starts within Quiet of an adoption, whose gossip may still be on
 	// its way; a longer Quiet would put comparisons off for ever while edits
 	// come quickly.
-	CompareEvery time.Duration
-	Quiet        time.Duration
+	CompareInterval time.Duration
+	QuietPeriod     time.Duration
 
-	RetryMin time.Duration // back-off of store calls
-	RetryMax time.Duration
+	MinBackoff time.Duration // back-off of store calls
+	MaxBackoff time.Duration
 
 	// IsolateAfter is how long the daemon may be without both the store and
 	// the greater part of its peers before it is isolated.
@@ -41,7 +41,7 @@
 
 	// BootPeers is how many peers must tell what they have before a daemon
 	// that can't reach the store is ready.
-	BootPeers int
+	BootstrapPeers int
 
 	MaxDocsBytes int // of texts in one message
 }
@@ -49,17 +49,17 @@
 // DefaultConfig returns the values used by a daemon.
 func DefaultConfig() Config {
 	return Config{
-		PollEvery:     2 * time.Second,
-		PollPerMember: 15 * time.Millisecond,
-		FirstFanout:   16,
-		Fanout:        5,
-		CompareEvery:  300 * time.Millisecond,
-		Quiet:         100 * time.Millisecond,
-		RetryMin:      50 * time.Millisecond,
-		RetryMax:      time.Second,
-		IsolateAfter:  6 * time.Second,
-		BootPeers:     3,
-		MaxDocsBytes:  256 << 10,
+		PollInterval:          2 * time.Second,
+		PollIntervalPerMember: 15 * time.Millisecond,
+		OriginFanout:          16,
+		Fanout:                5,
+		CompareInterval:       300 * time.Millisecond,
+		QuietPeriod:           100 * time.Millisecond,
+		MinBackoff:            50 * time.Millisecond,
+		MaxBackoff:            time.Second,
+		IsolateAfter:          6 * time.Second,
+		BootstrapPeers:        3,
+		MaxDocsBytes:          256 << 10,
 	}
 }
 
@@ -163,7 +163,7 @@
 }
 
 // InForce returns the versions in force here.
-func (d *Documents) InForce() map[state.ServiceID]state.DocumentVersion {
+func (d *Documents) ActiveVersions() map[state.ServiceID]state.DocumentVersion {
 	m := make(map[state.ServiceID]state.DocumentVersion, len(d.services))
 	for id, h := range d.services {
 		m[id] = h.record.Version
@@ -202,7 +202,7 @@
 		earlier(d.askedAt.Add(bootAskEvery))
 	}
 	if len(d.wanted) > 0 {
-		earlier(d.pulledAt.Add(d.cfg.CompareEvery))
+		earlier(d.pulledAt.Add(d.cfg.CompareInterval))
 	}
 	return next
 }
@@ -212,13 +212,13 @@
 	d.now = now
 	d.out = nil
 	switch ev := ev.(type) {
-	case Apply:
+	case SubmitEdit:
 		d.apply(ev)
-	case Answered:
+	case StoreResult:
 		d.answered(ev.Result)
 	case Received:
 		d.received(ev.From, ev.Msg)
-	case Reach:
+	case Members:
 		d.reach(ev)
 	case Tick:
 	}
@@ -305,7 +305,7 @@
 	if d.wanted[id] <= rec.Version {
 		delete(d.wanted, id)
 	}
-	d.out = append(d.out, Adopted{Doc: rec.doc(id)})
+	d.out = append(d.out, Applied{Doc: rec.doc(id)})
 	if d.ready {
 		d.announce(id, h, from)
 	}
--- a/coordination/documents/edit.go
+++ b/coordination/documents/edit.go
@@ -10,7 +10,7 @@
 
 // edit is one Apply on its way.
 type edit struct {
-	Apply
+	SubmitEdit
 	current  Record // the row as last read
 	revision uint64 // its revision
 	known    bool   // current and revision are set
@@ -19,8 +19,8 @@
 	wakeAt   time.Time // zero while a call is under way
 }
 
-func (d *Documents) apply(ev Apply) {
-	e := &edit{Apply: ev}
+func (d *Documents) apply(ev SubmitEdit) {
+	e := &edit{SubmitEdit: ev}
 	d.edits = append(d.edits, e)
 	if held := d.services[ev.Service]; held != nil && held.revision != 0 && held.record.Version == ev.Base {
 		// What this daemon holds came from the store, so that the read can
@@ -125,7 +125,7 @@
 }
 
 func (d *Documents) wait(e *edit) {
-	e.backoff = min(max(2*e.backoff, d.cfg.RetryMin), d.cfg.RetryMax)
+	e.backoff = min(max(2*e.backoff, d.cfg.MinBackoff), d.cfg.MaxBackoff)
 	e.wakeAt = d.now.Add(d.jitter(e.backoff))
 }
 
--- a/coordination/documents/events.go
+++ b/coordination/documents/events.go
@@ -14,7 +14,7 @@
 
 // Apply is an operator's edit. Text is checked already. ID is the caller's
 // number for the answer.
-type Apply struct {
+type SubmitEdit struct {
 	ID       uint64
 	Service  state.ServiceID
 	Base     state.DocumentVersion // the version edited; 0 creates the document
@@ -24,7 +24,7 @@
 }
 
 // Answered is the result of a CallStore.
-type Answered struct {
+type StoreResult struct {
 	Result store.Result
 }
 
@@ -37,7 +37,7 @@
 // Reach is the membership view: Live are the other daemons believed alive,
 // Known counts all that the platform lists, this one included. It comes about
 // once a second.
-type Reach struct {
+type Members struct {
 	Live  []state.Member
 	Known int
 }
@@ -45,11 +45,11 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Apply) event()    {}
-func (Answered) event() {}
-func (Received) event() {}
-func (Reach) event()    {}
-func (Tick) event()     {}
+func (SubmitEdit) event()  {}
+func (StoreResult) event() {}
+func (Received) event()    {}
+func (Members) event()     {}
+func (Tick) event()        {}
 
 // Action is what the machine asks for.
 type Action interface {
@@ -69,7 +69,7 @@
 
 // Adopted puts a document into force at this daemon. The versions of one
 // service only grow.
-type Adopted struct {
+type Applied struct {
 	Doc Doc
 }
 
@@ -111,7 +111,7 @@
 
 func (CallStore) action()       {}
 func (Send) action()            {}
-func (Adopted) action()         {}
+func (Applied) action()         {}
 func (ReadyChanged) action()    {}
 func (IsolatedChanged) action() {}
 func (EditAnswered) action()    {}
--- a/coordination/documents/failure_test.go
+++ b/coordination/documents/failure_test.go
@@ -203,13 +203,13 @@
 			members = append(members, d.member)
 		}
 		r := documents.NewRollout(documents.DefaultRolloutConfig(), "s", a.Version, members)
-		for _, ask := range r.Ask(f.now) {
+		for _, ask := range r.NextRequests(f.now) {
 			to := f.find(ask.To)
 			if to.cut {
 				continue
 			}
 			for _, act := range to.Step(f.now, documents.Received{From: f.daemons[0].member, Msg: ask.Msg}) {
-				r.Heard(to.member, act.(documents.Send).Msg.(documents.InForce))
+				r.HandleResponse(to.member, act.(documents.Send).Msg.(documents.VersionResponse))
 			}
 		}
 		Expect(r.Lagging()).To(ConsistOf(f.daemons[5].member))
@@ -265,7 +265,7 @@
 			if rewrite {
 				txt = fmt.Sprintf("%d%s%d", e, txt, e)
 			}
-			pending[f.apply(d, s, d.InForce()[state.ServiceID(s)], fmt.Sprintf("b%d", e), txt)] = s
+			pending[f.apply(d, s, d.ActiveVersions()[state.ServiceID(s)], fmt.Sprintf("b%d", e), txt)] = s
 			next = next.Add(time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second)))
 			e++
 		}
@@ -322,7 +322,7 @@
 		b.StartTimer()
 		d.Step(f.now, documents.Received{From: to, Msg: msg})
 	}
-	if d.InForce()["s"] != old.Version+state.DocumentVersion(b.N) {
+	if d.ActiveVersions()["s"] != old.Version+state.DocumentVersion(b.N) {
 		b.Fatal("not adopted")
 	}
 }
--- a/coordination/documents/fleet_test.go
+++ b/coordination/documents/fleet_test.go
@@ -172,7 +172,7 @@
 			f.call(d, a.Call)
 		case documents.Send:
 			f.send(d, a)
-		case documents.Adopted:
+		case documents.Applied:
 			f.check(d, a.Doc)
 		case documents.IsolatedChanged:
 			d.isolated = time.Time{}
@@ -203,7 +203,7 @@
 	const timeout = time.Second
 	answer := func(res store.Result) func() {
 		res.Call = c.ID
-		return func() { f.step(d, documents.Answered{Result: res}) }
+		return func() { f.step(d, documents.StoreResult{Result: res}) }
 	}
 	f.after(f.latency/2, func() {
 		switch {
@@ -279,7 +279,7 @@
 			live = append(live, o.member)
 		}
 	}
-	f.step(d, documents.Reach{Live: live, Known: known})
+	f.step(d, documents.Members{Live: live, Known: known})
 	if len(live) == 0 {
 		return
 	}
@@ -325,7 +325,7 @@
 
 func (f *fleet) apply(d *daemon, service string, base state.DocumentVersion, editID, text string) uint64 {
 	f.lastID++
-	f.step(d, documents.Apply{
+	f.step(d, documents.SubmitEdit{
 		ID: f.lastID, Service: state.ServiceID(service), Base: base, EditID: editID,
 		Text: []byte(text), Deadline: f.now.Add(5 * time.Second),
 	})
@@ -335,7 +335,7 @@
 // edit applies an edit of what d holds and waits for the answer.
 func (f *fleet) edit(d *daemon, service string) documents.EditAnswered {
 	f.lastID++
-	base := d.InForce()[state.ServiceID(service)]
+	base := d.ActiveVersions()[state.ServiceID(service)]
 	id := f.apply(d, service, base, fmt.Sprintf("e%d", f.lastID), text(int(f.lastID)))
 	f.until(10*time.Second, func() bool { _, ok := f.answers[id]; return ok })
 	return f.answers[id]
--- a/coordination/documents/message.go
+++ b/coordination/documents/message.go
@@ -50,20 +50,20 @@
 }
 
 // InForceAsk asks for the version of a service in force at the receiver.
-type InForceAsk struct {
+type VersionRequest struct {
 	Service state.ServiceID `msgpack:"service"`
 }
 
 // InForce answers InForceAsk; Version is 0 where there is none.
-type InForce struct {
+type VersionResponse struct {
 	Service state.ServiceID       `msgpack:"service"`
 	Version state.DocumentVersion `msgpack:"version"`
 }
 
-func (Digest) documentsMessage()     {}
-func (Announce) documentsMessage()   {}
-func (Versions) documentsMessage()   {}
-func (Pull) documentsMessage()       {}
-func (Docs) documentsMessage()       {}
-func (InForceAsk) documentsMessage() {}
-func (InForce) documentsMessage()    {}
+func (Digest) documentsMessage()          {}
+func (Announce) documentsMessage()        {}
+func (Versions) documentsMessage()        {}
+func (Pull) documentsMessage()            {}
+func (Docs) documentsMessage()            {}
+func (VersionRequest) documentsMessage()  {}
+func (VersionResponse) documentsMessage() {}
--- a/coordination/documents/property_test.go
+++ b/coordination/documents/property_test.go
@@ -83,7 +83,7 @@
 		}
 		base := s.store.version("s")
 		if rapid.IntRange(0, 3).Draw(s.t, "old") == 0 {
-			base = d.InForce()["s"]
+			base = d.ActiveVersions()["s"]
 		}
 		txt := text(len(s.ops))
 		id := s.apply(d, "s", base, fmt.Sprintf("e%d", len(s.ops)), txt)
--- a/coordination/documents/record.go
+++ b/coordination/documents/record.go
@@ -30,7 +30,7 @@
 }
 
 // Mark remembers one accepted edit.
-type Mark struct {
+type AcceptedEdit struct {
 	EditID  string                `json:"edit_id"`
 	Version state.DocumentVersion `json:"version"`
 	Sum     uint64                `json:"sum"` // xxhash of the text
@@ -40,7 +40,7 @@
 type Record struct {
 	Version state.DocumentVersion `json:"version"`
 	EditID  string                `json:"edit_id"`
-	Edits   []Mark                `json:"edits"` // the latest, oldest first
+	Edits   []AcceptedEdit        `json:"edits"` // the latest, oldest first
 	Text    string                `json:"text"`  // byte for byte as the operator sent it
 }
 
@@ -55,13 +55,13 @@
 }
 
 // mark returns the accepted edit of that id, if it is among those remembered.
-func (r Record) mark(editID string) (Mark, bool) {
+func (r Record) mark(editID string) (AcceptedEdit, bool) {
 	for _, m := range r.Edits {
 		if m.EditID == editID {
 			return m, true
 		}
 	}
-	return Mark{}, false
+	return AcceptedEdit{}, false
 }
 
 // remembers reports whether an edit accepted as version v would still have its
@@ -72,8 +72,8 @@
 
 // next is the record after an edit of r.
 func (r Record) next(editID string, text []byte) Record {
-	marks := append([]Mark(nil), r.Edits...)
-	marks = append(marks, Mark{EditID: editID, Version: r.Version + 1, Sum: xxhash.Sum64(text)})
+	marks := append([]AcceptedEdit(nil), r.Edits...)
+	marks = append(marks, AcceptedEdit{EditID: editID, Version: r.Version + 1, Sum: xxhash.Sum64(text)})
 	if len(marks) > marksKept {
 		marks = marks[len(marks)-marksKept:]
 	}
--- a/coordination/documents/rollout.go
+++ b/coordination/documents/rollout.go
@@ -10,13 +10,13 @@
 
 // RolloutConfig tunes a Rollout.
 type RolloutConfig struct {
-	Window   int           // daemons asked at one time
-	AskEvery time.Duration // time between questions to one that lags
+	BatchSize    int           // daemons asked at one time
+	PollInterval time.Duration // time between questions to one that lags
 }
 
 // DefaultRolloutConfig returns the values used by a daemon.
 func DefaultRolloutConfig() RolloutConfig {
-	return RolloutConfig{Window: 64, AskEvery: 250 * time.Millisecond}
+	return RolloutConfig{BatchSize: 64, PollInterval: 250 * time.Millisecond}
 }
 
 // Rollout waits until all live daemons have a version of a service in force; it
@@ -53,29 +53,29 @@
 }
 
 // Heard takes a daemon's answer.
-func (r *Rollout) Heard(from state.Member, msg InForce) {
+func (r *Rollout) HandleResponse(from state.Member, msg VersionResponse) {
 	if msg.Service == r.service && msg.Version >= r.version {
 		delete(r.lagging, from)
 	}
 }
 
 // Gone drops a daemon that died or left: what it had no longer matters.
-func (r *Rollout) Gone(m state.Member) {
+func (r *Rollout) Remove(m state.Member) {
 	delete(r.lagging, m)
 }
 
 // Ask returns the questions that are due, to be called every AskEvery or so.
-func (r *Rollout) Ask(now time.Time) []Send {
+func (r *Rollout) NextRequests(now time.Time) []Send {
 	var out []Send
 	for _, m := range r.Lagging() {
-		if len(out) == r.cfg.Window {
+		if len(out) == r.cfg.BatchSize {
 			break
 		}
-		if now.Sub(r.lagging[m]) < r.cfg.AskEvery {
+		if now.Sub(r.lagging[m]) < r.cfg.PollInterval {
 			continue
 		}
 		r.lagging[m] = now
-		out = append(out, Send{To: m, Msg: InForceAsk{Service: r.service}})
+		out = append(out, Send{To: m, Msg: VersionRequest{Service: r.service}})
 	}
 	return out
 }
--- a/coordination/documents/spread.go
+++ b/coordination/documents/spread.go
@@ -14,7 +14,7 @@
 	msg := Announce{Service: id, Version: h.record.Version, EditID: h.record.EditID, Patch: h.patch}
 	fanout := d.cfg.Fanout
 	if from == d.self {
-		fanout = d.cfg.FirstFanout
+		fanout = d.cfg.OriginFanout
 	}
 	for _, m := range d.pick(fanout, from) {
 		d.send(m, msg)
@@ -53,9 +53,9 @@
 		for _, doc := range msg.Docs {
 			d.adopt(doc.Service, recordOf(doc), 0, from)
 		}
-	case InForceAsk:
-		d.send(from, InForce{Service: msg.Service, Version: d.version(msg.Service)})
-	case InForce:
+	case VersionRequest:
+		d.send(from, VersionResponse{Service: msg.Service, Version: d.version(msg.Service)})
+	case VersionResponse:
 		// For a Rollout; see there.
 	}
 }
@@ -75,8 +75,8 @@
 // compare has two daemons with differing digests tell each other what they
 // have. It waits while gossip may still be on its way.
 func (d *Documents) compare(from state.Member, msg Digest) {
-	quiet := d.now.Sub(d.adoptedAt) >= d.cfg.Quiet
-	due := d.now.Sub(d.comparing) >= d.cfg.CompareEvery
+	quiet := d.now.Sub(d.adoptedAt) >= d.cfg.QuietPeriod
+	due := d.now.Sub(d.comparing) >= d.cfg.CompareInterval
 	if msg.Hash == d.hash || !quiet || !due {
 		return
 	}
@@ -107,7 +107,7 @@
 			return
 		}
 	}
-	if msg.Version <= d.wanted[msg.Service] && d.now.Sub(d.pulledAt) < d.cfg.CompareEvery {
+	if msg.Version <= d.wanted[msg.Service] && d.now.Sub(d.pulledAt) < d.cfg.CompareInterval {
 		return // asked for already; repull asks again if that was lost
 	}
 	d.want(msg.Service, msg.Version)
@@ -145,7 +145,7 @@
 // repull asks another daemon, and the store, for what a lost message or a dead
 // peer left wanted.
 func (d *Documents) repull() {
-	if len(d.wanted) == 0 || d.now.Sub(d.pulledAt) < d.cfg.CompareEvery {
+	if len(d.wanted) == 0 || d.now.Sub(d.pulledAt) < d.cfg.CompareInterval {
 		return
 	}
 	for _, m := range d.pick(1, state.Member{}) {
--- a/daemon/documents.go
+++ b/daemon/documents.go
@@ -24,7 +24,7 @@
 
 func newDocumentsPart(c *control) *documentsPart {
 	cfg := documents.DefaultConfig()
-	cfg.PollEvery = c.d.set.Store.DigestInterval.Std()
+	cfg.PollInterval = c.d.set.Store.DigestInterval.Std()
 	cfg.IsolateAfter = c.d.set.IsolationBound.Std()
 	return &documentsPart{
 		c:       c,
@@ -48,10 +48,10 @@
 func (p *documentsPart) carryOut(a documents.Action) {
 	switch a := a.(type) {
 	case documents.CallStore:
-		p.c.store.do(a.Call, func(res store.Result) { p.step(documents.Answered{Result: res}) })
+		p.c.store.do(a.Call, func(res store.Result) { p.step(documents.StoreResult{Result: res}) })
 	case documents.Send:
 		p.c.d.send(p.c.members.address(a.To.ID), a.Msg)
-	case documents.Adopted:
+	case documents.Applied:
 		p.adopt(a.Doc)
 	case documents.EditAnswered:
 		p.answer(a)
@@ -102,7 +102,7 @@
 func (p *documentsPart) apply(e caller.Edit, id state.ServiceID, deadline time.Time, answer chan<- caller.EditResult) {
 	p.last++
 	p.waiting[p.last] = answer
-	p.step(documents.Apply{
+	p.step(documents.SubmitEdit{
 		ID: p.last, Service: id, Base: e.Base, EditID: e.EditID, Text: e.Text, Deadline: deadline,
 	})
 }
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -183,5 +183,5 @@
 	others := lo.FilterMap(p.live(), func(i membership.Info, _ int) (state.Member, bool) {
 		return i.Member, i.Member.ID != p.self.Member.ID
 	})
-	p.c.documents.step(documents.Reach{Live: others, Known: p.view.Reach.Known})
+	p.c.documents.step(documents.Members{Live: others, Known: p.view.Reach.Known})
 }
--- a/daemon/messages.go
+++ b/daemon/messages.go
@@ -47,8 +47,8 @@
 	peer.Register[documents.Docs](r, kindDocuments+2)
 	peer.Register[documents.Pull](r, kindDocuments+3)
 	peer.Register[documents.Versions](r, kindDocuments+4)
-	peer.Register[documents.InForceAsk](r, kindDocuments+5)
-	peer.Register[documents.InForce](r, kindDocuments+6)
+	peer.Register[documents.VersionRequest](r, kindDocuments+5)
+	peer.Register[documents.VersionResponse](r, kindDocuments+6)
 
 	peer.Register[home.SlotRequest](r, kindHome)
 	peer.Register[home.SlotGrant](r, kindHome+1)
--- a/scenario/command.go
+++ b/scenario/command.go
@@ -124,7 +124,7 @@
 	if n.docs == nil {
 		return fmt.Errorf("this site keeps no documents; begin with: site documents")
 	}
-	n.edit(documents.Apply{
+	n.edit(documents.SubmitEdit{
 		Service: state.ServiceID(a.word(0)), Base: state.DocumentVersion(base),
 		EditID: a.text("id", "edit"), Text: []byte(a.text("text", "")),
 	})
@@ -137,7 +137,7 @@
 		if n.docs == nil || n.dead {
 			continue
 		}
-		v := n.docs.InForce()
+		v := n.docs.ActiveVersions()
 		line := n.name
 		for _, id := range sortedServices(v) {
 			line += fmt.Sprintf(" %s=%d", id, v[id])
--- a/scenario/documents.go
+++ b/scenario/documents.go
@@ -36,7 +36,7 @@
 			live = append(live, o.member)
 		}
 	}
-	n.stepDocuments(documents.Reach{Live: live, Known: len(n.w.nodes)})
+	n.stepDocuments(documents.Members{Live: live, Known: len(n.w.nodes)})
 	if len(live) > 0 {
 		n.sendDocuments(live[n.w.rng.IntN(len(live))], n.docs.Digest())
 	}
@@ -53,7 +53,7 @@
 			n.callStore(a.Call)
 		case documents.Send:
 			n.sendDocuments(a.To, a.Msg)
-		case documents.Adopted:
+		case documents.Applied:
 			n.w.say("%s has %s version %d in force: %s", n.name, a.Doc.Service, a.Doc.Version, a.Doc.Text)
 		case documents.EditAnswered:
 			n.edited(a)
@@ -69,7 +69,7 @@
 
 func (n *node) callStore(c store.Call) {
 	answer := func(res store.Result) {
-		n.do(func() { n.stepDocuments(documents.Answered{Result: res}) })
+		n.do(func() { n.stepDocuments(documents.StoreResult{Result: res}) })
 	}
 	if n.cut {
 		n.w.after(storeWait, func() { answer(store.Result{Call: c.ID}) })
@@ -91,7 +91,7 @@
 }
 
 // edit has an operator send an edit to the daemon.
-func (n *node) edit(e documents.Apply) {
+func (n *node) edit(e documents.SubmitEdit) {
 	n.w.seq++
 	e.ID = uint64(n.w.seq)
 	e.Deadline = n.w.now.Add(editWait)
