--- a/coordination/following/following.go
+++ b/coordination/following/following.go
@@ -10,13 +10,13 @@
 
 const (
 	// Followers is how many daemons follow a feed: one more than may fail at once.
-	Followers = 2
+	FollowerCount = 2
 	// AnnounceInterval is how often a follower tells what it knows where nothing changes.
 	AnnounceInterval = 500 * time.Millisecond
 	// TrustFor is how long a follower's announcement stands: two that are lost cost a read.
-	TrustFor = 1200 * time.Millisecond
+	AnnouncementTTL = 1200 * time.Millisecond
 	// forgetAfter is how long the last announcement of a follower is kept.
-	forgetAfter = 10 * TrustFor
+	forgetAfter = 10 * AnnouncementTTL
 	// behindFor is how long changes that a follower has told of may be on their way.
 	behindFor = 150 * time.Millisecond
 	// restFor is how long a daemon that follows for nobody goes by what the store has
@@ -36,32 +36,32 @@
 // The values of Mode.
 const (
 	// ByStore: the daemon follows the store itself.
-	ByStore Mode = iota
+	ModeStore Mode = iota
 	// BySeldom: the same, but a store that does not answer is asked seldom, since
 	// followers ask it often.
-	BySeldom
+	ModeStoreReduced
 	// ByPeers: followers tell it.
-	ByPeers
+	ModePeers
 	// Resting: the store has just said what is known, and nobody need be asked yet.
-	Resting
+	ModeCooldown
 )
 
 // Announcement is what a follower tells of a feed.
 type Announcement struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
-	Root     state.Member  `msgpack:"root"` // the follower
-	Feed     string        `msgpack:"feed"`
-	Sent     time.Duration `msgpack:"sent"`     // by the follower's steady clock
-	Revision uint64        `msgpack:"revision"` // up to which the feed is known
-	Changed  uint64        `msgpack:"changed"`  // no row changed after it, up to Revision
-	Age      time.Duration `msgpack:"age"`      // since the store last answered
-	Failing  bool          `msgpack:"failing"`  // the store does not answer the follower
+	Origin       state.Member  `msgpack:"root"` // the follower
+	Feed         string        `msgpack:"feed"`
+	Sent         time.Duration `msgpack:"sent"`     // by the follower's steady clock
+	Revision     uint64        `msgpack:"revision"` // up to which the feed is known
+	LastChange   uint64        `msgpack:"changed"`  // no row changed after it, up to Revision
+	StoreAge     time.Duration `msgpack:"age"`      // since the store last answered
+	StoreFailing bool          `msgpack:"failing"`  // the store does not answer the follower
 	// Recovered is how long the store answers again after a failure; 0 for always.
-	Recovered time.Duration `msgpack:"recovered"`
+	RecoveredFor time.Duration `msgpack:"recovered"`
 	// Rows are the rows that changed after After, encoded; empty for none.
-	After uint64 `msgpack:"after"`
-	Rows  []byte `msgpack:"rows"`
+	RowsAfter uint64 `msgpack:"after"`
+	Rows      []byte `msgpack:"rows"`
 }
 
 // Daemon is one that takes part.
@@ -70,17 +70,17 @@
 	Domain state.FailureDomain
 	// Steady is false for one that is suspected or about to stop: it is told, but
 	// follows for nobody.
-	Steady bool
+	Eligible bool
 }
 
 // Verdict is what to do with what was told.
-type Verdict int
+type ReceiveResult int
 
 // The values of Verdict.
 const (
-	Known   Verdict = iota // nothing is new
-	Advance                // no row changed, but the revision is higher
-	Apply                  // its rows are the next ones
+	ResultIgnore  ReceiveResult = iota // nothing is new
+	ResultAdvance                      // no row changed, but the revision is higher
+	ResultApply                        // its rows are the next ones
 )
 
 // Machine is one daemon's part in one feed. It is not safe for use by several
@@ -125,7 +125,7 @@
 }
 
 // Members takes up who takes part, by ID and with this daemon among them.
-func (m *Machine) Members(daemons []Daemon) {
+func (m *Machine) SetMembers(daemons []Daemon) {
 	m.daemons = daemons
 	m.chosen = choose(daemons)
 }
@@ -138,7 +138,7 @@
 	for i := len(daemons) - 1; i >= 0; i-- {
 		d := daemons[i]
 		switch {
-		case !d.Steady:
+		case !d.Eligible:
 		case used[d.Domain]:
 			rest = append(rest, d.ID)
 		default:
@@ -147,11 +147,11 @@
 		}
 	}
 	out = append(out, rest...)
-	return out[:min(len(out), Followers)]
+	return out[:min(len(out), FollowerCount)]
 }
 
 // Follows reports whether this daemon follows the feed for others.
-func (m *Machine) Follows() bool {
+func (m *Machine) IsFollower() bool {
 	for _, id := range m.chosen {
 		if id == m.self.ID {
 			return true
@@ -162,29 +162,29 @@
 
 // Mode says how this daemon is to learn of changes.
 func (m *Machine) Mode(now time.Time) Mode {
-	if !m.known || m.Announces(now) || m.overdue(now) {
-		return ByStore
+	if !m.known || m.IsAnnouncing(now) || m.overdue(now) {
+		return ModeStore
 	}
 	failing, old := false, false
 	for id, h := range m.heard {
 		switch {
-		case now.Sub(h.at) > TrustFor:
+		case now.Sub(h.at) > AnnouncementTTL:
 		case !h.failing && now.Sub(h.at)+h.age <= m.fresh:
-			return ByPeers
+			return ModePeers
 		case m.isChosen(id):
 			failing = failing || h.failing
 			old = old || !h.failing
 		}
 	}
 	switch {
-	case now.Sub(m.asked.at) <= TrustFor && now.Sub(m.asked.at)+m.asked.age <= m.fresh:
-		return ByPeers
+	case now.Sub(m.asked.at) <= AnnouncementTTL && now.Sub(m.asked.at)+m.asked.age <= m.fresh:
+		return ModePeers
 	case failing && !old:
-		return BySeldom // where one merely waits for an answer, the store may be well
+		return ModeStoreReduced // where one merely waits for an answer, the store may be well
 	case !failing && !m.failing && now.Sub(m.answered) < restFor:
-		return Resting
+		return ModeCooldown
 	}
-	return ByStore
+	return ModeStore
 }
 
 // overdue reports whether changes that a follower has told of are overdue.
@@ -194,14 +194,14 @@
 
 // Overdue is the revision that this daemon has been told of and still lacks; false if it
 // lacks none.
-func (m *Machine) Overdue(now time.Time) (uint64, bool) {
+func (m *Machine) OverdueRevision(now time.Time) (uint64, bool) {
 	return m.wanted, m.known && m.overdue(now)
 }
 
 // SeldomWait is the time between two calls of a daemon in the mode BySeldom. It grows
 // with the daemons: each asking both feeds once a second, 195 of them would make over
 // 3,000 calls in an outage of 8 s (worked out).
-func (m *Machine) SeldomWait() time.Duration {
+func (m *Machine) ReducedPollInterval() time.Duration {
 	wait := time.Duration(float64(len(m.daemons)) / seldomRate * float64(time.Second))
 	return max(wait, seldomLeast)
 }
@@ -212,8 +212,8 @@
 
 // Announces reports whether this daemon follows for others now: it is chosen, or it has
 // stood in for the chosen ones and they are still missed.
-func (m *Machine) Announces(now time.Time) bool {
-	return m.Follows() || m.volunteer && m.missed(now)
+func (m *Machine) IsAnnouncing(now time.Time) bool {
+	return m.IsFollower() || m.volunteer && m.missed(now)
 }
 
 // missed reports whether this daemon, if the store answers it, is to stand in for the
@@ -226,7 +226,7 @@
 	failing := false
 	for id, h := range m.heard {
 		switch {
-		case now.Sub(h.at) > TrustFor:
+		case now.Sub(h.at) > AnnouncementTTL:
 		case !h.failing && (m.isChosen(id) || id > m.self.ID):
 			return false
 		case h.failing && m.isChosen(id):
@@ -238,20 +238,20 @@
 
 // Leads reports whether this daemon is the one that passes rows on: the first of the
 // chosen ones that the store answers, or one in their place.
-func (m *Machine) Leads(now time.Time) bool {
+func (m *Machine) SendsRows(now time.Time) bool {
 	for _, id := range m.chosen {
 		if id == m.self.ID {
 			return true
 		}
-		if h, ok := m.heard[id]; ok && !h.failing && now.Sub(h.at) <= TrustFor {
+		if h, ok := m.heard[id]; ok && !h.failing && now.Sub(h.at) <= AnnouncementTTL {
 			return false
 		}
 	}
-	return m.Announces(now)
+	return m.IsAnnouncing(now)
 }
 
 // Answered notes an answer of the store, with all changes up to a revision.
-func (m *Machine) Answered(now time.Time, revision uint64, changes bool) {
+func (m *Machine) StoreAnswered(now time.Time, revision uint64, changes bool) {
 	if m.failing {
 		m.recovered = now
 	}
@@ -260,20 +260,20 @@
 	}
 	m.failing = false
 	m.answered = now
-	m.volunteer = !m.Follows() && m.missed(now)
-	m.Advanced(revision, changes)
+	m.volunteer = !m.IsFollower() && m.missed(now)
+	m.AdvanceTo(revision, changes)
 }
 
 // Given notes that the whole feed was taken from another daemon, as the store said it
 // some time ago.
-func (m *Machine) Given(now time.Time, revision uint64, age time.Duration) {
+func (m *Machine) LoadedFromPeer(now time.Time, revision uint64, age time.Duration) {
 	m.asked = heard{at: now, age: age}
 	m.answered = now.Add(-age)
-	m.Advanced(revision, true)
+	m.AdvanceTo(revision, true)
 }
 
 // Advanced notes that the feed is known up to a revision.
-func (m *Machine) Advanced(revision uint64, changes bool) {
+func (m *Machine) AdvanceTo(revision uint64, changes bool) {
 	m.known = true
 	if changes {
 		m.changed = max(m.changed, revision)
@@ -286,18 +286,18 @@
 
 // Confirmed notes that another daemon knows the feed up to a revision, with no change
 // after what is known here, as the store said it some time ago.
-func (m *Machine) Confirmed(now time.Time, revision uint64, age time.Duration) {
+func (m *Machine) ConfirmedByPeer(now time.Time, revision uint64, age time.Duration) {
 	m.asked = heard{at: now, age: age}
 	if at := now.Add(-age); at.After(m.answered) {
 		m.answered = at
 	}
 	if m.known {
-		m.Advanced(revision, false)
+		m.AdvanceTo(revision, false)
 	}
 }
 
 // Failed notes that the store did not answer this daemon.
-func (m *Machine) Failed(now time.Time) {
+func (m *Machine) StoreFailed(now time.Time) {
 	if !m.failing {
 		m.nextAnnounce = now
 	}
@@ -306,63 +306,63 @@
 }
 
 // Failing reports whether the store is not known to answer anybody.
-func (m *Machine) Failing(now time.Time) bool {
-	return m.failing || m.Mode(now) == BySeldom
+func (m *Machine) StoreFailing(now time.Time) bool {
+	return m.failing || m.Mode(now) == ModeStoreReduced
 }
 
 // Revision is up to where the feed is known; false before the first answer.
 func (m *Machine) Revision() (uint64, bool) { return m.revision, m.known }
 
 // Changed is the revision after which no row has changed.
-func (m *Machine) Changed() uint64 { return m.changed }
+func (m *Machine) LastChange() uint64 { return m.changed }
 
 // IsNew reports whether an announcement is newer than the last one that was heard of its
 // follower, and is to be passed on. Daemons whose views differ, as at a start, have different
 // trees, in which an announcement may come back to one that has passed it on.
 func (m *Machine) IsNew(t Announcement) bool {
-	if t.Root.ID == m.self.ID {
+	if t.Origin.ID == m.self.ID {
 		return false
 	}
-	h, ok := m.heard[t.Root.ID]
-	if !ok || t.Root.Incarnation > h.life {
+	h, ok := m.heard[t.Origin.ID]
+	if !ok || t.Origin.Incarnation > h.life {
 		return true
 	}
-	return t.Root.Incarnation == h.life && t.Sent > h.sent
+	return t.Origin.Incarnation == h.life && t.Sent > h.sent
 }
 
 // Received takes a follower's announcement. Where the verdict is not Known, Advanced is to be
 // called with its revision once its rows are applied.
-func (m *Machine) Received(now time.Time, t Announcement) Verdict {
+func (m *Machine) Receive(now time.Time, t Announcement) ReceiveResult {
 	m.forgetSilent(now)
 	if m.IsNew(t) {
 		m.note(now, t)
 	}
 	switch {
 	case !m.known || t.Revision <= m.revision:
-		return Known
-	case m.revision >= t.Changed:
-		return Advance
-	case len(t.Rows) > 0 && m.revision >= t.After:
-		return Apply
+		return ResultIgnore
+	case m.revision >= t.LastChange:
+		return ResultAdvance
+	case len(t.Rows) > 0 && m.revision >= t.RowsAfter:
+		return ResultApply
 	}
 	if m.behind.IsZero() {
 		m.behind = now
 	}
-	m.wanted = max(m.wanted, t.Changed)
-	return Known
+	m.wanted = max(m.wanted, t.LastChange)
+	return ResultIgnore
 }
 
 // note keeps what an announcement says of its follower. A clock's reading less the other's is
 // least where an announcement was not held up: what it is more is the time that it took.
 func (m *Machine) note(now time.Time, t Announcement) {
 	took := now.Sub(m.born) - t.Sent
-	h, ok := m.heard[t.Root.ID]
-	if !ok || h.life != t.Root.Incarnation {
-		h = &heard{life: t.Root.Incarnation, shortest: took}
-		m.heard[t.Root.ID] = h
+	h, ok := m.heard[t.Origin.ID]
+	if !ok || h.life != t.Origin.Incarnation {
+		h = &heard{life: t.Origin.Incarnation, shortest: took}
+		m.heard[t.Origin.ID] = h
 	}
 	h.shortest = min(h.shortest, took)
-	h.sent, h.at, h.age, h.failing = t.Sent, now, t.Age+took-h.shortest, t.Failing
+	h.sent, h.at, h.age, h.failing = t.Sent, now, t.StoreAge+took-h.shortest, t.StoreFailing
 }
 
 // forgetSilent drops the followers of which nothing new was heard for long. One whose
@@ -390,38 +390,38 @@
 // Announce returns what this daemon is to tell the others now, if it is to. Rows and
 // After are the caller's.
 func (m *Machine) Announce(now time.Time) (Announcement, bool) {
-	if !m.known || !m.Announces(now) || len(m.daemons) < 2 || now.Before(m.nextAnnounce) {
+	if !m.known || !m.IsAnnouncing(now) || len(m.daemons) < 2 || now.Before(m.nextAnnounce) {
 		return Announcement{}, false
 	}
 	m.nextAnnounce = now.Add(AnnounceInterval)
 	t := Announcement{
-		Root: m.self, Feed: m.feed, Sent: now.Sub(m.born), Revision: m.revision, Changed: m.changed,
-		Age: now.Sub(m.answered), Failing: m.failing,
+		Origin: m.self, Feed: m.feed, Sent: now.Sub(m.born), Revision: m.revision, LastChange: m.changed,
+		StoreAge: now.Sub(m.answered), StoreFailing: m.failing,
 	}
 	if !m.recovered.IsZero() {
-		t.Recovered = now.Sub(m.recovered)
+		t.RecoveredFor = now.Sub(m.recovered)
 	}
 	return t, true
 }
 
 // NextTick is when Announce is due or Mode may change by itself; zero for never.
 func (m *Machine) NextTick(now time.Time) time.Time {
-	if !m.known || len(m.daemons) < 2 && m.Mode(now) != Resting {
+	if !m.known || len(m.daemons) < 2 && m.Mode(now) != ModeCooldown {
 		return time.Time{}
 	}
-	if m.Announces(now) {
+	if m.IsAnnouncing(now) {
 		return m.nextAnnounce
 	}
 	var next time.Time
 	switch m.Mode(now) {
-	case ByPeers:
+	case ModePeers:
 		for _, h := range m.heard {
 			if !h.failing {
-				next = later(next, h.at.Add(min(TrustFor, m.fresh-h.age)))
+				next = later(next, h.at.Add(min(AnnouncementTTL, m.fresh-h.age)))
 			}
 		}
-		next = later(next, m.asked.at.Add(min(TrustFor, m.fresh-m.asked.age)))
-	case Resting:
+		next = later(next, m.asked.at.Add(min(AnnouncementTTL, m.fresh-m.asked.age)))
+	case ModeCooldown:
 		next = m.answered.Add(restFor)
 	default:
 		return time.Time{}
--- a/coordination/following/following_test.go
+++ b/coordination/following/following_test.go
@@ -25,7 +25,7 @@
 	var out []following.Daemon
 	for i := range 7 {
 		out = append(out, following.Daemon{
-			ID: state.DaemonID(fmt.Sprintf("g%d", i)), Domain: state.FailureDomain(fmt.Sprint(i % 3)), Steady: true,
+			ID: state.DaemonID(fmt.Sprintf("g%d", i)), Domain: state.FailureDomain(fmt.Sprint(i % 3)), Eligible: true,
 		})
 	}
 	return out
@@ -36,7 +36,7 @@
 	var out []following.Daemon
 	for i := range n {
 		out = append(out, following.Daemon{
-			ID: state.DaemonID(fmt.Sprintf("g%03d", i)), Domain: state.FailureDomain(fmt.Sprint(i % 5)), Steady: true,
+			ID: state.DaemonID(fmt.Sprintf("g%03d", i)), Domain: state.FailureDomain(fmt.Sprint(i % 5)), Eligible: true,
 		})
 	}
 	return out
@@ -44,15 +44,15 @@
 
 func machine(id state.DaemonID) *following.Machine {
 	m := following.New(state.Member{ID: id, Incarnation: 1}, "servers", fresh, start)
-	m.Members(seven())
+	m.SetMembers(seven())
 	return m
 }
 
 // announcement is one of g6, whose clock shows what at does.
 func announcement(d time.Duration, revision, changed uint64) following.Announcement {
 	return following.Announcement{
-		Root: state.Member{ID: "g6", Incarnation: 1}, Feed: "servers",
-		Sent: d, Revision: revision, Changed: changed,
+		Origin: state.Member{ID: "g6", Incarnation: 1}, Feed: "servers",
+		Sent: d, Revision: revision, LastChange: changed,
 	}
 }
 
@@ -61,94 +61,94 @@
 
 	BeforeEach(func() {
 		m = machine("g0")
-		m.Answered(at(0), 10, true)
+		m.StoreAnswered(at(0), 10, true)
 	})
 
 	It("is done by two daemons of different failure domains", func() {
 		follow := 0
 		for i := range 7 {
-			if machine(state.DaemonID(fmt.Sprintf("g%d", i))).Follows() {
+			if machine(state.DaemonID(fmt.Sprintf("g%d", i))).IsFollower() {
 				follow++
 			}
 		}
-		Expect(follow).To(Equal(following.Followers))
-		Expect(machine("g6").Follows()).To(BeTrue())
-		Expect(machine("g5").Follows()).To(BeTrue())
+		Expect(follow).To(Equal(following.FollowerCount))
+		Expect(machine("g6").IsFollower()).To(BeTrue())
+		Expect(machine("g5").IsFollower()).To(BeTrue())
 	})
 
 	It("is left to others by one that is about to stop", func() {
 		daemons := seven()
-		daemons[6].Steady = false
+		daemons[6].Eligible = false
 		m := machine("g6")
-		m.Members(daemons)
-		Expect(m.Follows()).To(BeFalse())
+		m.SetMembers(daemons)
+		Expect(m.IsFollower()).To(BeFalse())
 	})
 
 	It("spares the others their calls", func() {
-		Expect(m.Mode(at(time.Second))).To(Equal(following.ByStore))
-		m.Received(at(time.Second), announcement(time.Second, 10, 10))
-		Expect(m.Mode(at(time.Second))).To(Equal(following.ByPeers))
+		Expect(m.Mode(at(time.Second))).To(Equal(following.ModeStore))
+		m.Receive(at(time.Second), announcement(time.Second, 10, 10))
+		Expect(m.Mode(at(time.Second))).To(Equal(following.ModePeers))
 	})
 
 	It("begins with the store where nothing is known", func() {
 		m = machine("g0")
-		m.Received(at(time.Second), announcement(time.Second, 10, 10))
-		Expect(m.Mode(at(time.Second))).To(Equal(following.ByStore))
+		m.Receive(at(time.Second), announcement(time.Second, 10, 10))
+		Expect(m.Mode(at(time.Second))).To(Equal(following.ModeStore))
 	})
 
 	// A configuration is accepted, and one daemon goes on by the old one. Cause: both
 	// followers are gone, and it waits for their announcement.
 	It("asks the store once followers fall silent", Label("failure:follower-silent"), func() {
-		m.Received(at(0), announcement(0, 10, 10))
-		Expect(m.Mode(at(following.TrustFor))).To(Equal(following.ByPeers))
-		Expect(m.Mode(at(following.TrustFor + time.Millisecond))).To(Equal(following.ByStore))
+		m.Receive(at(0), announcement(0, 10, 10))
+		Expect(m.Mode(at(following.AnnouncementTTL))).To(Equal(following.ModePeers))
+		Expect(m.Mode(at(following.AnnouncementTTL + time.Millisecond))).To(Equal(following.ModeStore))
 	})
 
 	// The same, while a follower is heard: its own connection to the store has gone
 	// silent, and it tells what it knew.
 	It("asks the store once a follower's view is old", Label("failure:follower-stale"), func() {
 		t := announcement(time.Second, 10, 10)
-		t.Age = fresh - 100*time.Millisecond
-		m.Received(at(time.Second), t)
-		Expect(m.Mode(at(1100 * time.Millisecond))).To(Equal(following.ByPeers))
-		Expect(m.Mode(at(1101 * time.Millisecond))).To(Equal(following.ByStore))
+		t.StoreAge = fresh - 100*time.Millisecond
+		m.Receive(at(time.Second), t)
+		Expect(m.Mode(at(1100 * time.Millisecond))).To(Equal(following.ModePeers))
+		Expect(m.Mode(at(1101 * time.Millisecond))).To(Equal(following.ModeStore))
 	})
 
 	// The same, while announcements come that say that they are fresh: the follower's link
 	// holds them up for three seconds, all alike.
 	It("asks the store where a follower's announcements are held up", Label("failure:follower-delayed"), func() {
-		m.Received(at(0), announcement(0, 10, 10))
+		m.Receive(at(0), announcement(0, 10, 10))
 		for i := range 4 {
 			sent := time.Duration(i+1) * time.Second
-			m.Received(at(sent+3*time.Second), announcement(sent, 10, 10))
+			m.Receive(at(sent+3*time.Second), announcement(sent, 10, 10))
 		}
-		Expect(m.Mode(at(7 * time.Second))).To(Equal(following.ByStore))
+		Expect(m.Mode(at(7 * time.Second))).To(Equal(following.ModeStore))
 	})
 
 	It("takes a new life of a follower with its own clock", func() {
-		m.Received(at(0), announcement(0, 10, 10))
+		m.Receive(at(0), announcement(0, 10, 10))
 		t := announcement(time.Millisecond, 10, 10)
-		t.Root.Incarnation = 2
-		m.Received(at(time.Minute), t)
-		Expect(m.Mode(at(time.Minute))).To(Equal(following.ByPeers))
+		t.Origin.Incarnation = 2
+		m.Receive(at(time.Minute), t)
+		Expect(m.Mode(at(time.Minute))).To(Equal(following.ModePeers))
 	})
 
 	// Guards against a follower that is not heard any more once its time of day has gone back.
 	It("takes a life of a follower with a lower number once the former one is silent", Label("failure:follower-clock-back"), func() {
 		former, again := announcement(0, 10, 10), announcement(0, 10, 10)
-		former.Root.Incarnation = 2
-		m.Received(at(0), former)
-		m.Received(at(time.Second), again)
+		former.Origin.Incarnation = 2
+		m.Receive(at(0), former)
+		m.Receive(at(time.Second), again)
 		Expect(m.IsNew(again)).To(BeFalse(), "it may be an announcement of the former life that went round")
-		m.Received(at(13*time.Second), again)
-		Expect(m.Mode(at(13 * time.Second))).To(Equal(following.ByPeers))
+		m.Receive(at(13*time.Second), again)
+		Expect(m.Mode(at(13 * time.Second))).To(Equal(following.ModePeers))
 	})
 
 	It("asks a store seldom that does not answer followers", func() {
 		t := announcement(0, 10, 10)
-		t.Failing = true
-		m.Received(at(0), t)
-		Expect(m.Mode(at(0))).To(Equal(following.BySeldom))
+		t.StoreFailing = true
+		m.Receive(at(0), t)
+		Expect(m.Mode(at(0))).To(Equal(following.ModeStoreReduced))
 	})
 
 	// The store answers neither follower: one has found it out, the other one's connection
@@ -156,13 +156,13 @@
 	// its turn as if the store were known to answer nobody.
 	It("asks the store at once where one follower fails and the other's view is old", Label("failure:follower-stale"), func() {
 		failing, silent := announcement(0, 10, 10), announcement(0, 10, 10)
-		failing.Root.ID, failing.Failing = "g5", true
-		silent.Age = fresh - 100*time.Millisecond
-		m.Received(at(time.Second), failing)
+		failing.Origin.ID, failing.StoreFailing = "g5", true
+		silent.StoreAge = fresh - 100*time.Millisecond
+		m.Receive(at(time.Second), failing)
 		silent.Sent = time.Second
-		m.Received(at(time.Second), silent)
-		Expect(m.Mode(at(1100 * time.Millisecond))).To(Equal(following.ByPeers))
-		Expect(m.Mode(at(1101 * time.Millisecond))).To(Equal(following.ByStore))
+		m.Receive(at(time.Second), silent)
+		Expect(m.Mode(at(1100 * time.Millisecond))).To(Equal(following.ModePeers))
+		Expect(m.Mode(at(1101 * time.Millisecond))).To(Equal(following.ModeStore))
 	})
 
 	// The store is away for 8 s, and each of 195 daemons asks it once a second: over
@@ -170,38 +170,38 @@
 	It("asks such a store no oftener in all where daemons are many", Label("failure:outage-asked-by-all"), func() {
 		for _, n := range []int{7, 80, 195, 420} {
 			m := following.New(state.Member{ID: "g000"}, "servers", fresh, start)
-			m.Members(many(n))
-			perSecond := float64(n) / m.SeldomWait().Seconds()
+			m.SetMembers(many(n))
+			perSecond := float64(n) / m.ReducedPollInterval().Seconds()
 			Expect(perSecond).To(BeNumerically("<=", 7))
-			Expect(m.SeldomWait()).To(BeNumerically(">=", time.Second))
+			Expect(m.ReducedPollInterval()).To(BeNumerically(">=", time.Second))
 		}
 	})
 
 	It("rests for a moment after the store's own answer", func() {
-		Expect(m.Mode(at(500 * time.Millisecond))).To(Equal(following.Resting))
+		Expect(m.Mode(at(500 * time.Millisecond))).To(Equal(following.ModeCooldown))
 		Expect(m.NextTick(at(500 * time.Millisecond))).To(Equal(at(700 * time.Millisecond)))
-		Expect(m.Mode(at(700 * time.Millisecond))).To(Equal(following.ByStore))
+		Expect(m.Mode(at(700 * time.Millisecond))).To(Equal(following.ModeStore))
 	})
 
 	It("goes by the age of what another daemon gave", func() {
 		m = machine("g0")
-		m.Given(at(time.Second), 12, 600*time.Millisecond)
+		m.LoadedFromPeer(at(time.Second), 12, 600*time.Millisecond)
 		revision, known := m.Revision()
 		Expect(known).To(BeTrue())
 		Expect(revision).To(Equal(uint64(12)))
-		Expect(m.Mode(at(1050 * time.Millisecond))).To(Equal(following.ByPeers))
-		Expect(m.Mode(at(2200 * time.Millisecond))).To(Equal(following.ByPeers))
-		Expect(m.Mode(at(2201 * time.Millisecond))).To(Equal(following.ByStore))
+		Expect(m.Mode(at(1050 * time.Millisecond))).To(Equal(following.ModePeers))
+		Expect(m.Mode(at(2200 * time.Millisecond))).To(Equal(following.ModePeers))
+		Expect(m.Mode(at(2201 * time.Millisecond))).To(Equal(following.ModeStore))
 	})
 
 	// After a cut of a third of 195 daemons their views of each other differ for a while,
 	// announcements reach some of them seldom, and each of these asks the store every 0.7 s. Cause:
 	// what another daemon has heard a moment ago is not asked for.
 	It("goes by what another daemon has heard as by an announcement", Label("failure:words-pass-by"), func() {
-		m.Confirmed(at(2*time.Second), 14, fresh-300*time.Millisecond)
-		Expect(m.Mode(at(2300 * time.Millisecond))).To(Equal(following.ByPeers))
+		m.ConfirmedByPeer(at(2*time.Second), 14, fresh-300*time.Millisecond)
+		Expect(m.Mode(at(2300 * time.Millisecond))).To(Equal(following.ModePeers))
 		Expect(m.NextTick(at(2100 * time.Millisecond))).To(Equal(at(2300 * time.Millisecond)))
-		Expect(m.Mode(at(2301*time.Millisecond))).To(Equal(following.ByStore), "that was too long ago")
+		Expect(m.Mode(at(2301*time.Millisecond))).To(Equal(following.ModeStore), "that was too long ago")
 		revision, _ := m.Revision()
 		Expect(revision).To(Equal(uint64(14)))
 	})
@@ -212,25 +212,25 @@
 	It("tells all where the store answers it and not the followers", Label("failure:followers-refused"), func() {
 		for _, id := range []state.DaemonID{"g6", "g5"} {
 			t := announcement(0, 10, 10)
-			t.Root.ID, t.Failing = id, true
-			m.Received(at(0), t)
+			t.Origin.ID, t.StoreFailing = id, true
+			m.Receive(at(0), t)
 		}
 		_, tells := m.Announce(at(0))
 		Expect(tells).To(BeFalse())
-		m.Answered(at(100*time.Millisecond), 12, true)
+		m.StoreAnswered(at(100*time.Millisecond), 12, true)
 		t, tells := m.Announce(at(100 * time.Millisecond))
 		Expect(tells).To(BeTrue())
 		Expect(t.Revision).To(Equal(uint64(12)))
-		Expect(m.Leads(at(100*time.Millisecond))).To(BeTrue(), "its rows are the only ones")
+		Expect(m.SendsRows(at(100*time.Millisecond))).To(BeTrue(), "its rows are the only ones")
 		other := machine("g1")
-		other.Answered(at(0), 10, true)
-		other.Received(at(120*time.Millisecond), t)
-		Expect(other.Mode(at(300*time.Millisecond))).To(Equal(following.ByStore), "it lacks rows")
-		lacks, _ := other.Overdue(at(300 * time.Millisecond))
+		other.StoreAnswered(at(0), 10, true)
+		other.Receive(at(120*time.Millisecond), t)
+		Expect(other.Mode(at(300*time.Millisecond))).To(Equal(following.ModeStore), "it lacks rows")
+		lacks, _ := other.OverdueRevision(at(300 * time.Millisecond))
 		Expect(lacks).To(Equal(uint64(12)))
-		other.Advanced(12, true)
-		Expect(other.Mode(at(800 * time.Millisecond))).To(Equal(following.ByPeers))
-		m.Received(at(time.Second), announcement(time.Second, 12, 12))
+		other.AdvanceTo(12, true)
+		Expect(other.Mode(at(800 * time.Millisecond))).To(Equal(following.ModePeers))
+		m.Receive(at(time.Second), announcement(time.Second, 12, 12))
 		_, tells = m.Announce(at(2 * time.Second))
 		Expect(tells).To(BeFalse(), "the followers are served again")
 	})
@@ -241,87 +241,87 @@
 	It("leaves it to the last that stands in", Label("failure:all-stand-in"), func() {
 		for _, id := range []state.DaemonID{"g6", "g5"} {
 			t := announcement(0, 10, 10)
-			t.Root.ID, t.Failing = id, true
-			m.Received(at(0), t)
+			t.Origin.ID, t.StoreFailing = id, true
+			m.Receive(at(0), t)
 		}
-		m.Answered(at(100*time.Millisecond), 12, true)
+		m.StoreAnswered(at(100*time.Millisecond), 12, true)
 		other := announcement(0, 12, 12)
-		other.Root.ID = "g3"
-		m.Received(at(200*time.Millisecond), other)
-		Expect(m.Announces(at(200 * time.Millisecond))).To(BeFalse())
+		other.Origin.ID = "g3"
+		m.Receive(at(200*time.Millisecond), other)
+		Expect(m.IsAnnouncing(at(200 * time.Millisecond))).To(BeFalse())
 		first := machine("g4")
-		first.Answered(at(0), 10, true)
+		first.StoreAnswered(at(0), 10, true)
 		for _, id := range []state.DaemonID{"g6", "g5"} {
 			t := announcement(0, 10, 10)
-			t.Root.ID, t.Failing = id, true
-			first.Received(at(0), t)
+			t.Origin.ID, t.StoreFailing = id, true
+			first.Receive(at(0), t)
 		}
-		first.Answered(at(100*time.Millisecond), 12, true)
-		first.Received(at(200*time.Millisecond), other)
-		Expect(first.Announces(at(200 * time.Millisecond))).To(BeTrue())
+		first.StoreAnswered(at(100*time.Millisecond), 12, true)
+		first.Receive(at(200*time.Millisecond), other)
+		Expect(first.IsAnnouncing(at(200 * time.Millisecond))).To(BeTrue())
 	})
 
 	Describe("what a follower tells", func() {
 		It("advances where no row changed", func() {
-			Expect(m.Received(at(0), announcement(0, 15, 10))).To(Equal(following.Advance))
+			Expect(m.Receive(at(0), announcement(0, 15, 10))).To(Equal(following.ResultAdvance))
 		})
 
 		It("is applied where its rows are the next ones", func() {
 			t := announcement(0, 15, 15)
-			t.After, t.Rows = 10, []byte{1}
-			Expect(m.Received(at(0), t)).To(Equal(following.Apply))
-			m.Advanced(15, true)
-			Expect(m.Received(at(0), t)).To(Equal(following.Known))
+			t.RowsAfter, t.Rows = 10, []byte{1}
+			Expect(m.Receive(at(0), t)).To(Equal(following.ResultApply))
+			m.AdvanceTo(15, true)
+			Expect(m.Receive(at(0), t)).To(Equal(following.ResultIgnore))
 		})
 
 		// A server leaves the list, and one daemon goes on sending to it. Cause: the
 		// message with the change was lost; the next one shows that there was one.
 		It("shows what was lost", Label("failure:change-lost"), func() {
-			Expect(m.Received(at(0), announcement(0, 15, 15))).To(Equal(following.Known))
-			Expect(m.Mode(at(100 * time.Millisecond))).To(Equal(following.ByPeers))
-			Expect(m.Mode(at(200 * time.Millisecond))).To(Equal(following.ByStore))
-			m.Answered(at(210*time.Millisecond), 15, true)
-			Expect(m.Mode(at(210 * time.Millisecond))).To(Equal(following.ByPeers))
+			Expect(m.Receive(at(0), announcement(0, 15, 15))).To(Equal(following.ResultIgnore))
+			Expect(m.Mode(at(100 * time.Millisecond))).To(Equal(following.ModePeers))
+			Expect(m.Mode(at(200 * time.Millisecond))).To(Equal(following.ModeStore))
+			m.StoreAnswered(at(210*time.Millisecond), 15, true)
+			Expect(m.Mode(at(210 * time.Millisecond))).To(Equal(following.ModePeers))
 		})
 
 		It("is not applied after a gap", func() {
 			t := announcement(0, 15, 15)
-			t.After, t.Rows = 12, []byte{1}
-			Expect(m.Received(at(0), t)).To(Equal(following.Known))
+			t.RowsAfter, t.Rows = 12, []byte{1}
+			Expect(m.Receive(at(0), t)).To(Equal(following.ResultIgnore))
 		})
 	})
 
 	Describe("a follower", func() {
 		BeforeEach(func() {
 			m = machine("g6")
-			m.Answered(at(0), 10, true)
+			m.StoreAnswered(at(0), 10, true)
 		})
 
 		It("tells at once of a change, and else now and then", func() {
 			t, ok := m.Announce(at(0))
 			Expect(ok).To(BeTrue())
-			Expect([]uint64{t.Revision, t.Changed}).To(Equal([]uint64{10, 10}))
+			Expect([]uint64{t.Revision, t.LastChange}).To(Equal([]uint64{10, 10}))
 			_, ok = m.Announce(at(time.Millisecond))
 			Expect(ok).To(BeFalse())
-			m.Answered(at(time.Millisecond), 11, false)
+			m.StoreAnswered(at(time.Millisecond), 11, false)
 			_, ok = m.Announce(at(time.Millisecond))
 			Expect(ok).To(BeFalse())
 			t, ok = m.Announce(at(following.AnnounceInterval))
 			Expect(ok).To(BeTrue())
-			Expect([]uint64{t.Revision, t.Changed}).To(Equal([]uint64{11, 10}))
-			Expect(t.Age).To(Equal(following.AnnounceInterval - time.Millisecond))
+			Expect([]uint64{t.Revision, t.LastChange}).To(Equal([]uint64{11, 10}))
+			Expect(t.StoreAge).To(Equal(following.AnnounceInterval - time.Millisecond))
 		})
 
 		It("tells at once that the store is lost and that it is back", func() {
 			m.Announce(at(0))
-			m.Failed(at(100 * time.Millisecond))
+			m.StoreFailed(at(100 * time.Millisecond))
 			t, ok := m.Announce(at(100 * time.Millisecond))
 			Expect(ok).To(BeTrue())
-			Expect(t.Failing).To(BeTrue())
-			m.Answered(at(200*time.Millisecond), 10, false)
+			Expect(t.StoreFailing).To(BeTrue())
+			m.StoreAnswered(at(200*time.Millisecond), 10, false)
 			t, ok = m.Announce(at(200 * time.Millisecond))
 			Expect(ok).To(BeTrue())
-			Expect(t.Failing).To(BeFalse())
+			Expect(t.StoreFailing).To(BeFalse())
 		})
 	})
 
@@ -330,7 +330,7 @@
 		var daemons []following.Daemon
 		for i := range n {
 			daemons = append(daemons, following.Daemon{
-				ID: state.DaemonID(fmt.Sprintf("g%03d", i)), Domain: state.FailureDomain(fmt.Sprint(i % domains)), Steady: i%5 != 0,
+				ID: state.DaemonID(fmt.Sprintf("g%03d", i)), Domain: state.FailureDomain(fmt.Sprint(i % domains)), Eligible: i%5 != 0,
 			})
 		}
 		for _, root := range []state.DaemonID{"g200", "g419", "g418"} {
@@ -338,10 +338,10 @@
 			crossing := 0
 			for i, d := range daemons {
 				m := following.New(state.Member{ID: d.ID}, "servers", fresh, start)
-				m.Members(daemons)
-				next := m.Next(root)
+				m.SetMembers(daemons)
+				next := m.ForwardTargets(root)
 				if d.ID != root {
-					Expect(len(next)).To(BeNumerically("<=", following.Degree))
+					Expect(len(next)).To(BeNumerically("<=", following.Fanout))
 				}
 				for _, id := range next {
 					got[id]++
@@ -363,7 +363,7 @@
 	})
 
 	It("passes nothing on of a follower that it does not know", func() {
-		Expect(m.Next("stranger")).To(BeEmpty())
+		Expect(m.ForwardTargets("stranger")).To(BeEmpty())
 	})
 
 	// Guards against announcements that go round among daemons until their views are the same, and take
@@ -378,24 +378,24 @@
 				return other == d || rng.Float64() < 0.8
 			})
 			m := following.New(state.Member{ID: d.ID, Incarnation: 1}, "servers", fresh, start)
-			m.Members(known)
-			m.Answered(at(0), 10, true)
+			m.SetMembers(known)
+			m.StoreAnswered(at(0), 10, true)
 			machines[d.ID] = m
 		}
 		root := daemons[n-1].ID
 		passed := make(map[state.DaemonID]int)
 		for i := range 3 {
 			t := announcement(time.Duration(i)*following.AnnounceInterval, 10, 10)
-			t.Root.ID = root
+			t.Origin.ID = root
 			now := at(t.Sent)
-			for queue := machines[root].Next(root); len(queue) > 0; queue = queue[1:] {
+			for queue := machines[root].ForwardTargets(root); len(queue) > 0; queue = queue[1:] {
 				m := machines[queue[0]]
 				now = now.Add(10 * time.Microsecond)
 				if m.IsNew(t) {
 					passed[queue[0]]++
-					queue = append(queue, m.Next(root)...)
+					queue = append(queue, m.ForwardTargets(root)...)
 				}
-				m.Received(now, t)
+				m.Receive(now, t)
 				Expect(passed[queue[0]]).To(BeNumerically("<=", i+1))
 			}
 		}
@@ -406,7 +406,7 @@
 	// One daemon of a domain is paused. The others of it go on by the followers'
 	// announcements. Cause: both would come through the paused one.
 	It("reaches a domain through different daemons", func() {
-		first, second := machine("g6").Next("g6"), machine("g5").Next("g5")
+		first, second := machine("g6").ForwardTargets("g6"), machine("g5").ForwardTargets("g5")
 		Expect(first).To(ContainElement(state.DaemonID("g1")))
 		Expect(second).NotTo(ContainElement(state.DaemonID("g1")))
 		Expect(second).To(ContainElement(state.DaemonID("g3")))
--- a/coordination/following/start.go
+++ b/coordination/following/start.go
@@ -16,17 +16,17 @@
 )
 
 // Start is a daemon that starts and knows nothing of a feed.
-type Start struct {
+type Startup struct {
 	Daemons int     // that take part or are listed, this one included
-	Draw    float64 // from 0 to 1, another one at each daemon
+	Jitter  float64 // from 0 to 1, another one at each daemon
 }
 
 // ReadAfter is how long the daemon asks others before it reads the store itself. Answering is
 // whether any of them answers.
-func (s Start) ReadAfter(answering bool) time.Duration {
+func (s Startup) StoreReadDelay(answering bool) time.Duration {
 	spread := min(time.Duration(s.Daemons)*aloneEach, aloneMost)
 	if answering {
 		spread = min(time.Duration(s.Daemons)*readersEach, readersMost)
 	}
-	return startLeast + time.Duration(s.Draw*float64(spread))
+	return startLeast + time.Duration(s.Jitter*float64(spread))
 }
--- a/coordination/following/start_test.go
+++ b/coordination/following/start_test.go
@@ -12,7 +12,7 @@
 
 // starter is one of many daemons that start together, in virtual time.
 type starter struct {
-	start   following.Start
+	start   following.Startup
 	began   time.Duration
 	knows   time.Duration // when it does; zero for not yet
 	reading bool
@@ -21,7 +21,7 @@
 // startTogether starts daemons that ask each other, and read the store some time after their
 // start. It returns how long after its start the last one knows the feed, and how many have
 // read the store.
-func startTogether(daemons int, readAfter func(following.Start) time.Duration) (last time.Duration, reads int) {
+func startTogether(daemons int, readAfter func(following.Startup) time.Duration) (last time.Duration, reads int) {
 	const (
 		step     = 5 * time.Millisecond
 		round    = 25 * time.Millisecond  // between two questions of a daemon
@@ -31,7 +31,7 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	all := make([]*starter, daemons)
 	for i := range all {
-		all[i] = &starter{start: following.Start{Daemons: daemons, Draw: rng.Float64()}, began: time.Duration(rng.Int64N(int64(50 * time.Millisecond)))}
+		all[i] = &starter{start: following.Startup{Daemons: daemons, Jitter: rng.Float64()}, began: time.Duration(rng.Int64N(int64(50 * time.Millisecond)))}
 	}
 	var link time.Duration // until when it is busy
 	known := 0
@@ -72,13 +72,13 @@
 	// reads all rows from the store, whose link is full, while others could give them.
 	It("know a large feed before requests are turned away, and few of them read it", Label("failure:all-read-at-once"), func() {
 		for _, n := range []int{7, 30, 100, 300, 420} {
-			last, reads := startTogether(n, func(s following.Start) time.Duration { return s.ReadAfter(true) })
+			last, reads := startTogether(n, func(s following.Startup) time.Duration { return s.StoreReadDelay(true) })
 			Expect(last).To(BeNumerically("<=", waits), "of %d", n)
 			Expect(reads).To(BeNumerically("<=", 40), "of %d", n)
 		}
 	})
 
 	It("do not wait long for others of which none answers", func() {
-		Expect(following.Start{Daemons: 300, Draw: 1}.ReadAfter(false)).To(BeNumerically("<=", waits))
+		Expect(following.Startup{Daemons: 300, Jitter: 1}.StoreReadDelay(false)).To(BeNumerically("<=", waits))
 	})
 })
--- a/coordination/following/tree.go
+++ b/coordination/following/tree.go
@@ -7,13 +7,13 @@
 )
 
 // Degree is how many daemons of its failure domain each one passes an announcement on to.
-const Degree = 8
+const Fanout = 8
 
 // Next lists the daemons that this one passes a follower's announcement on to, or none if
 // the follower is not known. An announcement crosses to each other failure domain once, to
 // that domain's head, and goes down a tree within each: 18 MB between three domains for 100
 // daemons before 998 servers in 41 s, 70 MB with one tree over all.
-func (m *Machine) Next(root state.DaemonID) []state.DaemonID {
+func (m *Machine) ForwardTargets(root state.DaemonID) []state.DaemonID {
 	home, known := m.domain(root)
 	mine, here := m.domain(m.self.ID)
 	if !known || !here {
@@ -65,7 +65,7 @@
 			continue
 		}
 		all = append(all, d.ID)
-		if d.Steady {
+		if d.Eligible {
 			steady = append(steady, d.ID)
 		}
 	}
@@ -87,7 +87,7 @@
 	n, from, self := len(ids), slices.Index(ids, head), slices.Index(ids, m.self.ID)
 	at := (self - from + n) % n
 	var out []state.DaemonID
-	for k := Degree*at + 1; k <= Degree*(at+1) && k < n; k++ {
+	for k := Fanout*at + 1; k <= Fanout*(at+1) && k < n; k++ {
 		out = append(out, ids[(from+k)%n])
 	}
 	return out
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -131,12 +131,12 @@
 	for _, i := range c.view.members.Members {
 		if i.Live() {
 			daemons = append(daemons, following.Daemon{
-				ID: i.Member.ID, Domain: i.Meta.Domain, Steady: i.State == membership.Alive && !i.Draining,
+				ID: i.Member.ID, Domain: i.Meta.Domain, Eligible: i.State == membership.Alive && !i.Draining,
 			})
 		}
 	}
-	c.configs.m.Members(daemons)
-	c.entries.m.Members(daemons)
+	c.configs.m.SetMembers(daemons)
+	c.entries.m.SetMembers(daemons)
 }
 
 // heard takes what a daemon tells of a feed that it follows for others.
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -122,7 +122,7 @@
 			failures++
 			if failures == 1 {
 				log.Emit(telemetry.EventStoreUnavailable, telemetry.Detail(p.name), telemetry.Cause(err))
-				p.c.post(func() { p.m.Failed(p.c.now) })
+				p.c.post(func() { p.m.StoreFailed(p.c.now) })
 			}
 			if p.stale != nil && !known {
 				known = true
@@ -166,7 +166,7 @@
 // told reports whether the store need not be asked now.
 func (p *feedPart[T]) told() bool {
 	mode := following.Mode(p.mode.Load())
-	return mode == following.ByPeers || mode == following.Resting
+	return mode == following.ModePeers || mode == following.ModeCooldown
 }
 
 // spareStore asks other daemons instead of the store, where this one follows it for
@@ -177,7 +177,7 @@
 		return p.startFromPeers(ctx)
 	case !known: // the store has forgotten the changes since then
 		return p.fromPeers(ctx, rowsAsked{Least: revision + 1}) == taken
-	case p.follows.Load() || following.Mode(p.mode.Load()) == following.BySeldom:
+	case p.follows.Load() || following.Mode(p.mode.Load()) == following.ModeStoreReduced:
 		return false
 	}
 	ask := rowsAsked{Least: max(p.overdue.Swap(0), revision), Has: revision}
@@ -218,14 +218,14 @@
 // mode has changed meanwhile. Daemons wait a random time from 0 on: were each to ask as
 // soon as it hears of the failure, 195 would ask at one moment, each time.
 func (p *feedPart[T]) mayAsk(ctx context.Context) bool {
-	if following.Mode(p.mode.Load()) != following.BySeldom {
+	if following.Mode(p.mode.Load()) != following.ModeStoreReduced {
 		return true
 	}
 	t := time.NewTimer(rand.N(time.Duration(p.seldom.Load()) + 1))
 	defer t.Stop()
 	select {
 	case <-t.C:
-		return following.Mode(p.mode.Load()) == following.BySeldom
+		return following.Mode(p.mode.Load()) == following.ModeStoreReduced
 	case <-p.wake:
 	case <-ctx.Done():
 	}
@@ -266,20 +266,20 @@
 func (p *feedPart[T]) answered(b site.Batch[T], how arrival) {
 	before, known := p.m.Revision()
 	if known && b.Revision < before {
-		p.m.Answered(p.c.now, before, false)
+		p.m.StoreAnswered(p.c.now, before, false)
 		return
 	}
 	if !how.whole {
 		b.Items = since(b.Items, before)
 	}
 	changed := how.whole || len(b.Items) > 0
-	if changed && !how.whole && p.m.Leads(p.c.now) {
-		p.rows = p.encode(b.Items, p.m.Changed(), b.Revision)
+	if changed && !how.whole && p.m.SendsRows(p.c.now) {
+		p.rows = p.encode(b.Items, p.m.LastChange(), b.Revision)
 	}
 	if changed {
 		p.rowsKnown.keep(b, how.whole)
 	}
-	p.m.Answered(p.c.now, b.Revision, changed)
+	p.m.StoreAnswered(p.c.now, b.Revision, changed)
 	p.revision.Store(b.Revision)
 	if changed || how.recovered {
 		p.take(b, how)
@@ -305,24 +305,24 @@
 		p.send(t)
 	}
 	p.c.g.metrics.CountReason(telemetry.GatewayAnnouncementsTotal, reason)
-	if t.Recovered > 0 && !t.Failing {
-		p.recovered(p.c.now.Add(-t.Recovered))
+	if t.RecoveredFor > 0 && !t.StoreFailing {
+		p.recovered(p.c.now.Add(-t.RecoveredFor))
 	}
-	switch p.m.Received(p.c.now, t) {
-	case following.Apply:
+	switch p.m.Receive(p.c.now, t) {
+	case following.ResultApply:
 		items, err := decode[T](t.Rows)
 		if err != nil {
-			p.c.g.log.Emit(telemetry.EventRowsUnreadable, telemetry.Peer(t.Root.ID), telemetry.Cause(err))
+			p.c.g.log.Emit(telemetry.EventRowsUnreadable, telemetry.Peer(t.Origin.ID), telemetry.Cause(err))
 			return // the next announcement shows that this one was not taken
 		}
 		before, _ := p.m.Revision()
-		p.m.Advanced(t.Revision, true)
+		p.m.AdvanceTo(t.Revision, true)
 		b := site.Batch[T]{Items: since(items, before), Revision: t.Revision}
 		p.rowsKnown.keep(b, false)
 		p.take(b, arrival{})
-	case following.Advance:
-		p.m.Advanced(t.Revision, false)
-	case following.Known:
+	case following.ResultAdvance:
+		p.m.AdvanceTo(t.Revision, false)
+	case following.ResultIgnore:
 	}
 	if revision, known := p.m.Revision(); known {
 		p.revision.Store(revision)
@@ -336,10 +336,10 @@
 		p.rows = encodedRows{}
 		p.send(t)
 	}
-	least, _ := p.m.Overdue(p.c.now)
+	least, _ := p.m.OverdueRevision(p.c.now)
 	p.overdue.Store(least)
-	p.follows.Store(p.m.Announces(p.c.now))
-	p.seldom.Store(int64(p.m.SeldomWait()))
+	p.follows.Store(p.m.IsAnnouncing(p.c.now))
+	p.seldom.Store(int64(p.m.ReducedPollInterval()))
 	p.setMode(p.m.Mode(p.c.now))
 }
 
@@ -350,7 +350,7 @@
 		return
 	}
 	p.c.g.log.Emit(telemetry.EventFeedSource, telemetry.Detail(p.name+" "+sourceNames[mode]))
-	if old != following.ByStore {
+	if old != following.ModeStore {
 		select {
 		case p.wake <- struct{}{}:
 		default: // it has been told and has not looked yet
@@ -360,13 +360,13 @@
 
 // sourceNames are the modes in log lines.
 var sourceNames = map[following.Mode]string{
-	following.ByStore: "by_store", following.BySeldom: "by_store_seldom", following.ByPeers: "by_peers",
-	following.Resting: "resting",
+	following.ModeStore: "by_store", following.ModeStoreReduced: "by_store_seldom", following.ModePeers: "by_peers",
+	following.ModeCooldown: "resting",
 }
 
 // send passes an announcement on. One that is lost is made up for by the next.
 func (p *feedPart[T]) send(t following.Announcement) {
-	for _, id := range p.m.Next(t.Root.ID) {
+	for _, id := range p.m.ForwardTargets(t.Origin.ID) {
 		if i, ok := p.c.view.members.Lookup(id); ok {
 			_ = p.c.g.node.Send(i.Meta.PeerAddress, t)
 		}
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -96,8 +96,8 @@
 	if !known || revision < asked.Least {
 		return rowsGiven{}
 	}
-	given := rowsGiven{Known: true, Revision: revision, Age: p.m.Age(p.c.now), Failing: p.m.Failing(p.c.now)}
-	if asked.Has >= p.m.Changed() && asked.Has > 0 {
+	given := rowsGiven{Known: true, Revision: revision, Age: p.m.Age(p.c.now), Failing: p.m.StoreFailing(p.c.now)}
+	if asked.Has >= p.m.LastChange() && asked.Has > 0 {
 		return given
 	}
 	rows, whole := p.rowsAfter(asked.Has)
@@ -108,11 +108,11 @@
 // rowsAfter encodes what changed after a revision, or all rows (true). All rows are kept as
 // they were encoded last: hundreds of daemons that start together ask a few for them.
 func (p *feedPart[T]) rowsAfter(revision uint64) ([]byte, bool) {
-	if p.rowsKnown.forgotten(revision) && len(p.allRows.bytes) > 0 && p.allRows.upTo == p.m.Changed() {
+	if p.rowsKnown.forgotten(revision) && len(p.allRows.bytes) > 0 && p.allRows.upTo == p.m.LastChange() {
 		return p.allRows.bytes, true
 	}
 	items, whole := p.rowsKnown.after(revision)
-	rows := p.encode(items, revision, p.m.Changed())
+	rows := p.encode(items, revision, p.m.LastChange())
 	if whole {
 		p.allRows = rows
 	}
@@ -136,8 +136,8 @@
 		case unanswered:
 		}
 		v := p.c.g.current.Load()
-		start := following.Start{Daemons: max(v.live, v.found), Draw: draw}
-		if time.Since(began) >= start.ReadAfter(answering) {
+		start := following.Startup{Daemons: max(v.live, v.found), Jitter: draw}
+		if time.Since(began) >= start.StoreReadDelay(answering) {
 			return false
 		}
 		pause(ctx, giveStep)
@@ -210,7 +210,7 @@
 // confirmed takes up that the rows known here are still those of the store, as of a
 // moment ago. It returns false where that was too long ago to spare a call.
 func (p *feedPart[T]) confirmed(ctx context.Context, given rowsGiven) bool {
-	p.post(ctx, func() { p.m.Confirmed(p.c.now, given.Revision, given.Age) })
+	p.post(ctx, func() { p.m.ConfirmedByPeer(p.c.now, given.Revision, given.Age) })
 	return p.told()
 }
 
@@ -231,7 +231,7 @@
 	if !whole {
 		b.Items = since(b.Items, before)
 	}
-	p.m.Given(p.c.now, b.Revision, age)
+	p.m.LoadedFromPeer(p.c.now, b.Revision, age)
 	p.revision.Store(b.Revision)
 	p.rowsKnown.keep(b, whole)
 	p.c.g.log.Emit(telemetry.EventFeedGiven, telemetry.Detail(p.name), telemetry.Took(age))
--- a/gateway/rows.go
+++ b/gateway/rows.go
@@ -27,8 +27,8 @@
 // attach puts the rows into an announcement, unless the feed has changed again since they were
 // encoded: who took them for all up to the announcement's revision would miss that change.
 func (r encodedRows) attach(t *following.Announcement) {
-	if len(r.bytes) > 0 && r.upTo == t.Changed {
-		t.After, t.Rows = r.after, r.bytes
+	if len(r.bytes) > 0 && r.upTo == t.LastChange {
+		t.RowsAfter, t.Rows = r.after, r.bytes
 	}
 }
 
--- a/gateway/rows_test.go
+++ b/gateway/rows_test.go
@@ -41,12 +41,12 @@
 // send requests to a server that has left.
 func TestRowsGoOnlyWithTheChangeThatTheyAre(t *testing.T) {
 	rows := encodedRows{after: 5, upTo: 7, bytes: []byte{1}}
-	told := following.Announcement{Revision: 9, Changed: 7}
+	told := following.Announcement{Revision: 9, LastChange: 7}
 	rows.attach(&told)
-	if told.After != 5 || len(told.Rows) != 1 {
+	if told.RowsAfter != 5 || len(told.Rows) != 1 {
 		t.Fatalf("the rows are not in %+v", told)
 	}
-	later := following.Announcement{Revision: 9, Changed: 8}
+	later := following.Announcement{Revision: 9, LastChange: 8}
 	rows.attach(&later)
 	if len(later.Rows) != 0 {
 		t.Fatalf("old rows are in %+v", later)
