--- a/coordination/home/bench_test.go
+++ b/coordination/home/bench_test.go
@@ -29,7 +29,7 @@
 	out := make([]home.SlotRequest, n)
 	for i := range out {
 		out[i] = home.SlotRequest{
-			Ask:  home.Ask{Request: state.RequestID(fmt.Sprintf("entry-1-%012x", i)), Attempt: 1},
+			ID:   home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-1-%012x", i)), Attempt: 1},
 			Pool: poolID, Class: "draft", Customer: customer(i % 10), Budget: time.Hour, Cost: 300,
 		}
 	}
@@ -52,7 +52,7 @@
 	for i := 0; b.Loop(); i++ {
 		m := all[256+i%1024]
 		step(received(m))
-		step(received(home.SlotRelease{Ask: m.Ask, Pool: poolID, Tokens: 300, Busy: time.Second}))
+		step(received(home.SlotRelease{ID: m.ID, Pool: poolID, Tokens: 300, DecodeTime: time.Second}))
 	}
 }
 
@@ -70,7 +70,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		step(received(all[next%len(all)]))
-		step(received(home.SlotRelease{Ask: all[i%len(all)].Ask, Pool: poolID, Tokens: 300, Busy: time.Second}))
+		step(received(home.SlotRelease{ID: all[i%len(all)].ID, Pool: poolID, Tokens: 300, DecodeTime: time.Second}))
 		next++
 	}
 }
@@ -115,19 +115,19 @@
 
 // BenchmarkMessages reports the encoded size of each message of a request.
 func BenchmarkMessages(b *testing.B) {
-	ask := home.Ask{Request: "entry-1-000000000abc", Attempt: 1}
+	ask := home.SlotRequestID{Request: "entry-1-000000000abc", Attempt: 1}
 	summary := home.Summary{Slots: 320, Used: 300, Waiting: 20, Rate: 60}
 	request := home.SlotRequest{
-		Ask: ask, Pool: poolID, Class: "draft", Customer: "customer-1",
-		Budget: 10 * time.Second, Lead: 400 * time.Millisecond, Cost: 300,
+		ID: ask, Pool: poolID, Class: "draft", Customer: "customer-1",
+		Budget: 10 * time.Second, FirstTokenLatency: 400 * time.Millisecond, Cost: 300,
 	}
 	for name, m := range map[string]home.Message{
 		"SlotRequest": request,
-		"SlotGrant":   home.SlotGrant{Ask: ask, Pool: poolID, Replica: "replica-017", Summary: summary},
-		"SlotRefusal": home.SlotRefusal{Ask: ask, Pool: poolID, Reason: state.ReasonDeadline, RetryAfter: 3, Summary: summary},
-		"SlotRelease": home.SlotRelease{Ask: ask, Pool: poolID, Replica: "replica-017", Tokens: 300, Busy: 8 * time.Second},
+		"SlotGrant":   home.SlotGrant{ID: ask, Pool: poolID, Replica: "replica-017", Summary: summary},
+		"SlotRefusal": home.SlotRefusal{ID: ask, Pool: poolID, Reason: state.ReasonDeadline, RetryAfter: 3, Summary: summary},
+		"SlotRelease": home.SlotRelease{ID: ask, Pool: poolID, Replica: "replica-017", Tokens: 300, DecodeTime: 8 * time.Second},
 		"PoolDigest":  home.Renewal{Pools: []home.PoolDigest{{Pool: poolID, Held: ask.Digest(), Waiting: ask.Digest()}}},
-		"HeldGrant":   home.GrantReport{Pool: poolID, Held: []home.HeldGrant{{Ask: ask, Replica: "replica-017", Class: "draft"}}},
+		"HeldGrant":   home.GrantReport{Pool: poolID, Held: []home.HeldGrant{{ID: ask, Replica: "replica-017", Class: "draft"}}},
 	} {
 		b.Run(name, func(b *testing.B) {
 			var out []byte
--- a/coordination/home/choose.go
+++ b/coordination/home/choose.go
@@ -31,7 +31,7 @@
 		if !p.usable(r, w, now) {
 			continue
 		}
-		s := r.effective(now, p.base, p.cfg.SpeedMemory)
+		s := r.effective(now, p.base, p.cfg.SpeedSampleTTL)
 		if w.late(now, s) {
 			continue
 		}
@@ -72,7 +72,7 @@
 			if r == nil || !p.cache.fresh(now, claim) || !p.usable(r, w, now) {
 				continue
 			}
-			s := r.effective(now, p.base, p.cfg.SpeedMemory)
+			s := r.effective(now, p.base, p.cfg.SpeedSampleTTL)
 			l := float64(r.used) / float64(r.slots)
 			if s >= affinitySpeed*speed && l <= load+affinityLoad && !w.late(now, s) {
 				return r
--- a/coordination/home/choose_test.go
+++ b/coordination/home/choose_test.go
@@ -16,7 +16,7 @@
 func tells(m *home.SlotRequest) { m.Prefixes = []uint64{prefix} }
 
 var _ = Describe("the choice of a replica", func() {
-	place := func(w *world, ask home.Ask) state.ReplicaID { return w.granted[ask].Replica }
+	place := func(w *world, ask home.SlotRequestID) state.ReplicaID { return w.granted[ask].Replica }
 
 	// What a user sees: an answer that starts late, on a slow or busy replica,
 	// while a fast one is idle. Order: a replica is believed to hold a prefix;
@@ -41,22 +41,22 @@
 
 	It("runs a request alone, and gets a replica idle for it under full load", Label("failure:request-crashes-servers"), func() {
 		w := newWorld(home.Config{}, document(100, 1), replicas(2, 3))
-		var first []home.Ask
+		var first []home.SlotRequestID
 		for range 4 {
 			first = append(first, w.ask(other, "draft", 0))
 		}
 		for range 10 {
 			w.ask(other, "draft", 0)
 		}
-		alone := w.ask(other, "check", 0, func(m *home.SlotRequest) { m.Alone = true })
+		alone := w.ask(other, "check", 0, func(m *home.SlotRequest) { m.Exclusive = true })
 		Expect(w.granted).NotTo(HaveKey(alone))
 		for _, ask := range first {
-			w.release(other, ask, home.UseDone)
+			w.release(other, ask, home.OutcomeServed)
 		}
 		Expect(w.granted).To(HaveKey(alone))
 		Expect(w.usedBy(place(w, alone))).To(Equal(1))
-		Expect(w.ask(other, "check", 0)).To(Satisfy(func(a home.Ask) bool { return place(w, a) != place(w, alone) }))
-		w.release(other, alone, home.UseDone)
+		Expect(w.ask(other, "check", 0)).To(Satisfy(func(a home.SlotRequestID) bool { return place(w, a) != place(w, alone) }))
+		w.release(other, alone, home.OutcomeServed)
 		Expect(len(w.granted)).To(BeNumerically(">=", 3))
 	})
 
@@ -67,9 +67,9 @@
 	It("gives a replica that failed to a request that runs alone, where no other is left", Label("failure:request-crashes-servers"), func() {
 		w := newWorld(home.Config{}, document(100, 1), replicas(2, 3))
 		for range 2 {
-			w.release(other, w.ask(other, "draft", 0), home.UseFailed)
+			w.release(other, w.ask(other, "draft", 0), home.OutcomeFailed)
 		}
-		apart := func(m *home.SlotRequest) { m.Alone, m.Apart = true, true }
+		apart := func(m *home.SlotRequest) { m.Exclusive, m.Staggered = true, true }
 		first := w.ask(other, "draft", 0, apart)
 		Expect(w.granted).NotTo(HaveKey(first), "they have just failed")
 		w.advance(5 * time.Second)
@@ -87,7 +87,7 @@
 	It("begins requests apart one after another on a busy replica", Label("failure:request-crashes-servers"), func() {
 		w := newWorld(home.Config{}, document(100, 1), replicas(1, 5))
 		w.ask(other, "draft", 0)
-		apart := func(m *home.SlotRequest) { m.Alone, m.Apart = true, true }
+		apart := func(m *home.SlotRequest) { m.Exclusive, m.Staggered = true, true }
 		first := w.ask(other, "draft", 0, apart)
 		second := w.ask(other, "draft", 0, apart)
 		Expect(w.granted).NotTo(HaveKey(first), "something has just begun there")
@@ -96,10 +96,10 @@
 		Expect(w.granted).NotTo(HaveKey(second))
 		third := w.ask(other, "draft", 0)
 		Expect(w.granted).NotTo(HaveKey(third), "nothing else begins meanwhile")
-		w.step(home.Received{From: other, Msg: home.SlotPassed{Ask: first, Pool: poolID}})
+		w.step(home.Received{From: other, Msg: home.ExclusiveEnded{ID: first, Pool: poolID}})
 		Expect(w.granted).To(HaveKey(second))
 		Expect(w.granted).NotTo(HaveKey(third))
-		w.step(home.Received{From: other, Msg: home.SlotPassed{Ask: second, Pool: poolID}})
+		w.step(home.Received{From: other, Msg: home.ExclusiveEnded{ID: second, Pool: poolID}})
 		Expect(w.granted).To(HaveKey(third))
 	})
 
@@ -122,7 +122,7 @@
 			w.assign(specs)
 			waits := w.ask(other, "check", 0)
 			Expect(w.granted).NotTo(HaveKey(waits))
-			w.advance(home.SuccessorWait)
+			w.advance(home.SuccessorTimeout)
 			Expect(w.refused[waits].Reason).To(Equal(state.ReasonNoReplica))
 			Expect(w.refused[w.ask(other, "check", 0)].Reason).To(Equal(state.ReasonNoReplica), "there is still none")
 			returns(w)
@@ -136,7 +136,7 @@
 	// whose replicas were leaving refused whoever asked or waited.
 	It("lets requests wait for the successor of a pool's last replica", Label("failure:successor-listed-late"), func() {
 		w := newWorld(home.Config{}, document(10, 1), replicas(2, 2))
-		var before []home.Ask
+		var before []home.SlotRequestID
 		for range 4 {
 			before = append(before, w.ask(other, "draft", 0))
 		}
@@ -145,11 +145,11 @@
 		w.step(home.ReplicaLeaving{Replica: replicaID(1)})
 		came := w.ask(other, "draft", 0)
 		avoids := w.ask(other, "draft", 0, func(m *home.SlotRequest) { m.Exclude = []state.ReplicaID{replicaID(0)} })
-		w.advance(home.SuccessorWait / 2)
+		w.advance(home.SuccessorTimeout / 2)
 		Expect(w.refused).To(BeEmpty())
 		next := replicas(3, 12)[2:]
 		w.assign(next)
-		for _, ask := range []home.Ask{waited, came, avoids} {
+		for _, ask := range []home.SlotRequestID{waited, came, avoids} {
 			Expect(w.granted).To(HaveKey(ask))
 			Expect(place(w, ask)).To(Equal(next[0].ID))
 		}
@@ -160,12 +160,12 @@
 	// one has recovered. Cause: what it avoided was kept to for good.
 	It("lets a request wait for a replica that it avoided, where no other stays", func() {
 		w := newWorld(home.Config{}, document(10, 1), replicas(2, 1))
-		taken := []home.Ask{w.ask(other, "draft", 0), w.ask(other, "draft", 0)}
+		taken := []home.SlotRequestID{w.ask(other, "draft", 0), w.ask(other, "draft", 0)}
 		avoids := w.ask(other, "draft", 0, func(m *home.SlotRequest) { m.Exclude = []state.ReplicaID{replicaID(0)} })
 		w.step(home.ReplicaLeaving{Replica: replicaID(1)})
 		Expect(w.refused).To(BeEmpty())
 		for _, ask := range taken {
-			w.release(other, ask, home.UseDone)
+			w.release(other, ask, home.OutcomeServed)
 		}
 		Expect(w.granted).To(HaveKey(avoids))
 		Expect(place(w, avoids)).To(Equal(replicaID(0)))
@@ -173,7 +173,7 @@
 
 	It("refuses the longest backlog's last, not the newcomer, where a queue is full", func() {
 		w := newWorld(home.Config{}, document(6, 2), replicas(1, 2))
-		var heavy []home.Ask
+		var heavy []home.SlotRequestID
 		for range 8 {
 			heavy = append(heavy, w.ask(other, "draft", 0))
 		}
@@ -188,14 +188,14 @@
 		for range 20 {
 			ask := w.ask(other, "check", 0)
 			w.advance(time.Second)
-			w.release(other, ask, home.UseDone)
+			w.release(other, ask, home.OutcomeServed)
 		}
 		w.ask(other, "check", 0)
 		w.ask(other, "check", 0)
 		soon := func(budget, lead time.Duration) func(*home.SlotRequest) {
-			return func(m *home.SlotRequest) { m.Budget, m.Lead = budget, lead }
+			return func(m *home.SlotRequest) { m.Budget, m.FirstTokenLatency = budget, lead }
 		}
-		for _, late := range []home.Ask{
+		for _, late := range []home.SlotRequestID{
 			w.ask(other, "check", 0, soon(400*time.Millisecond, 0)),           // 1 before it, 2 a second
 			w.ask(other, "check", 0, soon(time.Second, 400*time.Millisecond)), // and a prefill of 0.8 s
 		} {
--- a/coordination/home/dispatch.go
+++ b/coordination/home/dispatch.go
@@ -28,7 +28,7 @@
 func (p *pool) slowest(now time.Time) float64 {
 	low := math.Inf(1)
 	for _, r := range p.order {
-		low = min(low, r.effective(now, p.base, p.cfg.SpeedMemory))
+		low = min(low, r.effective(now, p.base, p.cfg.SpeedSampleTTL))
 	}
 	return low
 }
@@ -60,7 +60,7 @@
 	for _, prefix := range w.prefixes {
 		p.cache.insert(now, prefix, r.id)
 	}
-	p.send(w.from.ID, SlotGrant{Ask: w.ask, Pool: p.id, Replica: r.id, Summary: p.summary(now)})
+	p.send(w.from.ID, SlotGrant{ID: w.ask, Pool: p.id, Replica: r.id, Summary: p.summary(now)})
 }
 
 // expire refuses the waits whose time is up.
@@ -73,7 +73,7 @@
 // SuccessorWait is how long requests wait for the successor of a pool's last replicas, once
 // all of them are leaving. Daemons tell each other at once that one leaves, and the list that
 // names its successor follows within some 100 ms; without one they are refused after this.
-const SuccessorWait = time.Second
+const SuccessorTimeout = time.Second
 
 // refuseImpossible refuses waits that no replica of the pool can ever serve. One whose
 // avoided replicas are the only ones that stay waits for those.
@@ -107,7 +107,7 @@
 	if p.barren.IsZero() {
 		p.barren = now
 	}
-	return now.Before(p.barren.Add(SuccessorWait))
+	return now.Before(p.barren.Add(SuccessorTimeout))
 }
 
 // clearProbes ends the suspicion of replicas whose probe runs well.
@@ -131,10 +131,10 @@
 		next = earliest(next, p.expiry[0].expires)
 	}
 	if !p.barren.IsZero() && len(p.waits) > 0 {
-		next = earliest(next, p.barren.Add(SuccessorWait))
+		next = earliest(next, p.barren.Add(SuccessorTimeout))
 	}
 	if r := p.holding; r != nil && r.held.apart {
-		next = earliest(next, r.begunAt.Add(p.cfg.SettleFor))
+		next = earliest(next, r.begunAt.Add(p.cfg.StaggerInterval))
 	}
 	for _, r := range p.order {
 		if r.suspected(now) {
--- a/coordination/home/event.go
+++ b/coordination/home/event.go
@@ -94,11 +94,11 @@
 
 // Learned notes that a new home of a pool began to grant. Silent counts the
 // members that had not reported by then.
-type Learned struct {
-	Pool   PoolID
-	Took   time.Duration
-	Grants int
-	Silent int
+type GrantsRecovered struct {
+	Pool       PoolID
+	Duration   time.Duration
+	Grants     int
+	Unreported int
 }
 
 // Suspected notes that a replica gets no work until Until.
@@ -114,46 +114,46 @@
 	Replica state.ReplicaID
 }
 
-func (Send) action()      {}
-func (Learned) action()   {}
-func (Suspected) action() {}
-func (Recovered) action() {}
+func (Send) action()            {}
+func (GrantsRecovered) action() {}
+func (Suspected) action()       {}
+func (Recovered) action()       {}
 
 // Config holds the times and bounds of a Home. Zero fields take the defaults
 // of DefaultConfig.
 type Config struct {
 	// LearnWindow is the longest time a new home waits for reports of grants
 	// held elsewhere before it grants anything.
-	LearnWindow time.Duration
+	ReportWindow time.Duration
 
 	// CautiousFor follows LearnWindow while members have not reported: at
 	// most half of each replica's slots are granted.
-	CautiousFor time.Duration
+	HalfCapacityPeriod time.Duration
 
 	// SettleAfter is the age past which a grant that its holder does not
 	// report is taken to be lost.
-	SettleAfter time.Duration
+	UnreportedGrantTimeout time.Duration
 
 	// SettleFor is how long nothing may have begun on a replica before a
 	// request that is apart begins there: longer than a request mostly takes
 	// to end a server that it crashes.
-	SettleFor time.Duration
+	StaggerInterval time.Duration
 
 	// SuspectMin and SuspectMax bound the back-off of a replica that fails
 	// calls; it doubles with each failure.
-	SuspectMin time.Duration
-	SuspectMax time.Duration
+	MinBackoff time.Duration
+	MaxBackoff time.Duration
 
 	// SpeedMemory is how long a replica that was seen slow counts as slow
 	// without a new sample.
-	SpeedMemory time.Duration
+	SpeedSampleTTL time.Duration
 
 	// CacheEntries bounds the prefixes remembered per pool.
-	CacheEntries int
+	MaxPrefixes int
 
 	// CacheMemory is how long a prefix is believed to be cached without a
 	// new sign of it.
-	CacheMemory time.Duration
+	PrefixTTL time.Duration
 
 	// QueuePerClass is used where the document names no bound.
 	QueuePerClass int
@@ -162,31 +162,31 @@
 // DefaultConfig returns the settings used where Config has zero fields.
 func DefaultConfig() Config {
 	return Config{
-		LearnWindow:   300 * time.Millisecond,
-		CautiousFor:   3 * time.Second,
-		SettleAfter:   2 * time.Second,
-		SuspectMin:    500 * time.Millisecond,
-		SuspectMax:    30 * time.Second,
-		SettleFor:     300 * time.Millisecond,
-		SpeedMemory:   30 * time.Second,
-		CacheEntries:  4096,
-		CacheMemory:   2 * time.Minute,
-		QueuePerClass: 256,
+		ReportWindow:           300 * time.Millisecond,
+		HalfCapacityPeriod:     3 * time.Second,
+		UnreportedGrantTimeout: 2 * time.Second,
+		MinBackoff:             500 * time.Millisecond,
+		MaxBackoff:             30 * time.Second,
+		StaggerInterval:        300 * time.Millisecond,
+		SpeedSampleTTL:         30 * time.Second,
+		MaxPrefixes:            4096,
+		PrefixTTL:              2 * time.Minute,
+		QueuePerClass:          256,
 	}
 }
 
 // withDefaults fills the zero fields of c.
 func (c Config) withDefaults() Config {
 	d := DefaultConfig()
-	c.LearnWindow = orDefault(c.LearnWindow, d.LearnWindow)
-	c.CautiousFor = orDefault(c.CautiousFor, d.CautiousFor)
-	c.SettleAfter = orDefault(c.SettleAfter, d.SettleAfter)
-	c.SuspectMin = orDefault(c.SuspectMin, d.SuspectMin)
-	c.SuspectMax = orDefault(c.SuspectMax, d.SuspectMax)
-	c.SettleFor = orDefault(c.SettleFor, d.SettleFor)
-	c.SpeedMemory = orDefault(c.SpeedMemory, d.SpeedMemory)
-	c.CacheEntries = orDefault(c.CacheEntries, d.CacheEntries)
-	c.CacheMemory = orDefault(c.CacheMemory, d.CacheMemory)
+	c.ReportWindow = orDefault(c.ReportWindow, d.ReportWindow)
+	c.HalfCapacityPeriod = orDefault(c.HalfCapacityPeriod, d.HalfCapacityPeriod)
+	c.UnreportedGrantTimeout = orDefault(c.UnreportedGrantTimeout, d.UnreportedGrantTimeout)
+	c.MinBackoff = orDefault(c.MinBackoff, d.MinBackoff)
+	c.MaxBackoff = orDefault(c.MaxBackoff, d.MaxBackoff)
+	c.StaggerInterval = orDefault(c.StaggerInterval, d.StaggerInterval)
+	c.SpeedSampleTTL = orDefault(c.SpeedSampleTTL, d.SpeedSampleTTL)
+	c.MaxPrefixes = orDefault(c.MaxPrefixes, d.MaxPrefixes)
+	c.PrefixTTL = orDefault(c.PrefixTTL, d.PrefixTTL)
 	c.QueuePerClass = orDefault(c.QueuePerClass, d.QueuePerClass)
 	return c
 }
--- a/coordination/home/holder_test.go
+++ b/coordination/home/holder_test.go
@@ -48,8 +48,8 @@
 			w.step(home.Received{From: other, Msg: home.Renewal{Pools: []home.PoolDigest{digest}}})
 		}
 		Expect(w.queries[asked:]).To(Equal([]state.DaemonID{other.ID}), "once two renewals differ")
-		held := home.HeldGrant{Ask: kept, Replica: replicaID(0), Class: "check"}
-		w.step(home.Received{From: other, Msg: home.GrantReport{Pool: poolID, Held: []home.HeldGrant{held}, Waiting: []home.Ask{waits}}})
+		held := home.HeldGrant{ID: kept, Replica: replicaID(0), Class: "check"}
+		w.step(home.Received{From: other, Msg: home.GrantReport{Pool: poolID, Held: []home.HeldGrant{held}, Waiting: []home.SlotRequestID{waits}}})
 		Expect(w.granted).To(HaveKey(waits))
 	})
 
--- a/coordination/home/home.go
+++ b/coordination/home/home.go
@@ -136,12 +136,12 @@
 // handOn gives a pool up: those who wait are told to ask its next home, and
 // those who hold grants report them there.
 func (h *Home) handOn(p *pool) {
-	asks := make(map[state.DaemonID][]Ask)
+	asks := make(map[state.DaemonID][]SlotRequestID)
 	for _, w := range p.waitsInOrder() {
 		asks[w.from.ID] = append(asks[w.from.ID], w.ask)
 	}
 	for _, to := range slices.Sorted(maps.Keys(asks)) {
-		p.send(to, NotHome{Pool: p.id, Asks: asks[to]})
+		p.send(to, NotHome{Pool: p.id, IDs: asks[to]})
 	}
 	delete(h.pools, p.id)
 }
--- a/coordination/home/learn.go
+++ b/coordination/home/learn.go
@@ -51,11 +51,11 @@
 		return
 	}
 	since := now.Sub(l.began)
-	if l.waiting && (len(l.silent) == 0 || since >= p.cfg.LearnWindow) {
+	if l.waiting && (len(l.silent) == 0 || since >= p.cfg.ReportWindow) {
 		l.waiting, l.careful = false, true
-		*p.out = append(*p.out, Learned{Pool: p.id, Took: since, Grants: len(p.grants), Silent: len(l.silent)})
+		*p.out = append(*p.out, GrantsRecovered{Pool: p.id, Duration: since, Grants: len(p.grants), Unreported: len(l.silent)})
 	}
-	if l.careful && (len(l.silent) == 0 || since >= p.cfg.LearnWindow+p.cfg.CautiousFor) {
+	if l.careful && (len(l.silent) == 0 || since >= p.cfg.ReportWindow+p.cfg.HalfCapacityPeriod) {
 		l.careful, l.silent = false, nil
 	}
 }
@@ -64,9 +64,9 @@
 func (l *learning) nextTick(cfg Config) time.Time {
 	switch {
 	case l.waiting:
-		return l.began.Add(cfg.LearnWindow)
+		return l.began.Add(cfg.ReportWindow)
 	case l.careful:
-		return l.began.Add(cfg.LearnWindow + cfg.CautiousFor)
+		return l.began.Add(cfg.ReportWindow + cfg.HalfCapacityPeriod)
 	default:
 		return time.Time{}
 	}
@@ -162,12 +162,12 @@
 func (p *pool) report(now time.Time, from state.Member, m GrantReport) {
 	h := p.holder(from)
 	h.heard = now
-	listed := make(map[Ask]bool, len(m.Held)+len(m.Waiting))
+	listed := make(map[SlotRequestID]bool, len(m.Held)+len(m.Waiting))
 	for _, held := range m.Held {
-		listed[held.Ask] = true
+		listed[held.ID] = true
 		p.learnGrant(now, from, held)
 	}
-	var again []Ask
+	var again []SlotRequestID
 	for _, ask := range m.Waiting {
 		listed[ask] = true
 		if p.grants[ask] == nil && p.waits[ask] == nil {
@@ -176,7 +176,7 @@
 		p.grantAgain(now, from, ask)
 	}
 	if len(again) > 0 {
-		p.send(from.ID, NotHome{Pool: p.id, Asks: again})
+		p.send(from.ID, NotHome{Pool: p.id, IDs: again})
 	}
 	p.dropUnlisted(now, from, listed)
 	p.heardFrom(now, from)
@@ -184,40 +184,40 @@
 
 // learnGrant enters a grant that another home gave.
 func (p *pool) learnGrant(now time.Time, from state.Member, held HeldGrant) {
-	if p.grants[held.Ask] != nil {
+	if p.grants[held.ID] != nil {
 		return
 	}
 	r := p.replicas[held.Replica]
 	if r == nil {
 		return
 	}
-	if w := p.waits[held.Ask]; w != nil {
+	if w := p.waits[held.ID]; w != nil {
 		p.dropWait(w)
 	}
 	p.take(&grant{
-		ask: held.Ask, holder: from, r: r, class: held.Class,
+		ask: held.ID, holder: from, r: r, class: held.Class,
 		rank: p.terms.rankOf(held.Class), at: now,
 	})
 }
 
 // grantAgain repeats a grant whose message was lost.
-func (p *pool) grantAgain(now time.Time, from state.Member, ask Ask) {
+func (p *pool) grantAgain(now time.Time, from state.Member, ask SlotRequestID) {
 	g := p.grants[ask]
 	if g == nil || g.holder != from {
 		return
 	}
-	p.send(from.ID, SlotGrant{Ask: ask, Pool: p.id, Replica: g.r.id, Summary: p.summary(now)})
+	p.send(from.ID, SlotGrant{ID: ask, Pool: p.id, Replica: g.r.id, Summary: p.summary(now)})
 }
 
 // dropUnlisted ends what the holder does not know of.
-func (p *pool) dropUnlisted(now time.Time, from state.Member, listed map[Ask]bool) {
+func (p *pool) dropUnlisted(now time.Time, from state.Member, listed map[SlotRequestID]bool) {
 	for ask, g := range p.grants {
-		if g.holder == from && !listed[ask] && now.Sub(g.at) >= p.cfg.SettleAfter {
+		if g.holder == from && !listed[ask] && now.Sub(g.at) >= p.cfg.UnreportedGrantTimeout {
 			p.free(g)
 		}
 	}
 	for ask, w := range p.waits {
-		if w.from == from && !listed[ask] && now.Sub(w.arrived) >= p.cfg.SettleAfter {
+		if w.from == from && !listed[ask] && now.Sub(w.arrived) >= p.cfg.UnreportedGrantTimeout {
 			p.dropWait(w)
 		}
 	}
--- a/coordination/home/message.go
+++ b/coordination/home/message.go
@@ -13,7 +13,7 @@
 
 // Ask names one request for a slot: an attempt of a request. It names the
 // grant as well, so that a repeated SlotRequest is idempotent.
-type Ask struct {
+type SlotRequestID struct {
 	Request state.RequestID `msgpack:"r"`
 	Attempt state.Attempt   `msgpack:"a"`
 }
@@ -22,7 +22,7 @@
 const mixAttempt = 0x9e3779b97f4a7c15
 
 // Digest is the ask's part of a Renewal's digest.
-func (a Ask) Digest() uint64 {
+func (a SlotRequestID) Digest() uint64 {
 	return xxhash.Sum64String(string(a.Request)) ^ uint64(a.Attempt)*mixAttempt
 }
 
@@ -34,7 +34,7 @@
 // SlotRequest asks the home of Pool for a slot. It ends in exactly one
 // SlotGrant or SlotRefusal, or in the sender's CancelWait.
 type SlotRequest struct {
-	Ask      Ask              `msgpack:"k"`
+	ID       SlotRequestID    `msgpack:"k"`
 	Pool     PoolID           `msgpack:"p"`
 	Class    state.ClassID    `msgpack:"c"`
 	Customer state.CustomerID `msgpack:"u"`
@@ -42,8 +42,8 @@
 	// Budget is the time left until the first token, from the sending of the
 	// message. Lead is the part of it that passes between slot and first
 	// token on a replica of speed 1; 0 where not known.
-	Budget time.Duration `msgpack:"b"`
-	Lead   time.Duration `msgpack:"d,omitempty"`
+	Budget            time.Duration `msgpack:"b"`
+	FirstTokenLatency time.Duration `msgpack:"d,omitempty"`
 
 	// Cost is the expected size of the work in tokens, for fairness; 0 counts
 	// as 1.
@@ -57,24 +57,24 @@
 
 	// Alone asks for a replica that runs nothing else meanwhile, for a
 	// request that may have crashed a backend server.
-	Alone bool `msgpack:"l,omitempty"`
+	Exclusive bool `msgpack:"l,omitempty"`
 
 	// Apart, with Alone, does not wait until the replica is idle, only until
 	// nothing has begun there for Config.SettleFor, and lets others begin there
 	// once SlotPassed has come. A death meanwhile still points to the request.
-	Apart bool `msgpack:"q,omitempty"`
+	Staggered bool `msgpack:"q,omitempty"`
 }
 
 // SlotPassed says that the holder of a grant that is apart has done what may end
 // its replica.
-type SlotPassed struct {
-	Ask  Ask    `msgpack:"k"`
-	Pool PoolID `msgpack:"p"`
+type ExclusiveEnded struct {
+	ID   SlotRequestID `msgpack:"k"`
+	Pool PoolID        `msgpack:"p"`
 }
 
 // SlotGrant gives the sender of Ask a slot of Replica until its SlotRelease.
 type SlotGrant struct {
-	Ask     Ask             `msgpack:"k"`
+	ID      SlotRequestID   `msgpack:"k"`
 	Pool    PoolID          `msgpack:"p"`
 	Replica state.ReplicaID `msgpack:"i"`
 	Summary Summary         `msgpack:"s"`
@@ -82,7 +82,7 @@
 
 // SlotRefusal ends an ask without a slot.
 type SlotRefusal struct {
-	Ask        Ask              `msgpack:"k"`
+	ID         SlotRequestID    `msgpack:"k"`
 	Pool       PoolID           `msgpack:"p"`
 	Reason     state.Reason     `msgpack:"o"`
 	RetryAfter state.RetryAfter `msgpack:"t"`
@@ -92,8 +92,8 @@
 // NotHome says that the receiver of an ask does not hold the pool; the sender
 // looks the home up again. It ends nothing.
 type NotHome struct {
-	Asks []Ask  `msgpack:"k"`
-	Pool PoolID `msgpack:"p"`
+	IDs  []SlotRequestID `msgpack:"k"`
+	Pool PoolID          `msgpack:"p"`
 }
 
 // Summary is a home's word on one pool, carried on its answers so that entry
@@ -106,34 +106,34 @@
 }
 
 // Use says how a grant ended.
-type Use uint8
+type SlotOutcome uint8
 
 // The values of Use.
 const (
-	UseDone    Use = iota // the replica served the request
-	UseUnused             // nothing was sent to the replica
-	UseFailed             // a call to the replica failed or was not answered
-	UseLeaving            // the replica said that it is leaving
+	OutcomeServed  SlotOutcome = iota // the replica served the request
+	OutcomeUnused                     // nothing was sent to the replica
+	OutcomeFailed                     // a call to the replica failed or was not answered
+	OutcomeLeaving                    // the replica said that it is leaving
 )
 
 // SlotRelease gives a slot back. Releasing an unknown grant does nothing.
 type SlotRelease struct {
-	Ask     Ask             `msgpack:"k"`
+	ID      SlotRequestID   `msgpack:"k"`
 	Pool    PoolID          `msgpack:"p"`
 	Replica state.ReplicaID `msgpack:"i"`
-	Use     Use             `msgpack:"o"`
+	Outcome SlotOutcome     `msgpack:"o"`
 
 	// Tokens were made in Busy, counted from the first token on; they show
 	// how fast the replica really is. 0 where not known.
-	Tokens uint32        `msgpack:"n,omitempty"`
-	Busy   time.Duration `msgpack:"b,omitempty"`
+	Tokens     uint32        `msgpack:"n,omitempty"`
+	DecodeTime time.Duration `msgpack:"b,omitempty"`
 }
 
 // CancelWait ends an ask that needs no slot any more. If the slot was granted
 // meanwhile, it is given back.
-type CancelWait struct {
-	Ask  Ask    `msgpack:"k"`
-	Pool PoolID `msgpack:"p"`
+type CancelSlotRequest struct {
+	ID   SlotRequestID `msgpack:"k"`
+	Pool PoolID        `msgpack:"p"`
 }
 
 // Renewal tells a home, a few times a minute, what its sender holds and waits
@@ -157,25 +157,25 @@
 
 // GrantReport lists everything that its sender holds and waits for in Pool.
 type GrantReport struct {
-	Pool    PoolID      `msgpack:"p"`
-	Held    []HeldGrant `msgpack:"h,omitempty"`
-	Waiting []Ask       `msgpack:"w,omitempty"`
+	Pool    PoolID          `msgpack:"p"`
+	Held    []HeldGrant     `msgpack:"h,omitempty"`
+	Waiting []SlotRequestID `msgpack:"w,omitempty"`
 }
 
 // HeldGrant is one slot in use.
 type HeldGrant struct {
-	Ask     Ask             `msgpack:"k"`
+	ID      SlotRequestID   `msgpack:"k"`
 	Replica state.ReplicaID `msgpack:"i"`
 	Class   state.ClassID   `msgpack:"c"`
 }
 
-func (SlotRequest) message() {}
-func (SlotGrant) message()   {}
-func (SlotRefusal) message() {}
-func (NotHome) message()     {}
-func (SlotRelease) message() {}
-func (SlotPassed) message()  {}
-func (CancelWait) message()  {}
-func (Renewal) message()     {}
-func (ReportQuery) message() {}
-func (GrantReport) message() {}
+func (SlotRequest) message()       {}
+func (SlotGrant) message()         {}
+func (SlotRefusal) message()       {}
+func (NotHome) message()           {}
+func (SlotRelease) message()       {}
+func (ExclusiveEnded) message()    {}
+func (CancelSlotRequest) message() {}
+func (Renewal) message()           {}
+func (ReportQuery) message()       {}
+func (GrantReport) message()       {}
--- a/coordination/home/pool.go
+++ b/coordination/home/pool.go
@@ -12,7 +12,7 @@
 
 // grant is one slot in use.
 type grant struct {
-	ask    Ask
+	ask    SlotRequestID
 	holder state.Member
 	r      *replica
 	class  state.ClassID
@@ -34,8 +34,8 @@
 	holding  *replica   // held back for one request that runs alone
 	base     float64    // tokens a second at speed 1 as observed; 0 not known
 
-	grants  map[Ask]*grant
-	waits   map[Ask]*wait
+	grants  map[SlotRequestID]*grant
+	waits   map[SlotRequestID]*wait
 	queues  []*classQueue // by class rank
 	used    []int         // slots in use by class rank
 	holds   []*holding    // by class rank
@@ -56,10 +56,10 @@
 		service:  spec.Service,
 		cfg:      cfg,
 		replicas: make(map[state.ReplicaID]*replica),
-		grants:   make(map[Ask]*grant),
-		waits:    make(map[Ask]*wait),
+		grants:   make(map[SlotRequestID]*grant),
+		waits:    make(map[SlotRequestID]*wait),
 		holders:  make(map[state.Member]*holder),
-		cache:    newPrefixCache(cfg.CacheEntries, cfg.CacheMemory),
+		cache:    newPrefixCache(cfg.MaxPrefixes, cfg.PrefixTTL),
 		out:      out,
 		auditAt:  now.Add(auditEvery),
 	}
@@ -245,7 +245,7 @@
 	if r.used == 0 {
 		return true
 	}
-	return w.apart && !r.alone && r.used < r.slots && now.Sub(r.begunAt) >= p.cfg.SettleFor
+	return w.apart && !r.alone && r.used < r.slots && now.Sub(r.begunAt) >= p.cfg.StaggerInterval
 }
 
 // free ends a grant.
@@ -296,6 +296,6 @@
 	p.refuse(w.from.ID, w.ask, reason, after, now)
 }
 
-func (p *pool) refuse(to state.DaemonID, ask Ask, reason state.Reason, after state.RetryAfter, now time.Time) {
-	p.send(to, SlotRefusal{Ask: ask, Pool: p.id, Reason: reason, RetryAfter: after, Summary: p.summary(now)})
+func (p *pool) refuse(to state.DaemonID, ask SlotRequestID, reason state.Reason, after state.RetryAfter, now time.Time) {
+	p.send(to, SlotRefusal{ID: ask, Pool: p.id, Reason: reason, RetryAfter: after, Summary: p.summary(now)})
 }
--- a/coordination/home/property_test.go
+++ b/coordination/home/property_test.go
@@ -17,10 +17,10 @@
 	*world
 	t       *rapid.T
 	specs   []state.Replica
-	class   map[home.Ask]state.ClassID
-	asks    []home.Ask
+	class   map[home.SlotRequestID]state.ClassID
+	asks    []home.SlotRequestID
 	leaving map[state.ReplicaID]bool
-	ended   map[home.Ask]bool // ended by us
+	ended   map[home.SlotRequestID]bool // ended by us
 }
 
 func (h *history) act() {
@@ -36,19 +36,19 @@
 		h.class[ask] = class
 		h.asks = append(h.asks, ask)
 	case "release":
-		h.end(home.UseDone)
+		h.end(home.OutcomeServed)
 	case "fail":
-		h.end(home.UseFailed)
+		h.end(home.OutcomeFailed)
 	case "cancel":
 		if ask, ok := h.draw(); ok {
 			delete(h.waiting, ask)
 			delete(h.granted, ask)
 			h.ended[ask] = true
-			h.step(home.Received{From: other, Msg: home.CancelWait{Ask: ask, Pool: poolID}})
+			h.step(home.Received{From: other, Msg: home.CancelSlotRequest{ID: ask, Pool: poolID}})
 		}
 	case "repeat":
 		if ask, ok := h.draw(); ok && !h.ended[ask] && h.world.refused[ask].Reason == "" {
-			m := home.SlotRequest{Ask: ask, Pool: poolID, Class: h.class[ask], Customer: customer(0), Budget: time.Second}
+			m := home.SlotRequest{ID: ask, Pool: poolID, Class: h.class[ask], Customer: customer(0), Budget: time.Second}
 			h.step(home.Received{From: other, Msg: m})
 		}
 	case "time":
@@ -62,14 +62,14 @@
 	}
 }
 
-func (h *history) draw() (home.Ask, bool) {
+func (h *history) draw() (home.SlotRequestID, bool) {
 	if len(h.asks) == 0 {
-		return home.Ask{}, false
+		return home.SlotRequestID{}, false
 	}
 	return rapid.SampledFrom(h.asks).Draw(h.t, "ask"), true
 }
 
-func (h *history) end(use home.Use) {
+func (h *history) end(use home.SlotOutcome) {
 	ask, ok := h.draw()
 	if _, held := h.granted[ask]; ok && held {
 		h.ended[ask] = true
@@ -92,7 +92,7 @@
 	for _, m := range h.waiting {
 		for _, r := range h.specs {
 			if h.usable(r, m) {
-				h.t.Fatalf("%v waits beside a free slot of %s", m.Ask, r.ID)
+				h.t.Fatalf("%v waits beside a free slot of %s", m.ID, r.ID)
 			}
 		}
 	}
@@ -122,8 +122,8 @@
 			specs := replicas(rapid.IntRange(1, 3).Draw(t, "replicas"), rapid.IntRange(1, 4).Draw(t, "slots"), 1, 0.5)
 			h := &history{
 				world: newWorld(home.Config{}, document(rapid.IntRange(1, 6).Draw(t, "queue"), 3), specs, other),
-				t:     t, specs: specs, class: map[home.Ask]state.ClassID{},
-				leaving: map[state.ReplicaID]bool{}, ended: map[home.Ask]bool{},
+				t:     t, specs: specs, class: map[home.SlotRequestID]state.ClassID{},
+				leaving: map[state.ReplicaID]bool{}, ended: map[home.SlotRequestID]bool{},
 			}
 			h.step(home.Received{From: other, Msg: home.GrantReport{Pool: poolID}})
 			for range rapid.IntRange(1, 120).Draw(t, "events") {
@@ -145,7 +145,7 @@
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			const customers = 4
 			w := newWorld(home.Config{}, document(10000, customers), replicas(1, 2)) // one slot for drafts
-			of := map[home.Ask]int{}
+			of := map[home.SlotRequestID]int{}
 			since := [customers][customers]int{} // grants of the second since the first one's last
 			for range rapid.IntRange(1, 60).Draw(t, "turns") {
 				c := rapid.IntRange(0, customers-1).Draw(t, "customer")
@@ -155,7 +155,7 @@
 				for range rapid.IntRange(0, 10).Draw(t, "releases") {
 					waited := w.backlog(of)
 					for ask := range w.granted {
-						w.release(other, ask, home.UseDone)
+						w.release(other, ask, home.OutcomeServed)
 					}
 					for ask := range w.granted {
 						got := of[ask]
@@ -178,7 +178,7 @@
 })
 
 // backlog counts the waiting asks by customer.
-func (w *world) backlog(of map[home.Ask]int) map[int]int {
+func (w *world) backlog(of map[home.SlotRequestID]int) map[int]int {
 	n := map[int]int{}
 	for ask := range w.waiting {
 		n[of[ask]]++
--- a/coordination/home/queue.go
+++ b/coordination/home/queue.go
@@ -9,7 +9,7 @@
 // wait is one ask in a queue.
 type wait struct {
 	seq      uint64 // order of arrival in the pool
-	ask      Ask
+	ask      SlotRequestID
 	from     state.Member
 	class    int // rank
 	customer state.CustomerID
--- a/coordination/home/receive.go
+++ b/coordination/home/receive.go
@@ -19,13 +19,13 @@
 		if p := h.pools[m.Pool]; p != nil {
 			p.release(now, from, m)
 		}
-	case SlotPassed:
-		if p := h.pools[m.Pool]; p != nil && p.grants[m.Ask] != nil {
-			p.passed(now, p.grants[m.Ask])
+	case ExclusiveEnded:
+		if p := h.pools[m.Pool]; p != nil && p.grants[m.ID] != nil {
+			p.passed(now, p.grants[m.ID])
 		}
-	case CancelWait:
+	case CancelSlotRequest:
 		if p := h.pools[m.Pool]; p != nil {
-			p.cancel(now, from, m.Ask)
+			p.cancel(now, from, m.ID)
 		}
 	case Renewal:
 		for _, d := range m.Pools {
@@ -46,7 +46,7 @@
 func (h *Home) request(now time.Time, from state.Member, m SlotRequest) {
 	p := h.pools[m.Pool]
 	if p == nil {
-		h.out = append(h.out, Send{To: from.ID, Msg: NotHome{Pool: m.Pool, Asks: []Ask{m.Ask}}})
+		h.out = append(h.out, Send{To: from.ID, Msg: NotHome{Pool: m.Pool, IDs: []SlotRequestID{m.ID}}})
 		return
 	}
 	p.request(now, from, m)
@@ -55,11 +55,11 @@
 // request queues an ask, or refuses it at once where it can't be served in
 // time. An ask that is known already is answered as before.
 func (p *pool) request(now time.Time, from state.Member, m SlotRequest) {
-	if g := p.grants[m.Ask]; g != nil {
-		p.grantAgain(now, from, m.Ask)
+	if g := p.grants[m.ID]; g != nil {
+		p.grantAgain(now, from, m.ID)
 		return
 	}
-	if p.waits[m.Ask] != nil {
+	if p.waits[m.ID] != nil {
 		return
 	}
 	if !p.possible(m.Exclude) {
@@ -69,18 +69,18 @@
 	}
 	rank, weight, reason := p.admit(now, m)
 	if reason != "" {
-		p.refuse(from.ID, m.Ask, reason, 0, now)
+		p.refuse(from.ID, m.ID, reason, 0, now)
 		return
 	}
 	p.holder(from).heard = now
 	w := &wait{
-		ask: m.Ask, from: from, class: rank, customer: m.Customer,
+		ask: m.ID, from: from, class: rank, customer: m.Customer,
 		cost: float64(max(m.Cost, 1)), prefixes: m.Prefixes, exclude: m.Exclude,
-		alone: m.Alone, apart: m.Alone && m.Apart, arrived: now, lead: m.Lead, deadline: now.Add(m.Budget),
+		alone: m.Exclusive, apart: m.Exclusive && m.Staggered, arrived: now, lead: m.FirstTokenLatency, deadline: now.Add(m.Budget),
 	}
 	w.expires = w.deadline.Add(-w.leadAt(p.order[0].speed))
 	if !now.Before(w.expires) {
-		p.refuse(from.ID, m.Ask, state.ReasonDeadline, 1, now)
+		p.refuse(from.ID, m.ID, state.ReasonDeadline, 1, now)
 		return
 	}
 	f := p.queues[rank].flow(m.Customer, weight)
@@ -155,46 +155,46 @@
 
 // release ends a grant and notes what it showed of the replica.
 func (p *pool) release(now time.Time, from state.Member, m SlotRelease) {
-	g := p.grants[m.Ask]
+	g := p.grants[m.ID]
 	if g != nil && g.holder == from {
 		p.learnFrom(now, g, m)
 		p.free(g)
 	} else if r := p.replicas[m.Replica]; r != nil {
 		// Another home gave the grant; the word on the replica counts here too.
-		p.noteUse(now, r, now, m.Use)
+		p.noteUse(now, r, now, m.Outcome)
 	}
 	p.dispatch(now)
 }
 
 func (p *pool) learnFrom(now time.Time, g *grant, m SlotRelease) {
-	p.noteUse(now, g.r, g.at, m.Use)
-	if m.Use != UseDone {
+	p.noteUse(now, g.r, g.at, m.Outcome)
+	if m.Outcome != OutcomeServed {
 		return
 	}
 	if g.rank < len(p.holds) {
 		p.holds[g.rank].add(now.Sub(g.at))
 	}
-	if g.r.probing && g.r.probe == m.Ask {
+	if g.r.probing && g.r.probe == m.ID {
 		p.recovered(g.r)
 	}
-	if m.Tokens >= minSampleTokens && m.Busy > 0 {
-		p.sample(now, g.r, float64(m.Tokens)/m.Busy.Seconds())
+	if m.Tokens >= minSampleTokens && m.DecodeTime > 0 {
+		p.sample(now, g.r, float64(m.Tokens)/m.DecodeTime.Seconds())
 	}
 }
 
 // noteUse takes what a release says of its replica.
-func (p *pool) noteUse(now time.Time, r *replica, granted time.Time, use Use) {
+func (p *pool) noteUse(now time.Time, r *replica, granted time.Time, use SlotOutcome) {
 	switch use {
-	case UseFailed:
+	case OutcomeFailed:
 		if r.suspect(now, granted, p.cfg) {
 			p.unhold(r)
 			p.cache.forget(r.id)
 			*p.out = append(*p.out, Suspected{Pool: p.id, Replica: r.id, Until: r.until})
 		}
-	case UseLeaving:
+	case OutcomeLeaving:
 		p.leave(r)
 		p.refuseImpossible(now)
-	case UseDone, UseUnused:
+	case OutcomeServed, OutcomeUnused:
 	}
 }
 
@@ -210,7 +210,7 @@
 }
 
 // cancel ends a wait, or the grant that crossed the cancel on the way.
-func (p *pool) cancel(now time.Time, from state.Member, ask Ask) {
+func (p *pool) cancel(now time.Time, from state.Member, ask SlotRequestID) {
 	if w := p.waits[ask]; w != nil && w.from == from {
 		p.dropWait(w)
 	} else if g := p.grants[ask]; g != nil && g.holder == from {
--- a/coordination/home/replica.go
+++ b/coordination/home/replica.go
@@ -40,7 +40,7 @@
 	suspectedAt time.Time
 	until       time.Time
 	probing     bool
-	probe       Ask
+	probe       SlotRequestID
 	probeAt     time.Time
 
 	rate   float64 // tokens a second as observed; 0 not known
@@ -89,8 +89,8 @@
 	if r.failures > 0 && granted.Before(r.suspectedAt) {
 		return false
 	}
-	backoff := cfg.SuspectMin << min(r.failures, 16)
-	backoff = min(backoff, cfg.SuspectMax)
+	backoff := cfg.MinBackoff << min(r.failures, 16)
+	backoff = min(backoff, cfg.MaxBackoff)
 	r.failures++
 	r.suspectedAt = now
 	r.until = now.Add(backoff)
--- a/coordination/home/world_test.go
+++ b/coordination/home/world_test.go
@@ -56,12 +56,12 @@
 type world struct {
 	home    *home.Home
 	now     time.Time
-	granted map[home.Ask]home.SlotGrant
-	waiting map[home.Ask]home.SlotRequest
-	refused map[home.Ask]home.SlotRefusal
-	ended   map[home.Ask]int
+	granted map[home.SlotRequestID]home.SlotGrant
+	waiting map[home.SlotRequestID]home.SlotRequest
+	refused map[home.SlotRequestID]home.SlotRefusal
+	ended   map[home.SlotRequestID]int
 	queries []state.DaemonID
-	again   []home.Ask
+	again   []home.SlotRequestID
 	learned int
 	bad     map[state.ReplicaID]bool
 	serial  int
@@ -70,8 +70,8 @@
 func newWorld(cfg home.Config, doc *service.Document, specs []state.Replica, live ...state.Member) *world {
 	w := &world{
 		home: home.New(cfg), now: start,
-		granted: map[home.Ask]home.SlotGrant{}, waiting: map[home.Ask]home.SlotRequest{},
-		refused: map[home.Ask]home.SlotRefusal{}, ended: map[home.Ask]int{},
+		granted: map[home.SlotRequestID]home.SlotGrant{}, waiting: map[home.SlotRequestID]home.SlotRequest{},
+		refused: map[home.SlotRequestID]home.SlotRefusal{}, ended: map[home.SlotRequestID]int{},
 		bad: map[state.ReplicaID]bool{},
 	}
 	w.step(home.ViewChanged{Live: live})
@@ -93,7 +93,7 @@
 			w.bad[a.Replica] = true
 		case home.Recovered:
 			delete(w.bad, a.Replica)
-		case home.Learned:
+		case home.GrantsRecovered:
 			w.learned++
 		}
 	}
@@ -102,27 +102,27 @@
 func (w *world) sent(a home.Send) {
 	switch m := a.Msg.(type) {
 	case home.SlotGrant:
-		if _, known := w.granted[m.Ask]; !known {
-			w.ended[m.Ask]++
+		if _, known := w.granted[m.ID]; !known {
+			w.ended[m.ID]++
 		}
-		w.granted[m.Ask] = m
-		delete(w.waiting, m.Ask)
+		w.granted[m.ID] = m
+		delete(w.waiting, m.ID)
 	case home.SlotRefusal:
-		w.ended[m.Ask]++
-		w.refused[m.Ask] = m
-		delete(w.waiting, m.Ask)
+		w.ended[m.ID]++
+		w.refused[m.ID] = m
+		delete(w.waiting, m.ID)
 	case home.ReportQuery:
 		w.queries = append(w.queries, a.To)
 	case home.NotHome:
-		w.again = append(w.again, m.Asks...)
+		w.again = append(w.again, m.IDs...)
 	}
 }
 
 // ask sends a request of the class and returns its name.
-func (w *world) ask(from state.Member, class state.ClassID, c int, change ...func(*home.SlotRequest)) home.Ask {
+func (w *world) ask(from state.Member, class state.ClassID, c int, change ...func(*home.SlotRequest)) home.SlotRequestID {
 	w.serial++
-	ask := home.Ask{Request: state.RequestID(fmt.Sprintf("entry-1-%08d", w.serial)), Attempt: 1}
-	m := home.SlotRequest{Ask: ask, Pool: poolID, Class: class, Customer: customer(c), Budget: time.Hour}
+	ask := home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-1-%08d", w.serial)), Attempt: 1}
+	m := home.SlotRequest{ID: ask, Pool: poolID, Class: class, Customer: customer(c), Budget: time.Hour}
 	for _, f := range change {
 		f(&m)
 	}
@@ -131,10 +131,10 @@
 	return ask
 }
 
-func (w *world) release(from state.Member, ask home.Ask, use home.Use) {
+func (w *world) release(from state.Member, ask home.SlotRequestID, use home.SlotOutcome) {
 	g := w.granted[ask]
 	delete(w.granted, ask)
-	w.step(home.Received{From: from, Msg: home.SlotRelease{Ask: ask, Pool: poolID, Replica: g.Replica, Use: use}})
+	w.step(home.Received{From: from, Msg: home.SlotRelease{ID: ask, Pool: poolID, Replica: g.Replica, Outcome: use}})
 }
 
 // advance moves the clock, ticking whenever the home asks for it.
--- a/coordination/route/asks.go
+++ b/coordination/route/asks.go
@@ -37,9 +37,9 @@
 	p.load.sent++
 	w := a.want
 	r.send(p.home, home.SlotRequest{
-		Ask: w.Ask, Pool: p.spec.ID, Class: w.Class, Customer: w.Customer,
-		Budget: max(w.Deadline.Sub(now)-r.cfg.Margin, 0), Lead: w.Lead, Cost: w.Cost, Prefixes: w.Prefixes,
-		Exclude: w.Exclude, Alone: w.Alone, Apart: w.Apart,
+		ID: w.Ask, Pool: p.spec.ID, Class: w.Class, Customer: w.Customer,
+		Budget: max(w.Deadline.Sub(now)-r.cfg.Margin, 0), FirstTokenLatency: w.Lead, Cost: w.Cost, Prefixes: w.Prefixes,
+		Exclude: w.Exclude, Exclusive: w.Alone, Staggered: w.Apart,
 	})
 }
 
@@ -95,14 +95,14 @@
 	r.out = append(r.out, Refused{Ask: a.want.Ask, Reason: reason, RetryAfter: after})
 }
 
-func (r *Router) cancel(k home.Ask) {
+func (r *Router) cancel(k home.SlotRequestID) {
 	a := r.asks[k]
 	if a == nil || a.held {
 		return
 	}
 	r.leavePool(a)
 	delete(r.asks, k)
-	r.send(a.home, home.CancelWait{Ask: k, Pool: a.pool})
+	r.send(a.home, home.CancelSlotRequest{ID: k, Pool: a.pool})
 }
 
 // done releases a grant, to the pool's home of now and, if that is another
@@ -114,8 +114,8 @@
 	}
 	delete(r.asks, e.Ask)
 	m := home.SlotRelease{
-		Ask: e.Ask, Pool: a.pool, Replica: a.replica,
-		Use: e.Use, Tokens: e.Tokens, Busy: e.Busy,
+		ID: e.Ask, Pool: a.pool, Replica: a.replica,
+		Outcome: e.Use, Tokens: e.Tokens, DecodeTime: e.Busy,
 	}
 	p := r.layout.pools[a.pool]
 	if p != nil {
@@ -129,9 +129,9 @@
 
 // passed tells the home. A message that is lost costs other requests that are
 // apart some time: the grant's end says the same.
-func (r *Router) passed(ask home.Ask) {
+func (r *Router) passed(ask home.SlotRequestID) {
 	if a := r.asks[ask]; a != nil && a.held {
-		r.send(a.home, home.SlotPassed{Ask: ask, Pool: a.pool})
+		r.send(a.home, home.ExclusiveEnded{ID: ask, Pool: a.pool})
 	}
 }
 
@@ -146,11 +146,11 @@
 		r.granted(now, from, m)
 	case home.SlotRefusal:
 		r.seen(now, m.Pool, m.Summary)
-		if a := r.asks[m.Ask]; a != nil && !a.held && a.home == from.ID && a.pool == m.Pool {
+		if a := r.asks[m.ID]; a != nil && !a.held && a.home == from.ID && a.pool == m.Pool {
 			r.refused(now, a, m)
 		}
 	case home.NotHome:
-		for _, k := range m.Asks {
+		for _, k := range m.IDs {
 			if a := r.asks[k]; a != nil && !a.held && a.home == from.ID && a.pool == m.Pool {
 				r.missed(now, a)
 			}
@@ -170,8 +170,8 @@
 
 // granted takes a grant if it is still wanted; else it goes back unused.
 func (r *Router) granted(now time.Time, from state.Member, m home.SlotGrant) {
-	a := r.asks[m.Ask]
-	release := home.SlotRelease{Ask: m.Ask, Pool: m.Pool, Replica: m.Replica, Use: home.UseUnused}
+	a := r.asks[m.ID]
+	release := home.SlotRelease{ID: m.ID, Pool: m.Pool, Replica: m.Replica, Outcome: home.OutcomeUnused}
 	switch {
 	case a == nil:
 		r.send(from.ID, release)
@@ -180,20 +180,20 @@
 	case a.held || a.pool != m.Pool:
 		r.send(from.ID, release)
 	case r.leaving[m.Replica]:
-		release.Use = home.UseLeaving
+		release.Outcome = home.OutcomeLeaving
 		r.send(from.ID, release)
 		a.want.Exclude = append(slices.Clone(a.want.Exclude), m.Replica)
 		r.askAgain(now, a)
 	default:
 		if from.ID != a.home {
 			// Asked again at the next home while this grant was under way.
-			r.send(a.home, home.CancelWait{Ask: m.Ask, Pool: m.Pool})
+			r.send(a.home, home.CancelSlotRequest{ID: m.ID, Pool: m.Pool})
 		}
 		p := r.layout.pools[a.pool]
-		p.mine.unwait(m.Ask)
-		p.mine.hold(m.Ask)
+		p.mine.unwait(m.ID)
+		p.mine.hold(m.ID)
 		a.held, a.replica, a.home = true, m.Replica, from.ID
-		r.out = append(r.out, Granted{Ask: m.Ask, Replica: m.Replica})
+		r.out = append(r.out, Granted{Ask: m.ID, Replica: m.Replica})
 	}
 }
 
--- a/coordination/route/books.go
+++ b/coordination/route/books.go
@@ -28,22 +28,22 @@
 	asks          int
 }
 
-func (b *books) wait(k home.Ask) {
+func (b *books) wait(k home.SlotRequestID) {
 	b.waiting ^= k.Digest()
 	b.asks++
 }
 
-func (b *books) unwait(k home.Ask) {
+func (b *books) unwait(k home.SlotRequestID) {
 	b.waiting ^= k.Digest()
 	b.asks--
 }
 
-func (b *books) hold(k home.Ask) {
+func (b *books) hold(k home.SlotRequestID) {
 	b.held ^= k.Digest()
 	b.asks++
 }
 
-func (b *books) unhold(k home.Ask) {
+func (b *books) unhold(k home.SlotRequestID) {
 	b.held ^= k.Digest()
 	b.asks--
 }
@@ -73,7 +73,7 @@
 			continue
 		}
 		if a.held {
-			m.Held = append(m.Held, home.HeldGrant{Ask: a.want.Ask, Replica: a.replica, Class: a.want.Class})
+			m.Held = append(m.Held, home.HeldGrant{ID: a.want.Ask, Replica: a.replica, Class: a.want.Class})
 		} else if a.home == to {
 			m.Waiting = append(m.Waiting, a.want.Ask)
 		}
@@ -92,7 +92,7 @@
 // timer wakes the router for one ask. Timers of asks that ended are skipped.
 type timer struct {
 	at    time.Time
-	ask   home.Ask
+	ask   home.SlotRequestID
 	retry bool // else the deadline
 }
 
@@ -116,6 +116,6 @@
 	return x
 }
 
-func (r *Router) wake(at time.Time, k home.Ask, retry bool) {
+func (r *Router) wake(at time.Time, k home.SlotRequestID, retry bool) {
 	heap.Push(&r.timers, timer{at: at, ask: k, retry: retry})
 }
--- a/coordination/route/compare/engine.go
+++ b/coordination/route/compare/engine.go
@@ -30,7 +30,7 @@
 
 // Job is one request.
 type Job struct {
-	Ask      home.Ask
+	Ask      home.SlotRequestID
 	Class    Class
 	Customer state.CustomerID
 	Prefill  time.Duration // at speed 1
--- a/coordination/route/compare/fleet.go
+++ b/coordination/route/compare/fleet.go
@@ -43,13 +43,13 @@
 	Home    *home.Home
 	Dead    bool
 	Drains  bool
-	Learned []home.Learned
+	Learned []home.GrantsRecovered
 
 	// Retry asks again for a job whose engine failed.
 	Retry bool
 
 	fleet *Fleet
-	jobs  map[home.Ask]*Job // not ended yet
+	jobs  map[home.SlotRequestID]*Job // not ended yet
 	wake  time.Time
 }
 
@@ -67,7 +67,7 @@
 			Router: route.New(rc, rand.New(rand.NewPCG(seed, uint64(i)))),
 			Home:   home.New(hc),
 			fleet:  f,
-			jobs:   make(map[home.Ask]*Job),
+			jobs:   make(map[home.SlotRequestID]*Job),
 		})
 	}
 	for _, d := range f.Daemons {
@@ -163,7 +163,7 @@
 		switch a := a.(type) {
 		case home.Send:
 			d.fleet.send(d, a.To, a.Msg)
-		case home.Learned:
+		case home.GrantsRecovered:
 			d.Learned = append(d.Learned, a)
 		}
 	}
@@ -207,12 +207,12 @@
 		return
 	}
 	if !j.Done.IsZero() {
-		d.route(route.Done{Ask: j.Ask, Use: home.UseDone, Tokens: uint32(j.Tokens), Busy: j.Done.Sub(j.First)})
+		d.route(route.Done{Ask: j.Ask, Use: home.OutcomeServed, Tokens: uint32(j.Tokens), Busy: j.Done.Sub(j.First)})
 		delete(d.jobs, j.Ask)
 		j.Ended(j)
 		return
 	}
-	d.route(route.Done{Ask: j.Ask, Use: home.UseFailed})
+	d.route(route.Done{Ask: j.Ask, Use: home.OutcomeFailed})
 	delete(d.jobs, j.Ask)
 	if !d.Retry {
 		j.Refused = state.ReasonBackendFailed
--- a/coordination/route/compare/workload.go
+++ b/coordination/route/compare/workload.go
@@ -64,7 +64,7 @@
 	now := r.loop.Now()
 	r.serial++
 	j := &Job{
-		Ask:      home.Ask{Request: state.RequestID(fmt.Sprintf("entry-0-%012x", r.serial)), Attempt: 1},
+		Ask:      home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-0-%012x", r.serial)), Attempt: 1},
 		Customer: customerName(min(int(r.rng.ExpFloat64()*2), customers-1)),
 		Class:    Draft, Prefill: r.DraftPrefill, Arrived: now, Deadline: now.Add(r.DraftDeadline),
 		Tokens: min(int(r.rng.ExpFloat64()*draftTokens)+1, maxTokens),
--- a/coordination/route/event.go
+++ b/coordination/route/event.go
@@ -66,7 +66,7 @@
 
 // Want asks for a slot.
 type Want struct {
-	Ask      home.Ask
+	Ask      home.SlotRequestID
 	Service  state.ServiceID
 	Class    state.ClassID
 	Customer state.CustomerID
@@ -81,20 +81,20 @@
 
 // Done ends a grant.
 type Done struct {
-	Ask    home.Ask
-	Use    home.Use
+	Ask    home.SlotRequestID
+	Use    home.SlotOutcome
 	Tokens uint32        // made in Busy
 	Busy   time.Duration // from the first token to the last
 }
 
 // Passed says that a request that is apart has done what may end its replica.
 type Passed struct {
-	Ask home.Ask
+	Ask home.SlotRequestID
 }
 
 // Cancel ends a Want that was not granted yet.
 type Cancel struct {
-	Ask home.Ask
+	Ask home.SlotRequestID
 }
 
 func (Tick) event()            {}
@@ -123,13 +123,13 @@
 
 // Granted gives the slot that was wanted.
 type Granted struct {
-	Ask     home.Ask
+	Ask     home.SlotRequestID
 	Replica state.ReplicaID
 }
 
 // Refused ends a Want without a slot.
 type Refused struct {
-	Ask        home.Ask
+	Ask        home.SlotRequestID
 	Reason     state.Reason
 	RetryAfter state.RetryAfter
 }
--- a/coordination/route/fleet_test.go
+++ b/coordination/route/fleet_test.go
@@ -63,7 +63,7 @@
 	}
 	now := s.loop.Now()
 	j := &compare.Job{
-		Ask:     home.Ask{Request: state.RequestID(fmt.Sprintf("entry-%d-%06d", i, len(s.jobs))), Attempt: 1},
+		Ask:     home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-%d-%06d", i, len(s.jobs))), Attempt: 1},
 		Class:   compare.Draft,
 		Prefill: 200 * time.Millisecond, Tokens: 1 + int(s.rng.ExpFloat64()*100),
 		Customer: state.CustomerID(fmt.Sprintf("customer-%d", s.rng.IntN(10))),
--- a/coordination/route/router.go
+++ b/coordination/route/router.go
@@ -20,7 +20,7 @@
 	pick    picker
 	layout  layout
 	live    []Peer
-	asks    map[home.Ask]*ask
+	asks    map[home.SlotRequestID]*ask
 	leaving map[state.ReplicaID]bool
 	timers  timers
 	renewAt time.Time
@@ -35,7 +35,7 @@
 		cfg:     cfg,
 		pick:    picker{rng: rng, maxAge: cfg.SummaryAge},
 		layout:  newLayout(),
-		asks:    make(map[home.Ask]*ask),
+		asks:    make(map[home.SlotRequestID]*ask),
 		leaving: make(map[state.ReplicaID]bool),
 	}
 }
@@ -115,7 +115,7 @@
 		default:
 			// The home is silent past the deadline; it may still grant, and
 			// then gets the slot back unused.
-			r.send(a.home, home.CancelWait{Ask: t.ask, Pool: a.pool})
+			r.send(a.home, home.CancelSlotRequest{ID: t.ask, Pool: a.pool})
 			r.giveUp(a, state.ReasonDeadline, 0)
 		}
 	}
--- a/daemon/slots.go
+++ b/daemon/slots.go
@@ -27,7 +27,7 @@
 	replicas map[state.ReplicaID]state.Replica
 	leaving  map[state.ReplicaID]bool
 	pools    []home.PoolSpec // that this daemon is home of
-	wants    map[home.Ask]*runner
+	wants    map[home.SlotRequestID]*runner
 	// unheard are the backend servers of newly assigned pools that have not said
 	// yet whether they are leaving.
 	unheard map[state.BackendID]bool
@@ -51,7 +51,7 @@
 		docs:     make(map[state.ServiceID]*service.Versioned),
 		replicas: make(map[state.ReplicaID]state.Replica),
 		leaving:  make(map[state.ReplicaID]bool),
-		wants:    make(map[home.Ask]*runner),
+		wants:    make(map[home.SlotRequestID]*runner),
 		unheard:  make(map[state.BackendID]bool),
 		unproved: make(map[home.PoolID]time.Time),
 	}
@@ -225,7 +225,7 @@
 			p.c.d.log.Emit(telemetry.EventReplicaDown, telemetry.Replica(a.Replica))
 		case home.Recovered:
 			p.c.d.log.Emit(telemetry.EventReplicaUp, telemetry.Replica(a.Replica))
-		case home.Learned:
+		case home.GrantsRecovered:
 			// A new home began to grant; nothing is to be done.
 		}
 	}
@@ -259,7 +259,7 @@
 // ask begins to get a slot for a request's next attempt.
 // Alone asks for a replica that runs nothing else meanwhile.
 func (p *slotsPart) ask(r *runner, a request.AskSlot, alone bool) {
-	ask := home.Ask{Request: r.spec.ID, Attempt: a.Attempt}
+	ask := home.SlotRequestID{Request: r.spec.ID, Attempt: a.Attempt}
 	p.wants[ask] = r
 	prefixes := state.Prefixes(r.spec.Prompt)
 	slices.Reverse(prefixes)
@@ -279,11 +279,11 @@
 
 // passed lets others begin on the replica of a request that was alone.
 func (p *slotsPart) passed(r *runner, attempt state.Attempt) {
-	p.route(route.Passed{Ask: home.Ask{Request: r.spec.ID, Attempt: attempt}})
+	p.route(route.Passed{Ask: home.SlotRequestID{Request: r.spec.ID, Attempt: attempt}})
 }
 
 func (p *slotsPart) stop(r *runner, attempt state.Attempt) {
-	ask := home.Ask{Request: r.spec.ID, Attempt: attempt}
+	ask := home.SlotRequestID{Request: r.spec.ID, Attempt: attempt}
 	if _, waits := p.wants[ask]; !waits {
 		return
 	}
@@ -292,15 +292,15 @@
 }
 
 func (p *slotsPart) release(id state.RequestID, a request.ReleaseSlot, tokens int, busy time.Duration) {
-	use := home.UseDone
+	use := home.OutcomeServed
 	switch {
 	case a.Unused:
-		use = home.UseUnused
+		use = home.OutcomeUnused
 	case a.Failed:
-		use = home.UseFailed
+		use = home.OutcomeFailed
 	}
 	p.route(route.Done{
-		Ask:    home.Ask{Request: id, Attempt: a.Grant},
+		Ask:    home.SlotRequestID{Request: id, Attempt: a.Grant},
 		Use:    use,
 		Tokens: uint32(tokens),
 		Busy:   busy,
@@ -313,7 +313,7 @@
 	delete(p.wants, a.Ask)
 	switch {
 	case !ok:
-		p.c.later(func() { p.route(route.Done{Ask: a.Ask, Use: home.UseUnused}) })
+		p.c.later(func() { p.route(route.Done{Ask: a.Ask, Use: home.OutcomeUnused}) })
 	case !known:
 		// The home has a newer document than this daemon. The request asks
 		// again for another replica; it would wait for ever otherwise.
--- a/scenario/pool.go
+++ b/scenario/pool.go
@@ -40,11 +40,11 @@
 type pool struct {
 	w     *World
 	home  *home.Home
-	wants map[home.Ask]*run
+	wants map[home.SlotRequestID]*run
 }
 
 func newPool(w *World) *pool {
-	p := &pool{w: w, home: home.New(home.Config{}), wants: make(map[home.Ask]*run)}
+	p := &pool{w: w, home: home.New(home.Config{}), wants: make(map[home.SlotRequestID]*run)}
 	p.membersChanged()
 	p.step(home.DocumentChanged{Document: document()})
 	p.step(home.PoolsAssigned{Pools: []home.PoolSpec{{ID: poolID, Service: serviceID, Replicas: w.replicas}}})
@@ -72,7 +72,7 @@
 			p.w.say("%s gets no work for a while", a.Replica)
 		case home.Recovered:
 			p.w.say("%s gets work again", a.Replica)
-		case home.Learned:
+		case home.GrantsRecovered:
 		}
 	}
 }
@@ -93,17 +93,17 @@
 	p.w.after(hop, func() { p.step(home.Received{From: n.member, Msg: msg}) })
 }
 
-func askOf(r *run, a state.Attempt) home.Ask {
-	return home.Ask{Request: state.RequestID(r.n.name + "/" + r.name()), Attempt: a}
+func askOf(r *run, a state.Attempt) home.SlotRequestID {
+	return home.SlotRequestID{Request: state.RequestID(r.n.name + "/" + r.name()), Attempt: a}
 }
 
 func (p *pool) ask(r *run, a request.AskSlot, alone bool) {
 	ask := askOf(r, a.Attempt)
 	p.wants[ask] = r
 	p.received(r.n, home.SlotRequest{
-		Ask: ask, Pool: poolID, Class: r.spec.Class, Customer: r.spec.Customer,
+		ID: ask, Pool: poolID, Class: r.spec.Class, Customer: r.spec.Customer,
 		Budget: r.spec.FirstTokenBy.Sub(p.w.now), Cost: uint32(r.spec.MaxTokens), Exclude: a.Exclude,
-		Alone: alone,
+		Exclusive: alone,
 	})
 }
 
@@ -113,13 +113,13 @@
 		return
 	}
 	delete(p.wants, ask)
-	p.received(r.n, home.CancelWait{Ask: ask, Pool: poolID})
+	p.received(r.n, home.CancelSlotRequest{ID: ask, Pool: poolID})
 }
 
 // granted gives a run its slot, with the lives that the engines are seen in.
 func (p *pool) granted(m home.SlotGrant) {
-	r, ok := p.wants[m.Ask]
-	delete(p.wants, m.Ask)
+	r, ok := p.wants[m.ID]
+	delete(p.wants, m.ID)
 	replica, known := p.w.replica(m.Replica)
 	if !ok || !known {
 		return // taken back; the home gives the slot on
@@ -128,7 +128,7 @@
 	for i, s := range replica.Stages {
 		e := p.w.engine(s.Address)
 		if e.dead {
-			r.later(hop, request.SlotUnusable{Grant: m.Ask.Attempt, Replica: replica.ID})
+			r.later(hop, request.SlotUnusable{Grant: m.ID.Attempt, Replica: replica.ID})
 			return
 		}
 		replica.Stages[i].Life = e.lifeName()
@@ -136,24 +136,24 @@
 	if q := r.n.quarantine; q != nil {
 		q.granted(r, replica)
 	}
-	r.feed(request.SlotGranted{Grant: m.Ask.Attempt, Replica: replica})
+	r.feed(request.SlotGranted{Grant: m.ID.Attempt, Replica: replica})
 }
 
 func (p *pool) refused(m home.SlotRefusal) {
-	r, ok := p.wants[m.Ask]
-	delete(p.wants, m.Ask)
+	r, ok := p.wants[m.ID]
+	delete(p.wants, m.ID)
 	if ok {
 		r.feed(request.SlotRefused{Reason: m.Reason, RetryAfter: m.RetryAfter})
 	}
 }
 
 func (p *pool) release(r *run, a request.ReleaseSlot) {
-	use := home.UseDone
+	use := home.OutcomeServed
 	switch {
 	case a.Unused:
-		use = home.UseUnused
+		use = home.OutcomeUnused
 	case a.Failed:
-		use = home.UseFailed
+		use = home.OutcomeFailed
 	}
-	p.received(r.n, home.SlotRelease{Ask: askOf(r, a.Grant), Pool: poolID, Replica: a.Replica, Use: use})
+	p.received(r.n, home.SlotRelease{ID: askOf(r, a.Grant), Pool: poolID, Replica: a.Replica, Outcome: use})
 }
