--- a/coordination/layering/layering.go
+++ b/coordination/layering/layering.go
@@ -20,7 +20,7 @@
 	// rankDelay is how much later each next daemon tries to take the lease.
 	rankDelay = 500 * time.Millisecond
 	// Term is how long a lease stands without renewal.
-	Term = 3 * time.Second
+	LeaseDuration = 3 * time.Second
 	// termMargin is how much sooner a holder stops than others take over, for
 	// clocks that differ in rate and a call's way.
 	termMargin = 500 * time.Millisecond
@@ -53,72 +53,72 @@
 type Tick struct{}
 
 // Listed replaces what is known of one service's engines.
-type Listed struct {
+type ServersListed struct {
 	Service state.ServiceID
 	Engine  *fleet.Engine
 	Servers []fleet.Server
 }
 
 // Ranked says how many daemons are to try before this one.
-type Ranked struct{ Before int }
+type RankChanged struct{ DaemonsAhead int }
 
 // Acquired says that the lease is held under a fencing number; Sent is when the
 // write that took it was sent.
-type Acquired struct {
+type LeaseAcquired struct {
 	Fence state.FencingNumber
 	Sent  time.Time
 }
 
 // NotAcquired says that another daemon holds the lease, or that the attempt
 // failed. HeldFor is how long the other's lease still stands, if known.
-type NotAcquired struct{ HeldFor time.Duration }
+type LeaseNotAcquired struct{ HeldFor time.Duration }
 
 // OrderEnd is what became of an order.
-type OrderEnd uint8
+type OrderOutcome uint8
 
 // The values of OrderEnd.
 const (
-	Begun    OrderEnd = iota + 1 // it is being carried out, or holds already
-	Lost                         // no answer; it may be carried out late
-	Conflict                     // it does not fit the engine's state
-	Fenced                       // a higher fencing number was seen
-	Expired                      // not sent: Order.Until had passed
+	Accepted   OrderOutcome = iota + 1 // it is being carried out, or holds already
+	Unanswered                         // no answer; it may be carried out late
+	Conflict                           // it does not fit the engine's state
+	Fenced                             // a higher fencing number was seen
+	Expired                            // not sent: Order.Until had passed
 )
 
 // Ordered answers an Order action. Orders is the number of orders that the engine
 // has begun by its own report, where Known.
-type Ordered struct {
-	Server state.Life
-	End    OrderEnd
-	Known  bool
-	Orders uint64
-	Busy   bool // it is carrying out an order, of another daemon perhaps
+type OrderResult struct {
+	Server     state.Life
+	Outcome    OrderOutcome
+	Known      bool
+	OrderCount uint64
+	Busy       bool // it is carrying out an order, of another daemon perhaps
 }
 
-func (Tick) layeringEvent()        {}
-func (Listed) layeringEvent()      {}
-func (Ranked) layeringEvent()      {}
-func (Acquired) layeringEvent()    {}
-func (NotAcquired) layeringEvent() {}
-func (Ordered) layeringEvent()     {}
+func (Tick) layeringEvent()             {}
+func (ServersListed) layeringEvent()    {}
+func (RankChanged) layeringEvent()      {}
+func (LeaseAcquired) layeringEvent()    {}
+func (LeaseNotAcquired) layeringEvent() {}
+func (OrderResult) layeringEvent()      {}
 
 // Action is something for the caller of Step to do.
 type Action interface{ layeringAction() }
 
 // Acquire asks for the lease to be taken or renewed.
-type Acquire struct{}
+type AcquireLease struct{}
 
 // Order asks for an engine to be given layers. It is sent only while Holds.
 type Order struct {
-	Server fleet.Server
-	Layers fleet.Range
-	Fence  state.FencingNumber
-	Orders uint64
-	Until  time.Time // after which it may not be sent
+	Server     fleet.Server
+	Layers     fleet.Range
+	Fence      state.FencingNumber
+	OrderCount uint64
+	SendBefore time.Time // after which it may not be sent
 }
 
-func (Acquire) layeringAction() {}
-func (Order) layeringAction()   {}
+func (AcquireLease) layeringAction() {}
+func (Order) layeringAction()        {}
 
 // service is what is known of one service's engines.
 type service struct {
@@ -131,8 +131,8 @@
 // Machine decides for one daemon. It belongs to one goroutine.
 type Machine struct {
 	services map[state.ServiceID]*service
-	lists    map[state.ServiceID]Listed // that have come since the last look
-	looked   time.Time                  // when that was
+	lists    map[state.ServiceID]ServersListed // that have come since the last look
+	looked   time.Time                         // when that was
 	pending  underWay
 	orders   map[state.Life]uint64 // that each engine has begun, as far as is known
 
@@ -158,14 +158,14 @@
 func New() *Machine {
 	return &Machine{
 		services: make(map[state.ServiceID]*service),
-		lists:    make(map[state.ServiceID]Listed),
+		lists:    make(map[state.ServiceID]ServersListed),
 		pending:  newUnderWay(),
 		orders:   make(map[state.Life]uint64),
 	}
 }
 
 // Holds reports whether orders may be given at now.
-func (m *Machine) Holds(now time.Time) bool {
+func (m *Machine) HoldsLease(now time.Time) bool {
 	return now.Before(m.until)
 }
 
@@ -173,27 +173,27 @@
 func (m *Machine) Fence() state.FencingNumber { return m.fence }
 
 // UnderWay counts the orders that engines are carrying out, as far as is known.
-func (m *Machine) UnderWay() int { return m.pending.len() }
+func (m *Machine) PendingOrders() int { return m.pending.len() }
 
 // Layouts is how many times engines have been laid out.
-func (m *Machine) Layouts() int { return m.layouts }
+func (m *Machine) PlanCount() int { return m.layouts }
 
 // Step takes in one event and gives what is to be done about it.
 func (m *Machine) Step(now time.Time, ev Event) []Action {
 	m.now, m.out = now, nil
 	switch ev := ev.(type) {
-	case Listed:
+	case ServersListed:
 		m.lists[ev.Service] = ev
-	case Ranked:
-		m.before = ev.Before
-	case Acquired:
+	case RankChanged:
+		m.before = ev.DaemonsAhead
+	case LeaseAcquired:
 		m.acquiring = false
 		m.fence = ev.Fence
-		m.until = ev.Sent.Add(Term - termMargin)
-	case NotAcquired:
+		m.until = ev.Sent.Add(LeaseDuration - termMargin)
+	case LeaseNotAcquired:
 		m.acquiring = false
 		m.notBefore = now.Add(max(ev.HeldFor, acquireRetry))
-	case Ordered:
+	case OrderResult:
 		m.ordered(ev)
 	case Tick:
 	}
@@ -239,7 +239,7 @@
 // turn looks at each at once, and so does a holder; of hundreds of daemons the others would
 // spend most of their processors on layouts that they never order.
 func (m *Machine) nextLook() time.Time {
-	if m.before == 0 || m.acquiring || m.Holds(m.now) || m.pending.len() > 0 {
+	if m.before == 0 || m.acquiring || m.HoldsLease(m.now) || m.pending.len() > 0 {
 		return m.now
 	}
 	return m.looked.Add(min(time.Duration(m.before)*rankDelay/looksInTurn, lookMost))
@@ -257,7 +257,7 @@
 	clear(m.lists)
 }
 
-func (m *Machine) listed(ev Listed) {
+func (m *Machine) listed(ev ServersListed) {
 	s, ok := m.services[ev.Service]
 	if !ok {
 		s = &service{}
@@ -311,17 +311,17 @@
 	maps.DeleteFunc(m.orders, func(id state.Life, _ uint64) bool { return gone(id) })
 }
 
-func (m *Machine) ordered(ev Ordered) {
+func (m *Machine) ordered(ev OrderResult) {
 	p, ok := m.pending.get(ev.Server)
 	if !ok {
 		return
 	}
 	m.pending.answered(ev.Server)
 	if ev.Known {
-		m.orders[ev.Server] = ev.Orders
+		m.orders[ev.Server] = ev.OrderCount
 	}
-	switch ev.End {
-	case Begun:
+	switch ev.Outcome {
+	case Accepted:
 		// It changes nothing of the plan, which counts the engine's new layers already.
 		m.orders[ev.Server] = max(m.orders[ev.Server], p.orders+1)
 		return
@@ -333,7 +333,7 @@
 		// Another daemon holds a later lease: this one's has ended.
 		m.until = m.now
 	case Conflict:
-		if ev.Known && !ev.Busy && ev.Orders != p.orders {
+		if ev.Known && !ev.Busy && ev.OrderCount != p.orders {
 			// A new holder does not know how many orders each engine has begun.
 			// Now it does, and decides anew at once: a wait of orderRetry keeps
 			// callers without these layers for 0.7 s.
@@ -371,10 +371,10 @@
 	if m.needed.IsZero() {
 		m.needed = m.now
 	}
-	if !m.Holds(m.now) || m.until.Sub(m.now) < renewBefore {
+	if !m.HoldsLease(m.now) || m.until.Sub(m.now) < renewBefore {
 		m.acquire()
 	}
-	if !m.Holds(m.now) {
+	if !m.HoldsLease(m.now) {
 		return
 	}
 	for len(m.plan) > 0 && m.pending.unanswered < ordersAtOnce {
@@ -408,7 +408,7 @@
 		return
 	}
 	m.acquiring = true
-	m.out = append(m.out, Acquire{})
+	m.out = append(m.out, AcquireLease{})
 }
 
 // want is one assignment with the engine that it is for.
@@ -451,5 +451,5 @@
 	share := float64(w.Layers.Len()) / float64(w.engine.Layers)
 	load := time.Duration(float64(w.engine.LoadTime) * share)
 	m.pending.add(w.Server.Life(), pending{layers: w.Layers, orders: orders, until: m.now.Add(2*load + loadSlack), moved: w.Server.Layers.Len() > 0})
-	m.out = append(m.out, Order{Server: w.Server, Layers: w.Layers, Fence: m.fence, Orders: orders, Until: m.until})
+	m.out = append(m.out, Order{Server: w.Server, Layers: w.Layers, Fence: m.fence, OrderCount: orders, SendBefore: m.until})
 }
--- a/coordination/layering/layering_test.go
+++ b/coordination/layering/layering_test.go
@@ -48,19 +48,19 @@
 // settled returns a machine that has the list of engines, at 2000 ms.
 func settled(servers []fleet.Server) *layering.Machine {
 	m := layering.New()
-	m.Step(at(0), layering.Listed{Service: "s", Engine: engine, Servers: servers})
+	m.Step(at(0), layering.ServersListed{Service: "s", Engine: engine, Servers: servers})
 	return m
 }
 
 // hold gives the machine the lease at ms.
 func hold(m *layering.Machine, ms int) []layering.Action {
-	return m.Step(at(ms), layering.Acquired{Fence: 7, Sent: at(ms)})
+	return m.Step(at(ms), layering.LeaseAcquired{Fence: 7, Sent: at(ms)})
 }
 
 var _ = Describe("The duty of layers", func() {
 	It("takes the lease before it orders anything", func() {
 		m := settled(empty(4))
-		Expect(m.Step(at(2000), layering.Tick{})).To(Equal([]layering.Action{layering.Acquire{}}))
+		Expect(m.Step(at(2000), layering.Tick{})).To(Equal([]layering.Action{layering.AcquireLease{}}))
 		got := orders(hold(m, 2010))
 		Expect(got).To(HaveLen(4))
 		Expect(got[0].Fence).To(Equal(state.FencingNumber(7)))
@@ -79,16 +79,16 @@
 	// the list comes in parts.
 	It("waits until a first list has stood still", Label("failure:list-in-parts"), func() {
 		m := settled(empty(2))
-		m.Step(at(1000), layering.Listed{Service: "s", Engine: engine, Servers: empty(4)})
+		m.Step(at(1000), layering.ServersListed{Service: "s", Engine: engine, Servers: empty(4)})
 		Expect(m.Step(at(2000), layering.Tick{})).To(BeEmpty())
 		Expect(m.Step(at(2600), layering.Tick{})).NotTo(BeEmpty())
 	})
 
 	It("lets the daemons before it try first", func() {
 		m := settled(empty(4))
-		m.Step(at(10), layering.Ranked{Before: 2})
+		m.Step(at(10), layering.RankChanged{DaemonsAhead: 2})
 		Expect(m.Step(at(2000), layering.Tick{})).To(BeEmpty())
-		Expect(m.Step(at(3100), layering.Tick{})).To(ContainElement(layering.Acquire{}))
+		Expect(m.Step(at(3100), layering.Tick{})).To(ContainElement(layering.AcquireLease{}))
 	})
 
 	// A holder is paused for 5 s and wakes. Its next order is not sent: another
@@ -99,12 +99,12 @@
 		m.Step(at(2000), layering.Tick{})
 		first := orders(hold(m, 2010))
 		for _, o := range first {
-			m.Step(at(2020), layering.Ordered{Server: o.Server.Life(), End: layering.Lost})
-			Expect(o.Until).To(BeTemporally("<", at(2010).Add(layering.Term)))
+			m.Step(at(2020), layering.OrderResult{Server: o.Server.Life(), Outcome: layering.Unanswered})
+			Expect(o.SendBefore).To(BeTemporally("<", at(2010).Add(layering.LeaseDuration)))
 		}
 		woken := m.Step(at(7000), layering.Tick{})
 		Expect(orders(woken)).To(BeEmpty())
-		Expect(woken).To(ContainElement(layering.Acquire{}))
+		Expect(woken).To(ContainElement(layering.AcquireLease{}))
 	})
 
 	// An order gets no answer, but the engine carries it out seconds later. The
@@ -115,11 +115,11 @@
 		m.Step(at(2000), layering.Tick{})
 		first := orders(hold(m, 2010))
 		Expect(first).To(HaveLen(2))
-		m.Step(at(2020), layering.Ordered{Server: first[0].Server.Life(), End: layering.Lost})
+		m.Step(at(2020), layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Unanswered})
 		again := orders(m.Step(at(2800), layering.Tick{}))
 		Expect(again).To(HaveLen(1))
 		Expect(again[0].Server.Life()).To(Equal(first[0].Server.Life()))
-		Expect(again[0].Orders).To(Equal(first[0].Orders))
+		Expect(again[0].OrderCount).To(Equal(first[0].OrderCount))
 		Expect(again[0].Layers).To(Equal(first[0].Layers))
 	})
 
@@ -130,10 +130,10 @@
 		m := settled(empty(2))
 		m.Step(at(2000), layering.Tick{})
 		first := orders(hold(m, 2010))
-		again := orders(m.Step(at(2020), layering.Ordered{Server: first[0].Server.Life(), End: layering.Conflict, Known: true, Orders: 3}))
+		again := orders(m.Step(at(2020), layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Conflict, Known: true, OrderCount: 3}))
 		Expect(again).To(HaveLen(1))
 		Expect(again[0].Server.Life()).To(Equal(first[0].Server.Life()))
-		Expect(again[0].Orders).To(Equal(uint64(3)))
+		Expect(again[0].OrderCount).To(Equal(uint64(3)))
 	})
 
 	// An engine starts again under its name while it loads layers. Callers miss these
@@ -145,30 +145,30 @@
 		m := settled(slices.Clone(engines))
 		m.Step(at(2000), layering.Tick{})
 		first := orders(hold(m, 2010))
-		m.Step(at(2020), layering.Ordered{Server: first[0].Server.Life(), End: layering.Begun})
-		m.Step(at(2021), layering.Ordered{Server: first[1].Server.Life(), End: layering.Begun})
+		m.Step(at(2020), layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Accepted})
+		m.Step(at(2021), layering.OrderResult{Server: first[1].Server.Life(), Outcome: layering.Accepted})
 		for i := range engines {
 			if engines[i].ID == first[0].Server.ID {
 				engines[i].Born++
 			}
 		}
-		m.Step(at(2100), layering.Listed{Service: "s", Engine: engine, Servers: slices.Clone(engines)})
+		m.Step(at(2100), layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(engines)})
 		again := orders(m.Step(at(2400), layering.Tick{}))
 		Expect(again).To(HaveLen(1))
 		Expect(again[0].Server.Born).To(Equal(first[0].Server.Born + 1))
 		Expect(again[0].Layers).To(Equal(first[0].Layers))
-		Expect(again[0].Orders).To(BeZero())
+		Expect(again[0].OrderCount).To(BeZero())
 	})
 
 	It("waits after a conflict that tells nothing new", func() {
 		m := settled(empty(2))
 		m.Step(at(2000), layering.Tick{})
 		first := orders(hold(m, 2010))
-		conflict := layering.Ordered{Server: first[0].Server.Life(), End: layering.Conflict, Known: true, Orders: 3}
+		conflict := layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Conflict, Known: true, OrderCount: 3}
 		m.Step(at(2020), conflict)
 		Expect(orders(m.Step(at(2030), conflict))).To(BeEmpty())
 		Expect(orders(m.Step(at(2800), layering.Tick{}))).To(HaveLen(1))
-		busy := layering.Ordered{Server: first[0].Server.Life(), End: layering.Conflict, Known: true, Orders: 4, Busy: true}
+		busy := layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Conflict, Known: true, OrderCount: 4, Busy: true}
 		Expect(orders(m.Step(at(2810), busy))).To(BeEmpty())
 	})
 
@@ -176,15 +176,15 @@
 		m := settled(empty(2))
 		m.Step(at(2000), layering.Tick{})
 		first := orders(hold(m, 2010))
-		m.Step(at(2020), layering.Ordered{Server: first[0].Server.Life(), End: layering.Fenced})
-		Expect(m.Holds(at(2021))).To(BeFalse())
+		m.Step(at(2020), layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Fenced})
+		Expect(m.HoldsLease(at(2021))).To(BeFalse())
 	})
 
 	It("waits for the lease of another daemon to run out", func() {
 		m := settled(empty(2))
 		m.Step(at(2000), layering.Tick{})
-		m.Step(at(2010), layering.NotAcquired{HeldFor: 2 * time.Second})
+		m.Step(at(2010), layering.LeaseNotAcquired{HeldFor: 2 * time.Second})
 		Expect(m.Step(at(3900), layering.Tick{})).To(BeEmpty())
-		Expect(m.Step(at(4100), layering.Tick{})).To(ContainElement(layering.Acquire{}))
+		Expect(m.Step(at(4100), layering.Tick{})).To(ContainElement(layering.AcquireLease{}))
 	})
 })
--- a/coordination/layering/plan_test.go
+++ b/coordination/layering/plan_test.go
@@ -44,7 +44,7 @@
 	It("plans nothing anew where nothing happened", Label("failure:planned-at-each-event"), func() {
 		m := settled(large())
 		m.Step(at(2000), layering.Tick{})
-		Expect(m.Step(at(2010), layering.NotAcquired{HeldFor: time.Hour})).To(BeEmpty())
+		Expect(m.Step(at(2010), layering.LeaseNotAcquired{HeldFor: time.Hour})).To(BeEmpty())
 		now := at(2020)
 		Expect(testing.AllocsPerRun(100, func() { m.Step(now, layering.Tick{}) })).To(BeZero())
 	})
@@ -58,7 +58,7 @@
 		m.Step(at(2011), layering.Tick{})
 		now, i := at(2020), 0
 		answer := func() {
-			sent = append(sent, orders(m.Step(now, layering.Ordered{Server: sent[i].Server.Life(), End: layering.Begun}))...)
+			sent = append(sent, orders(m.Step(now, layering.OrderResult{Server: sent[i].Server.Life(), Outcome: layering.Accepted}))...)
 			i++
 		}
 		Expect(testing.AllocsPerRun(200, answer)).To(BeNumerically("<", 10))
@@ -81,15 +81,15 @@
 		now := start
 		var answers []arrival
 		step := func(ev layering.Event) {
-			before := m.Layouts()
+			before := m.PlanCount()
 			sent := orders(m.Step(now, ev))
-			used := eventTime + time.Duration(m.Layouts()-before)*layoutTime
+			used := eventTime + time.Duration(m.PlanCount()-before)*layoutTime
 			now = now.Add(time.Duration(float64(used) / share))
 			for _, o := range sent {
-				answers = append(answers, arrival{now.Add(answerTime), layering.Ordered{Server: o.Server.Life(), End: layering.Begun}})
+				answers = append(answers, arrival{now.Add(answerTime), layering.OrderResult{Server: o.Server.Life(), Outcome: layering.Accepted}})
 			}
 		}
-		step(layering.Acquired{Fence: 7, Sent: start})
+		step(layering.LeaseAcquired{Fence: 7, Sent: start})
 		for len(answers) > 0 && !answers[0].at.After(start.Add(told)) {
 			now = later(now, answers[0].at)
 			ev := answers[0].event
@@ -110,7 +110,7 @@
 			Expect(len(waiting)).To(BeNumerically("<=", 256))
 			Expect(ordered).NotTo(HaveKey(waiting[0].Server.Life()))
 			ordered[waiting[0].Server.Life()] = true
-			waiting = append(waiting[1:], orders(m.Step(now, layering.Ordered{Server: waiting[0].Server.Life(), End: layering.Begun}))...)
+			waiting = append(waiting[1:], orders(m.Step(now, layering.OrderResult{Server: waiting[0].Server.Life(), Outcome: layering.Accepted}))...)
 		}
 		Expect(ordered).To(HaveLen(3000))
 	})
@@ -120,11 +120,11 @@
 	It("looks at a list that changes all the time only as often as its turn is near", Label("failure:planned-by-all"), func() {
 		m := layering.New()
 		servers := large()
-		m.Step(at(0), layering.Ranked{Before: 200})
-		m.Step(at(0), layering.Listed{Service: "s", Engine: engine, Servers: servers})
+		m.Step(at(0), layering.RankChanged{DaemonsAhead: 200})
+		m.Step(at(0), layering.ServersListed{Service: "s", Engine: engine, Servers: servers})
 		now := at(60)
 		allocs := testing.AllocsPerRun(10, func() {
-			m.Step(now, layering.Listed{Service: "s", Engine: engine, Servers: servers})
+			m.Step(now, layering.ServersListed{Service: "s", Engine: engine, Servers: servers})
 		})
 		Expect(allocs).To(BeNumerically("<", 10))
 	})
@@ -137,21 +137,21 @@
 			turn   = before * 500 // ms
 		)
 		m := layering.New()
-		m.Step(at(0), layering.Ranked{Before: before})
+		m.Step(at(0), layering.RankChanged{DaemonsAhead: before})
 		now := 0
 		asks := func(ev layering.Event) bool {
-			return slices.Contains(m.Step(at(now), ev), layering.Action(layering.Acquire{}))
+			return slices.Contains(m.Step(at(now), ev), layering.Action(layering.AcquireLease{}))
 		}
 		engines := empty(4)
 		for i := range engines {
 			engines[i].Layers = fleet.Range{From: 4 * (i % 2), To: 4*(i%2) + 4}
 		}
 		for ; now < 3000; now += 50 {
-			Expect(asks(layering.Listed{Service: "s", Engine: engine, Servers: slices.Clone(engines)})).To(BeFalse())
+			Expect(asks(layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(engines)})).To(BeFalse())
 		}
 		engines[0].Layers = fleet.Range{}
 		lost := now
-		Expect(asks(layering.Listed{Service: "s", Engine: engine, Servers: slices.Clone(engines)})).To(BeFalse())
+		Expect(asks(layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(engines)})).To(BeFalse())
 		for now < lost+turn {
 			Expect(asks(layering.Tick{})).To(BeFalse())
 			now += 10
@@ -168,12 +168,12 @@
 		m := settled(empty(2))
 		m.Step(at(2000), layering.Tick{})
 		first := orders(hold(m, 2010))
-		late := m.Step(at(5000), layering.Ordered{Server: first[0].Server.Life(), End: layering.Expired})
-		Expect(late).To(ContainElement(layering.Acquire{}))
-		again := orders(m.Step(at(5010), layering.Acquired{Fence: 8, Sent: at(5000)}))
+		late := m.Step(at(5000), layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Expired})
+		Expect(late).To(ContainElement(layering.AcquireLease{}))
+		again := orders(m.Step(at(5010), layering.LeaseAcquired{Fence: 8, Sent: at(5000)}))
 		Expect(again).To(HaveLen(1))
 		Expect(again[0].Server.Life()).To(Equal(first[0].Server.Life()))
-		Expect(again[0].Orders).To(Equal(first[0].Orders))
+		Expect(again[0].OrderCount).To(Equal(first[0].OrderCount))
 	})
 })
 
@@ -184,15 +184,15 @@
 		kept, fresh := layering.New(), layering.New()
 		servers := empty(rapid.IntRange(1, 6).Draw(t, "engines"))
 		for _, m := range []*layering.Machine{kept, fresh} {
-			m.Step(at(0), layering.Listed{Service: "s", Engine: engine, Servers: slices.Clone(servers)})
+			m.Step(at(0), layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(servers)})
 		}
 		var sent []layering.Order
 		ms := 0
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			ms += rapid.SampledFrom([]int{1, 50, 199, 200, 201, 700, 1500, 2100}).Draw(t, "later")
 			ev := drawEvent(t, ms, &servers, sent)
-			if _, ok := ev.(layering.Listed); !ok {
-				fresh.Step(at(ms-1), layering.Listed{Service: "s", Engine: engine, Servers: slices.Clone(servers)})
+			if _, ok := ev.(layering.ServersListed); !ok {
+				fresh.Step(at(ms-1), layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(servers)})
 				kept.Step(at(ms-1), layering.Tick{})
 			}
 			got, want := kept.Step(at(ms), ev), fresh.Step(at(ms), ev)
@@ -207,7 +207,7 @@
 // drawEvent draws what may happen to a machine that knows servers and has sent orders.
 func drawEvent(t *rapid.T, ms int, servers *[]fleet.Server, sent []layering.Order) layering.Event {
 	listed := func() layering.Event {
-		return layering.Listed{Service: "s", Engine: engine, Servers: slices.Clone(*servers)}
+		return layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(*servers)}
 	}
 	i := rapid.IntRange(0, len(*servers)-1).Draw(t, "engine")
 	switch rapid.SampledFrom([]string{"tick", "list", "leaves", "loads", "lease", "no lease", "answer", "restarts"}).Draw(t, "event") {
@@ -224,15 +224,15 @@
 		(*servers)[i].Layers = fleet.Range{}
 		return listed()
 	case "lease":
-		return layering.Acquired{Fence: 7, Sent: at(ms)}
+		return layering.LeaseAcquired{Fence: 7, Sent: at(ms)}
 	case "no lease":
-		return layering.NotAcquired{HeldFor: time.Second}
+		return layering.LeaseNotAcquired{HeldFor: time.Second}
 	case "answer":
 		if len(sent) > 0 {
 			o := rapid.SampledFrom(sent).Draw(t, "order")
-			return layering.Ordered{
-				Server: o.Server.Life(), End: rapid.SampledFrom([]layering.OrderEnd{layering.Begun, layering.Lost, layering.Conflict, layering.Fenced}).Draw(t, "end"),
-				Known: rapid.Bool().Draw(t, "known"), Orders: rapid.Uint64Range(0, 3).Draw(t, "orders"),
+			return layering.OrderResult{
+				Server: o.Server.Life(), Outcome: rapid.SampledFrom([]layering.OrderOutcome{layering.Accepted, layering.Unanswered, layering.Conflict, layering.Fenced}).Draw(t, "end"),
+				Known: rapid.Bool().Draw(t, "known"), OrderCount: rapid.Uint64Range(0, 3).Draw(t, "orders"),
 			}
 		}
 	}
@@ -243,7 +243,7 @@
 func BenchmarkTick(b *testing.B) {
 	m := settled(large())
 	m.Step(at(2000), layering.Tick{})
-	m.Step(at(2010), layering.NotAcquired{HeldFor: time.Hour})
+	m.Step(at(2010), layering.LeaseNotAcquired{HeldFor: time.Hour})
 	b.ReportAllocs()
 	for b.Loop() {
 		m.Step(at(2020), layering.Tick{})
--- a/gateway/duty.go
+++ b/gateway/duty.go
@@ -64,13 +64,13 @@
 	}
 	if p.servedState != v.members {
 		p.servedState = v.members
-		p.step(layering.Ranked{Before: p.rank()})
+		p.step(layering.RankChanged{DaemonsAhead: p.rank()})
 	}
 	if p.servedList != p.c.listing.changed || p.version != v.config.Version {
 		p.servedList, p.version = p.c.listing.changed, v.config.Version
 		for id, svc := range v.config.Services {
 			if svc.Engine != nil {
-				p.step(layering.Listed{Service: id, Engine: svc.Engine, Servers: v.servers[id]})
+				p.step(layering.ServersListed{Service: id, Engine: svc.Engine, Servers: v.servers[id]})
 			}
 		}
 	}
@@ -85,14 +85,14 @@
 }
 
 func (p *dutyPart) step(ev layering.Event) {
-	before := p.m.Layouts()
+	before := p.m.PlanCount()
 	actions := p.m.Step(p.c.now, ev)
-	if n := p.m.Layouts() - before; n > 0 {
+	if n := p.m.PlanCount() - before; n > 0 {
 		p.c.g.metrics.Add(telemetry.GatewayLayoutsTotal, int64(n))
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case layering.Acquire:
+		case layering.AcquireLease:
 			go p.acquire()
 		case layering.Order:
 			go p.order(a)
@@ -116,7 +116,7 @@
 	sent := time.Now()
 	rows, err := g.site.Leases.Read(ctx)
 	if err != nil {
-		return layering.NotAcquired{}
+		return layering.LeaseNotAcquired{}
 	}
 	var old leaseRow
 	change := site.Change{Key: leaseKey, Conditional: true}
@@ -128,25 +128,25 @@
 	}
 	mine := old.Holder == g.self.ID && old.Life == g.self.Incarnation
 	if !mine && old.Until > rows.Now {
-		return layering.NotAcquired{HeldFor: old.Until - rows.Now}
+		return layering.LeaseNotAcquired{HeldFor: old.Until - rows.Now}
 	}
-	next := leaseRow{Holder: g.self.ID, Life: g.self.Incarnation, Fence: old.Fence + 1, Until: rows.Now + layering.Term}
+	next := leaseRow{Holder: g.self.ID, Life: g.self.Incarnation, Fence: old.Fence + 1, Until: rows.Now + layering.LeaseDuration}
 	if mine && old.Until > rows.Now {
 		next.Fence = old.Fence
 	}
 	if change.Value, err = json.Marshal(next); err != nil {
-		return layering.NotAcquired{}
+		return layering.LeaseNotAcquired{}
 	}
 	if _, err := g.site.Leases.Commit(ctx, change); err != nil {
 		// It may have been done all the same; the next attempt reads it back.
-		return layering.NotAcquired{}
+		return layering.LeaseNotAcquired{}
 	}
-	return layering.Acquired{Fence: next.Fence, Sent: sent}
+	return layering.LeaseAcquired{Fence: next.Fence, Sent: sent}
 }
 
 func (p *dutyPart) acquired(ev layering.Event) {
 	switch ev := ev.(type) {
-	case layering.Acquired:
+	case layering.LeaseAcquired:
 		p.c.g.log.Emit(telemetry.EventLeaseAcquired, telemetry.Fencing(ev.Fence))
 	default:
 	}
@@ -156,21 +156,21 @@
 // order sends one order, unless the lease has run out meanwhile.
 func (p *dutyPart) order(a layering.Order) {
 	g := p.c.g
-	if !time.Now().Before(a.Until) {
-		p.c.post(func() { p.step(layering.Ordered{Server: a.Server.Life(), End: layering.Expired}) })
+	if !time.Now().Before(a.SendBefore) {
+		p.c.post(func() { p.step(layering.OrderResult{Server: a.Server.Life(), Outcome: layering.Expired}) })
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	answer, err := g.backends.Order(ctx, backend.Order{
-		Server: a.Server.ID, Address: a.Server.Address, Layers: a.Layers, Fence: a.Fence, Orders: a.Orders,
+		Server: a.Server.ID, Address: a.Server.Address, Layers: a.Layers, Fence: a.Fence, Orders: a.OrderCount,
 	})
 	g.metLife(a.Server.Life(), a.Server.Address, answer.Born)
-	ev := layering.Ordered{Server: a.Server.Life(), End: orderEnd(answer.Result)}
-	if ev.End == layering.Conflict {
+	ev := layering.OrderResult{Server: a.Server.Life(), Outcome: orderEnd(answer.Result)}
+	if ev.Outcome == layering.Conflict {
 		if report, rerr := g.backends.Report(ctx, a.Server.Address); rerr == nil {
 			g.metLife(a.Server.Life(), a.Server.Address, report.Born)
-			ev.Known, ev.Orders, ev.Busy = true, report.Orders, report.Busy
+			ev.Known, ev.OrderCount, ev.Busy = true, report.Orders, report.Busy
 		}
 	}
 	g.log.Emit(telemetry.EventOrderSent, telemetry.Backend(a.Server.ID), telemetry.Fencing(a.Fence),
@@ -188,15 +188,15 @@
 	backend.OrderRejected: "rejected",
 }
 
-func orderEnd(r backend.OrderResult) layering.OrderEnd {
+func orderEnd(r backend.OrderResult) layering.OrderOutcome {
 	switch r {
 	case backend.OrderBegun, backend.OrderHolds:
-		return layering.Begun
+		return layering.Accepted
 	case backend.OrderConflict, backend.OrderRejected:
 		return layering.Conflict
 	case backend.OrderFenced:
 		return layering.Fenced
 	default:
-		return layering.Lost
+		return layering.Unanswered
 	}
 }
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -138,7 +138,7 @@
 
 // status is this daemon's part in ordering layers.
 func (p *dutyPart) status(now time.Time) LeaseStatus {
-	s := LeaseStatus{Held: p.m.Holds(now), Orders: p.m.UnderWay()}
+	s := LeaseStatus{Held: p.m.HoldsLease(now), Orders: p.m.PendingOrders()}
 	if s.Held {
 		s.Fence = p.m.Fence()
 	}
