--- a/coordination/controller/controller_test.go
+++ b/coordination/controller/controller_test.go
@@ -254,7 +254,7 @@
 			}
 			m.Step(now, controller.Backends{List: list})
 			m.Step(now, controller.Desired{Document: 1, Chains: chains("v1", 0, n/2)})
-			m.Step(now, controller.Lease{Status: lease.Status{Standing: lease.Held, Fencing: 1, Clean: true, Until: now.Add(10000 * time.Hour), Reign: "r"}})
+			m.Step(now, controller.Lease{Status: lease.Status{State: lease.Held, Fencing: 1, Clean: true, Until: now.Add(10000 * time.Hour), TermID: "r"}})
 			servers := map[state.BackendID]controller.ServerState{}
 			answer := func(actions []controller.Action) {
 				for len(actions) > 0 {
--- a/coordination/controller/machine.go
+++ b/coordination/controller/machine.go
@@ -134,7 +134,7 @@
 // lease takes in a status. A new reign knows nothing for sure of any server: a
 // former holder may have changed it since it was read.
 func (m *Machine) lease(now time.Time, s lease.Status) {
-	if s.Standing != lease.None && s.Reign != m.rights.reign {
+	if s.State != lease.None && s.TermID != m.rights.reign {
 		m.adopted = false
 		m.toldYet = false
 		m.chains = lo.Filter(m.chains, func(c *chain, _ int) bool { return c.wanted })
@@ -149,10 +149,10 @@
 		if !s.Clean {
 			m.rights.waitOut = now.Add(m.cfg.MaxOrderDelay)
 		}
-		m.rights.reign = s.Reign
+		m.rights.reign = s.TermID
 		m.rights.base = s.Fencing
 	}
-	m.rights.standing = s.Standing
+	m.rights.standing = s.State
 	m.rights.fencing = s.Fencing
 	m.rights.until = s.Until
 }
--- a/coordination/controller/types.go
+++ b/coordination/controller/types.go
@@ -197,7 +197,7 @@
 
 // rights is what the lease allows.
 type rights struct {
-	standing lease.Standing
+	standing lease.State
 	reign    state.Nonce
 	fencing  state.FencingNumber
 	base     state.FencingNumber // fencing at the start of the reign
--- a/coordination/controller/world_test.go
+++ b/coordination/controller/world_test.go
@@ -103,10 +103,10 @@
 	return ids
 }
 
-func (h *holder) lease(s lease.Standing, fencing state.FencingNumber, clean bool, span time.Duration) {
+func (h *holder) lease(s lease.State, fencing state.FencingNumber, clean bool, span time.Duration) {
 	h.step(controller.Lease{Status: lease.Status{
-		Service: drafts, Standing: s, Fencing: fencing, Until: h.w.now.Add(span), Clean: clean,
-		Reign: state.Nonce(fmt.Sprint(fencing)),
+		Service: drafts, State: s, Fencing: fencing, Until: h.w.now.Add(span), Clean: clean,
+		TermID: state.Nonce(fmt.Sprint(fencing)),
 	}})
 }
 
--- a/coordination/lease/act.go
+++ b/coordination/lease/act.go
@@ -51,7 +51,7 @@
 // same transaction.
 func (m *Machine) renewalDue(now time.Time) bool {
 	for _, l := range m.leases {
-		if l.owned(m.cfg.Self) && !now.Before(l.renewed.Add(m.cfg.Renew)) {
+		if l.owned(m.cfg.Self) && !now.Before(l.renewed.Add(m.cfg.RenewInterval)) {
 			return true
 		}
 	}
@@ -131,9 +131,9 @@
 	if l.rank < 0 {
 		return time.Time{}, false
 	}
-	wait := time.Duration(min(l.rank, m.cfg.Watchers)) * m.cfg.Stagger
+	wait := time.Duration(min(l.rank, m.cfg.Watchers)) * m.cfg.TakeoverStagger
 	if l.seen.Revision > 0 && !l.seen.Row.Released() {
-		wait += m.cfg.Term
+		wait += m.cfg.LeaseDuration
 	}
 	return l.since.Add(wait), true
 }
@@ -164,9 +164,9 @@
 // nearly is how long before its time a row may join a read that goes anyway.
 func (m *Machine) nearly(l *lease) time.Duration {
 	if m.watches(l) {
-		return m.cfg.Poll / 4
+		return m.cfg.PollInterval / 4
 	}
-	return m.cfg.SlowPoll / 4
+	return m.cfg.SlowPollInterval / 4
 }
 
 // wantsRead leaves out rows that are ours and not in doubt: the next renewal's
@@ -188,11 +188,11 @@
 		if l.releasing && !l.owned(m.cfg.Self) {
 			l.releasing = false
 			if next, ok := m.successor(id); ok && l.seen.Row.Released() {
-				out = append(out, Send{To: next, Msg: HandOn{Service: id}})
+				out = append(out, Send{To: next, Msg: Handoff{Service: id}})
 			}
 		}
 		s := m.status(l, now)
-		if s != l.told && (s.Standing != None || l.told.Standing != None) {
+		if s != l.told && (s.State != None || l.told.State != None) {
 			l.told = s
 			out = append(out, s)
 		}
@@ -215,7 +215,7 @@
 		if m.wantsRead(l) {
 			sooner(l.nextRead)
 		}
-		if !l.proved.IsZero() && l.told.Standing == Held {
+		if !l.proved.IsZero() && l.told.State == Held {
 			sooner(l.proved.Add(m.cfg.span()))
 		}
 		if at, ok := m.nextWrite(l); ok {
@@ -233,7 +233,7 @@
 	switch {
 	case l.owned(m.cfg.Self) && l.releasing:
 	case l.owned(m.cfg.Self):
-		at = l.renewed.Add(m.cfg.Renew)
+		at = l.renewed.Add(m.cfg.RenewInterval)
 	default:
 		t, ok := m.takeAt(l)
 		if !ok || l.readAt.Before(t) {
--- a/coordination/lease/events.go
+++ b/coordination/lease/events.go
@@ -7,7 +7,7 @@
 )
 
 // CallNumber joins a store call to its result.
-type CallNumber uint64
+type CallID uint64
 
 // Event is what the machine is stepped with.
 type Event interface{ event() }
@@ -36,7 +36,7 @@
 // daemon holds the lease the higher number is another service's, which had the
 // server before: the holder raises its own above it. Once the lease has lapsed it
 // may be a successor's: the daemon gives the lease up.
-type Refused struct {
+type FencingRejected struct {
 	Service state.ServiceID
 	Fencing state.FencingNumber // the number that was refused
 	Seen    state.FencingNumber // the higher one
@@ -44,21 +44,21 @@
 
 // ReadDone answers a Read with the rows asked for, in any order.
 type ReadDone struct {
-	Call CallNumber
-	Rows []Stored
+	Call CallID
+	Rows []StoredRow
 }
 
 // Committed answers a Commit that took effect, with the written rows.
 type Committed struct {
-	Call CallNumber
-	Rows []Stored
+	Call CallID
+	Rows []StoredRow
 }
 
 // Conflicted answers a Commit that wrote nothing.
-type Conflicted struct{ Call CallNumber }
+type Conflicted struct{ Call CallID }
 
 // Unanswered says that a call's fate is unknown.
-type Unanswered struct{ Call CallNumber }
+type Unanswered struct{ Call CallID }
 
 // Received is a message of another daemon.
 type Received struct {
@@ -66,41 +66,41 @@
 	Msg  Message
 }
 
-func (Tick) event()       {}
-func (Services) event()   {}
-func (Members) event()    {}
-func (Drain) event()      {}
-func (Release) event()    {}
-func (Refused) event()    {}
-func (ReadDone) event()   {}
-func (Committed) event()  {}
-func (Conflicted) event() {}
-func (Unanswered) event() {}
-func (Received) event()   {}
+func (Tick) event()            {}
+func (Services) event()        {}
+func (Members) event()         {}
+func (Drain) event()           {}
+func (Release) event()         {}
+func (FencingRejected) event() {}
+func (ReadDone) event()        {}
+func (Committed) event()       {}
+func (Conflicted) event()      {}
+func (Unanswered) event()      {}
+func (Received) event()        {}
 
 // Message is what daemons tell each other about leases.
 type Message interface{ message() }
 
 // HandOn says that a lease was released, so that the receiver reads the row at
 // once instead of at its next poll. It proves nothing.
-type HandOn struct {
+type Handoff struct {
 	Service state.ServiceID `msgpack:"service"`
 }
 
-func (HandOn) message() {}
+func (Handoff) message() {}
 
 // Action is what the daemon is to do.
 type Action interface{ action() }
 
 // Read asks for the rows of some services, in one call.
 type Read struct {
-	Call     CallNumber
+	Call     CallID
 	Services []state.ServiceID
 }
 
 // Commit asks for one transaction of conditional writes.
 type Commit struct {
-	Call   CallNumber
+	Call   CallID
 	Writes []Write
 }
 
@@ -113,12 +113,12 @@
 // Status tells what this daemon may do for a service from now on. It is emitted
 // on each change, renewals included.
 type Status struct {
-	Service  state.ServiceID
-	Standing Standing
-	Reign    state.Nonce // changes with each takeover, not with a raised number
-	Fencing  state.FencingNumber
-	Until    time.Time // Holds is false from then on; only with Held and Lapsed
-	Clean    bool      // no order of an earlier holder can be under way
+	Service state.ServiceID
+	State   State
+	TermID  state.Nonce // changes with each takeover, not with a raised number
+	Fencing state.FencingNumber
+	Until   time.Time // Holds is false from then on; only with Held and Lapsed
+	Clean   bool      // no order of an earlier holder can be under way
 }
 
 func (Read) action()   {}
@@ -127,12 +127,12 @@
 func (Status) action() {}
 
 // Standing is a daemon's right to order the backend servers of a service.
-type Standing int
+type State int
 
 // The values of Standing.
 const (
 	// None: another daemon may hold the lease; order nothing.
-	None Standing = iota
+	None State = iota
 	// Lapsed: the lease ran out, and no successor is known. Only backend
 	// servers that check fencing numbers may be ordered.
 	Lapsed
@@ -141,7 +141,7 @@
 )
 
 // String names the standing.
-func (s Standing) String() string {
+func (s State) String() string {
 	switch s {
 	case Held:
 		return "held"
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -26,8 +26,8 @@
 		poll := rapid.SampledFrom([]time.Duration{200 * time.Millisecond, time.Second, time.Second}).Draw(t, "poll")
 		stagger := rapid.SampledFrom([]time.Duration{0, 1500 * time.Millisecond}).Draw(t, "stagger")
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), drifts, func(c *lease.Config) {
-			c.Poll = poll
-			c.Stagger = stagger
+			c.PollInterval = poll
+			c.TakeoverStagger = stagger
 		}, drafts, "checks")
 		w.faults = faults{
 			lostRequest: rapid.Float64Range(0, 0.4).Draw(t, "lostRequest"),
@@ -112,9 +112,9 @@
 		Expect(took).To(BeNumerically("<", 13*time.Second))
 		w.runUntil(old.paused - time.Millisecond)
 		Expect(old.m.Holds(drafts, old.local())).To(BeFalse(), "before a single event reached it")
-		Expect(old.m.Status(drafts, old.local()).Standing).To(Equal(lease.Lapsed))
+		Expect(old.m.Status(drafts, old.local()).State).To(Equal(lease.Lapsed))
 		w.runUntil(old.paused + 5*time.Second)
-		Expect(old.status[drafts].Standing).To(Equal(lease.None))
+		Expect(old.status[drafts].State).To(Equal(lease.None))
 		Expect(w.holders(drafts)[0].status[drafts].Fencing).To(Equal(before.Fencing + 1))
 		Expect(w.broken).To(BeEmpty())
 	})
@@ -125,8 +125,8 @@
 	// same servers if the holder's span left the drift out.
 	It("is never held twice by clocks that drift apart", Label("failure:lease-lapses-while-paused"), func() {
 		w := newWorld(1, []float64{-0.01, -0.01, 0.01}, func(c *lease.Config) {
-			c.Poll = 10 * time.Millisecond
-			c.Stagger = 0
+			c.PollInterval = 10 * time.Millisecond
+			c.TakeoverStagger = 0
 		}, drafts)
 		for _, n := range w.nodes[1:] {
 			n.paused = time.Second // so that node 0 is the first holder
@@ -147,9 +147,9 @@
 		old.cut = true
 		untilHeld(w, old)
 		w.runUntil(w.now + time.Second)
-		Expect(old.m.Status(drafts, old.local()).Standing).To(Equal(lease.Lapsed))
-		old.step(lease.Refused{Service: drafts, Fencing: old.status[drafts].Fencing, Seen: 99})
-		Expect(old.m.Status(drafts, old.local()).Standing).To(Equal(lease.None))
+		Expect(old.m.Status(drafts, old.local()).State).To(Equal(lease.Lapsed))
+		old.step(lease.FencingRejected{Service: drafts, Fencing: old.status[drafts].Fencing, Seen: 99})
+		Expect(old.m.Status(drafts, old.local()).State).To(Equal(lease.None))
 	})
 
 	// A server that another service's controller ordered before refuses the
@@ -158,11 +158,11 @@
 	It("raises its number above another service's", func() {
 		w, holder, _ := settled(3)
 		before := holder.status[drafts]
-		holder.step(lease.Refused{Service: drafts, Fencing: before.Fencing, Seen: 41})
+		holder.step(lease.FencingRejected{Service: drafts, Fencing: before.Fencing, Seen: 41})
 		w.runUntil(w.now + 100*time.Millisecond)
 		after := holder.status[drafts]
 		Expect(after.Fencing).To(BeEquivalentTo(42))
-		Expect(after.Reign).To(Equal(before.Reign))
+		Expect(after.TermID).To(Equal(before.TermID))
 		Expect(w.holders(drafts)).To(ConsistOf(holder))
 	})
 
@@ -199,7 +199,7 @@
 			}
 			return c, r
 		}
-		absent := []lease.Stored{{Service: drafts}}
+		absent := []lease.StoredRow{{Service: drafts}}
 		_, read := find(m.Step(now, lease.Services{IDs: []state.ServiceID{drafts}}))
 		first, _ := find(m.Step(now, lease.ReadDone{Call: read.Call, Rows: absent}))
 		Expect(first.Writes).To(HaveLen(1))
@@ -209,9 +209,9 @@
 		second, _ := find(m.Step(now, lease.ReadDone{Call: read.Call, Rows: absent}))
 		Expect(second.Writes).To(HaveLen(1))
 		_, read = find(m.Step(now, lease.Conflicted{Call: second.Call}))
-		m.Step(now, lease.ReadDone{Call: read.Call, Rows: []lease.Stored{{Service: drafts, Revision: 1, Row: first.Writes[0].Row}}})
+		m.Step(now, lease.ReadDone{Call: read.Call, Rows: []lease.StoredRow{{Service: drafts, Revision: 1, Row: first.Writes[0].Row}}})
 		s := m.Status(drafts, now)
-		Expect(s.Standing).To(Equal(lease.Held))
+		Expect(s.State).To(Equal(lease.Held))
 		Expect(s.Until).To(BeTemporally("<", time.Unix(10, 0)), "counted from the first write")
 	})
 
@@ -223,9 +223,9 @@
 		number := holder.status[drafts].Fencing
 		w.faults.storeDown = true
 		w.runUntil(w.now + 2*time.Minute)
-		Expect(holder.status[drafts].Standing).To(Equal(lease.Lapsed))
+		Expect(holder.status[drafts].State).To(Equal(lease.Lapsed))
 		for _, n := range rest {
-			Expect(n.m.Status(drafts, n.local()).Standing).To(Equal(lease.None))
+			Expect(n.m.Status(drafts, n.local()).State).To(Equal(lease.None))
 		}
 		w.faults.storeDown = false
 		begin := w.now
@@ -254,7 +254,7 @@
 		Expect(took).To(BeNumerically("<=", 50*time.Millisecond))
 		next := w.holders(drafts)[0]
 		Expect(next.status[drafts].Clean).To(BeTrue())
-		Expect(next.id).To(Equal(lease.Order(drafts, []state.DaemonID{rest[0].id, rest[1].id, rest[2].id, rest[3].id})[0]))
+		Expect(next.id).To(Equal(lease.RendezvousOrder(drafts, []state.DaemonID{rest[0].id, rest[1].id, rest[2].id, rest[3].id})[0]))
 	})
 
 	It("renews all its leases in one transaction and spreads them", func() {
@@ -306,7 +306,7 @@
 	for i := range 15 {
 		ids = append(ids, state.ServiceID(rune('a'+i)))
 	}
-	rows := map[state.ServiceID]lease.Stored{}
+	rows := map[state.ServiceID]lease.StoredRow{}
 	answer := func(actions []lease.Action) {
 		for len(actions) > 0 {
 			a := actions[0]
@@ -315,13 +315,13 @@
 			case lease.Read:
 				ev := lease.ReadDone{Call: a.Call}
 				for _, s := range a.Services {
-					ev.Rows = append(ev.Rows, lease.Stored{Service: s, Revision: rows[s].Revision, Row: rows[s].Row})
+					ev.Rows = append(ev.Rows, lease.StoredRow{Service: s, Revision: rows[s].Revision, Row: rows[s].Row})
 				}
 				actions = append(actions, m.Step(now, ev)...)
 			case lease.Commit:
 				ev := lease.Committed{Call: a.Call}
 				for _, w := range a.Writes {
-					rows[w.Service] = lease.Stored{Service: w.Service, Revision: w.Revision + 1, Row: w.Row}
+					rows[w.Service] = lease.StoredRow{Service: w.Service, Revision: w.Revision + 1, Row: w.Row}
 					ev.Rows = append(ev.Rows, rows[w.Service])
 				}
 				actions = append(actions, m.Step(now, ev)...)
--- a/coordination/lease/machine.go
+++ b/coordination/lease/machine.go
@@ -18,39 +18,39 @@
 
 	// Term is how long an observer must see a row unchanged before it takes
 	// the lease.
-	Term time.Duration
+	LeaseDuration time.Duration
 	// Drift bounds how far a clock's rate is from true, as a share of it.
-	Drift float64
+	MaxClockDrift float64
 	// Renew is the time between renewals.
-	Renew time.Duration
+	RenewInterval time.Duration
 	// Poll is the time between reads of a row by its Watchers; SlowPoll by
 	// all others.
-	Poll     time.Duration
-	SlowPoll time.Duration
+	PollInterval     time.Duration
+	SlowPollInterval time.Duration
 	// Watchers is how many members, in rendezvous order, watch a row closely.
 	Watchers int
 	// Stagger is how much later each member tries than the one before it.
-	Stagger time.Duration
+	TakeoverStagger time.Duration
 	// CallTimeout is when a store call without an answer counts as unanswered.
 	CallTimeout time.Duration
 	// Retry is the pause after a store call that failed.
-	Retry time.Duration
+	RetryDelay time.Duration
 }
 
 // DefaultConfig returns the settings that docs/design/leases-and-orders.md
 // works out.
 func DefaultConfig(self state.Member) Config {
 	return Config{
-		Self:        self,
-		Term:        10 * time.Second,
-		Drift:       0.01,
-		Renew:       2500 * time.Millisecond,
-		Poll:        time.Second,
-		SlowPoll:    30 * time.Second,
-		Watchers:    3,
-		Stagger:     1500 * time.Millisecond,
-		CallTimeout: 2 * time.Second,
-		Retry:       250 * time.Millisecond,
+		Self:             self,
+		LeaseDuration:    10 * time.Second,
+		MaxClockDrift:    0.01,
+		RenewInterval:    2500 * time.Millisecond,
+		PollInterval:     time.Second,
+		SlowPollInterval: 30 * time.Second,
+		Watchers:         3,
+		TakeoverStagger:  1500 * time.Millisecond,
+		CallTimeout:      2 * time.Second,
+		RetryDelay:       250 * time.Millisecond,
 	}
 }
 
@@ -58,7 +58,7 @@
 // clock that is slow by Drift stretches span by 1/(1-Drift) in true time, an
 // observer's that is fast shrinks Term by 1/(1+Drift).
 func (c Config) span() time.Duration {
-	return time.Duration(float64(c.Term) * (1 - c.Drift) / (1 + c.Drift))
+	return time.Duration(float64(c.LeaseDuration) * (1 - c.MaxClockDrift) / (1 + c.MaxClockDrift))
 }
 
 // maxDoublings bounds the growth of the pause after unanswered calls.
@@ -80,8 +80,8 @@
 	order    []state.ServiceID // keys of leases, sorted, for equal runs
 	live     []state.DaemonID
 	draining bool
-	calls    map[CallNumber]call
-	nextCall CallNumber
+	calls    map[CallID]call
+	nextCall CallID
 }
 
 // New returns the machine of a daemon that knows no service yet.
@@ -90,14 +90,14 @@
 		cfg:    cfg,
 		rng:    rng,
 		leases: make(map[state.ServiceID]*lease),
-		calls:  make(map[CallNumber]call),
+		calls:  make(map[CallID]call),
 	}
 }
 
 // Holds reports whether this daemon, and no other, holds the service's lease at
 // now. It must be asked before each order.
 func (m *Machine) Holds(service state.ServiceID, now time.Time) bool {
-	return m.Status(service, now).Standing == Held
+	return m.Status(service, now).State == Held
 }
 
 // Status returns what this daemon may do for a service at now.
@@ -114,13 +114,13 @@
 	if l.proved.IsZero() || l.releasing || l.overtaken {
 		return s
 	}
-	s.Standing = Lapsed
-	s.Reign = l.nonce
+	s.State = Lapsed
+	s.TermID = l.nonce
 	s.Fencing = l.seen.Row.Fencing
 	s.Until = l.proved.Add(m.cfg.span())
 	s.Clean = l.clean
 	if now.Before(s.Until) {
-		s.Standing = Held
+		s.State = Held
 	}
 	return s
 }
@@ -149,7 +149,7 @@
 		m.draining = true
 	case Release:
 		m.release(ev)
-	case Refused:
+	case FencingRejected:
 		m.refused(now, ev)
 	case ReadDone:
 		m.readDone(now, ev)
@@ -196,12 +196,12 @@
 // refused raises the number of a lease that is held, and gives up one that has
 // lapsed before the row itself could be read: a holder that was paused, or cut
 // off from the store alone, finds out this way.
-func (m *Machine) refused(now time.Time, ev Refused) {
+func (m *Machine) refused(now time.Time, ev FencingRejected) {
 	l, ok := m.leases[ev.Service]
 	if !ok || l.proved.IsZero() || l.seen.Row.Fencing != ev.Fencing {
 		return
 	}
-	if m.status(l, now).Standing == Held {
+	if m.status(l, now).State == Held {
 		l.above = max(l.above, ev.Seen)
 		l.renewed = time.Time{}
 		return
@@ -212,7 +212,7 @@
 
 func (m *Machine) received(now time.Time, ev Received) {
 	switch msg := ev.Msg.(type) {
-	case HandOn:
+	case Handoff:
 		if l, ok := m.leases[msg.Service]; ok {
 			l.nextRead = now
 		}
@@ -258,7 +258,7 @@
 
 // failed puts the rows of a call in doubt. A conflict too: an earlier write of
 // ours whose answer was lost may be its cause.
-func (m *Machine) failed(now time.Time, number CallNumber, unanswered bool) {
+func (m *Machine) failed(now time.Time, number CallID, unanswered bool) {
 	c, ok := m.take(number)
 	if !ok {
 		return
@@ -284,13 +284,13 @@
 // backoff grows to the poll interval, so that a fleet whose store comes back
 // does not ask more often than it does on an ordinary day.
 func (m *Machine) backoff(l *lease) time.Duration {
-	pause := m.cfg.Retry << min(l.failures, maxDoublings)
+	pause := m.cfg.RetryDelay << min(l.failures, maxDoublings)
 	l.failures++
 	return min(pause, m.pollEvery(l))
 }
 
 // take ends a call and frees its rows.
-func (m *Machine) take(number CallNumber) (call, bool) {
+func (m *Machine) take(number CallID) (call, bool) {
 	c, ok := m.calls[number]
 	if !ok {
 		return call{}, false
@@ -312,7 +312,7 @@
 // expireCalls counts calls that got no answer in time as unanswered, so that a
 // result that never comes can't stop renewals for good.
 func (m *Machine) expireCalls(now time.Time) {
-	var late []CallNumber
+	var late []CallID
 	for n, c := range m.calls {
 		if now.Sub(c.sent) >= m.cfg.CallTimeout {
 			late = append(late, n)
--- a/coordination/lease/rank.go
+++ b/coordination/lease/rank.go
@@ -13,7 +13,7 @@
 // Order returns the daemons in the order in which they should try to take the
 // service's lease: rendezvous hashing, so that the leases of a daemon that died
 // go to different successors and no other lease moves.
-func Order(service state.ServiceID, daemons []state.DaemonID) []state.DaemonID {
+func RendezvousOrder(service state.ServiceID, daemons []state.DaemonID) []state.DaemonID {
 	out := slices.Clone(daemons)
 	slices.SortFunc(out, func(a, b state.DaemonID) int {
 		return cmp.Or(cmp.Compare(weight(service, b), weight(service, a)), cmp.Compare(a, b))
@@ -56,7 +56,7 @@
 
 // successor is the first live daemon in order other than this one.
 func (m *Machine) successor(service state.ServiceID) (state.DaemonID, bool) {
-	for _, d := range Order(service, m.live) {
+	for _, d := range RendezvousOrder(service, m.live) {
 		if d != m.cfg.Self.ID {
 			return d, true
 		}
@@ -74,9 +74,9 @@
 // store's reads.
 func (m *Machine) pollEvery(l *lease) time.Duration {
 	if m.watches(l) {
-		return m.cfg.Poll
+		return m.cfg.PollInterval
 	}
-	return m.cfg.SlowPoll + time.Duration(m.rng.Int64N(int64(m.cfg.SlowPoll)/4+1))
+	return m.cfg.SlowPollInterval + time.Duration(m.rng.Int64N(int64(m.cfg.SlowPollInterval)/4+1))
 }
 
 // nextPoll is when to read the row again after a read at now. A close watcher
--- a/coordination/lease/row.go
+++ b/coordination/lease/row.go
@@ -29,7 +29,7 @@
 
 // Stored is a row as the table service has it. Revision 0 means that the row
 // does not exist.
-type Stored struct {
+type StoredRow struct {
 	Service  state.ServiceID
 	Revision uint64
 	Row      Row
@@ -59,7 +59,7 @@
 	rank    int // this daemon's place in the order of candidates; -1 if in none
 
 	known bool // the row was read at least once
-	seen  Stored
+	seen  StoredRow
 	since time.Time // when seen.Revision was first seen
 
 	readAt time.Time // when the last answer that showed the row was taken in
@@ -98,7 +98,7 @@
 }
 
 // learn takes in a stored row and settles the writes that it decides.
-func (l *lease) learn(now time.Time, s Stored, self state.Member) {
+func (l *lease) learn(now time.Time, s StoredRow, self state.Member) {
 	if l.known && s.Revision < l.seen.Revision {
 		return // an older read that was answered late
 	}
@@ -115,7 +115,7 @@
 
 // settle finds the write of ours that made s, if one did. All are decided then:
 // each was conditional on an older revision.
-func (l *lease) settle(s Stored, self state.Member) {
+func (l *lease) settle(s StoredRow, self state.Member) {
 	for _, a := range l.attempts {
 		if s.Row.Holder != self || !a.made(s.Row) {
 			continue
--- a/coordination/lease/world_test.go
+++ b/coordination/lease/world_test.go
@@ -17,7 +17,7 @@
 	now      time.Duration // true time
 	queue    happenings
 	seq      int
-	rows     map[state.ServiceID]lease.Stored
+	rows     map[state.ServiceID]lease.StoredRow
 	nodes    []*node
 	faults   faults
 	writes   int // applied rows
@@ -68,7 +68,7 @@
 }
 
 func newWorld(seed uint64, drifts []float64, tune func(*lease.Config), services ...state.ServiceID) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), rows: map[state.ServiceID]lease.Stored{}}
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), rows: map[state.ServiceID]lease.StoredRow{}}
 	var live []state.DaemonID
 	for i := range drifts {
 		live = append(live, state.DaemonID(fmt.Sprintf("entry-%d", i)))
@@ -180,7 +180,7 @@
 
 // call runs a store call: effect and answer are each late by chance, and either
 // way may be lost. A pause of the caller delays its sending too.
-func (w *world) call(n *node, c lease.CallNumber, effect func() lease.Event) {
+func (w *world) call(n *node, c lease.CallID, effect func() lease.Event) {
 	sent := w.now
 	if n.paused > sent {
 		sent = n.paused
@@ -224,7 +224,7 @@
 		if wr.Row.Nonce != old.Row.Nonce && wr.Row.Fencing <= old.Row.Fencing {
 			w.broken = fmt.Sprintf("takeover with number %d after %d", wr.Row.Fencing, old.Row.Fencing)
 		}
-		row := lease.Stored{Service: wr.Service, Revision: old.Revision + 1, Row: wr.Row}
+		row := lease.StoredRow{Service: wr.Service, Revision: old.Revision + 1, Row: wr.Row}
 		w.rows[wr.Service] = row
 		w.writes++
 		done.Rows = append(done.Rows, row)
--- a/coordination/weights/weights.go
+++ b/coordination/weights/weights.go
@@ -70,7 +70,7 @@
 
 // Lease takes in the status of the lease named Service.
 func (a *Allocator) Lease(now time.Time, s lease.Status) {
-	if s.Standing != lease.None && s.Reign != a.status.Reign {
+	if s.State != lease.None && s.TermID != a.status.TermID {
 		a.shares = make(map[state.ServiceID]*share)
 		a.opens = now.Add(a.cfg.Span)
 	}
@@ -79,7 +79,7 @@
 
 // Ask answers one request; false means that this daemon can't grant now.
 func (a *Allocator) Ask(now time.Time, q Ask) (Grant, bool) {
-	if a.status.Standing != lease.Held || !now.Before(a.status.Until) {
+	if a.status.State != lease.Held || !now.Before(a.status.Until) {
 		return Grant{}, false
 	}
 	sh, ok := a.shares[q.Service]
--- a/coordination/weights/weights_test.go
+++ b/coordination/weights/weights_test.go
@@ -29,7 +29,7 @@
 		reign := 0
 		takeOver := func() {
 			reign++
-			a.Lease(server(), lease.Status{Standing: lease.Held, Reign: state.Nonce(fmt.Sprint(reign)), Until: zero.Add(time.Hour)})
+			a.Lease(server(), lease.Status{State: lease.Held, TermID: state.Nonce(fmt.Sprint(reign)), Until: zero.Add(time.Hour)})
 		}
 		takeOver()
 		var askers []*weights.Asker
@@ -74,7 +74,7 @@
 	It("moves half of the pool to a second service within a span", func() {
 		cfg := weights.DefaultConfig(16)
 		a, now := weights.NewAllocator(cfg), time.Unix(0, 0)
-		a.Lease(now, lease.Status{Standing: lease.Held, Reign: "r", Until: now.Add(time.Hour)})
+		a.Lease(now, lease.Status{State: lease.Held, TermID: "r", Until: now.Add(time.Hour)})
 		x, y := weights.NewAsker(cfg, "x"), weights.NewAsker(cfg, "y")
 		run := func(d time.Duration) {
 			for end := now.Add(d); now.Before(end); now = now.Add(100 * time.Millisecond) {
@@ -105,7 +105,7 @@
 		zero := time.Unix(0, 0)
 		at := func(t time.Duration, rate float64) time.Time { return zero.Add(time.Duration(float64(t) * rate)) }
 		a, x := weights.NewAllocator(cfg), weights.NewAsker(cfg, "x")
-		a.Lease(at(-time.Minute, 1.01), lease.Status{Standing: lease.Held, Reign: "r", Until: zero.Add(time.Hour)})
+		a.Lease(at(-time.Minute, 1.01), lease.Status{State: lease.Held, TermID: "r", Until: zero.Add(time.Hour)})
 		x.Want(zero, 4)
 		q, _ := x.Due(zero, 0)
 		g, _ := a.Ask(zero, q)
@@ -123,7 +123,7 @@
 	It("grants nothing once its lease has run out", Label("failure:store-down"), func() {
 		cfg := weights.DefaultConfig(16)
 		a, now := weights.NewAllocator(cfg), time.Unix(0, 0)
-		a.Lease(now, lease.Status{Standing: lease.Held, Reign: "r", Until: now.Add(time.Minute)})
+		a.Lease(now, lease.Status{State: lease.Held, TermID: "r", Until: now.Add(time.Minute)})
 		_, ok := a.Ask(now.Add(59*time.Second), weights.Ask{Service: "x", Want: 1})
 		Expect(ok).To(BeTrue())
 		_, ok = a.Ask(now.Add(61*time.Second), weights.Ask{Service: "x", Want: 1})
--- a/daemon/controllers.go
+++ b/daemon/controllers.go
@@ -197,7 +197,7 @@
 }
 
 func (s *serviceController) lease(st lease.Status) {
-	if st.Reign != s.status.Reign {
+	if st.TermID != s.status.TermID {
 		clear(s.applied)
 	}
 	s.status = st
@@ -216,16 +216,16 @@
 // adopt reads the layout and the replicas last published, once in each reign. The
 // layout comes first: to a controller without one, all replicas would be too many.
 func (s *serviceController) adopt() {
-	due := s.status.Standing != lease.None && s.adopted != s.status.Reign
+	due := s.status.State != lease.None && s.adopted != s.status.TermID
 	if !due || s.adopting || s.c.now.Before(s.adoptAt) {
 		return
 	}
 	s.adopting = true
-	reign := s.status.Reign
+	reign := s.status.TermID
 	s.c.tables.newest(layoutOf(s.service), func(layout controller.ReplicaTable, known bool) {
 		s.c.tables.newest(s.service, func(t controller.ReplicaTable, ok bool) {
 			s.adopting = false
-			if !ok || !known || layout.Fencing == 0 || reign != s.status.Reign {
+			if !ok || !known || layout.Fencing == 0 || reign != s.status.TermID {
 				s.adoptAt = s.c.now.Add(adoptRetry)
 				return
 			}
@@ -252,7 +252,7 @@
 // serversChanged tells the machine which servers the service may use. One that is
 // leaving stays among them until it is gone: its chain is drained, not cut.
 func (s *serviceController) serversChanged() {
-	if s.status.Standing == lease.None {
+	if s.status.State == lease.None {
 		return
 	}
 	var servers []controller.Backend
@@ -318,7 +318,7 @@
 		case controller.FencingRefused:
 			s.c.d.metrics.Add(telemetry.StaleOrdersTotal, 1)
 			s.c.d.log.Emit(telemetry.EventOrderStale, telemetry.Service(s.service), telemetry.Backend(a.Backend), telemetry.Fencing(a.Fencing))
-			refused := lease.Refused{Service: s.service, Fencing: a.Fencing, Seen: a.Seen}
+			refused := lease.FencingRejected{Service: s.service, Fencing: a.Fencing, Seen: a.Seen}
 			s.c.later(func() { s.c.leases.step(refused) })
 		}
 	}
--- a/daemon/layout.go
+++ b/daemon/layout.go
@@ -86,7 +86,7 @@
 func (p *layoutPart) tick(now time.Time) {
 	p.next = now.Add(min(layoutEvery, p.c.d.set.Leases.Reconcile.Std()/stepsPerReconcile))
 	switch {
-	case p.adopted != p.status.Reign:
+	case p.adopted != p.status.TermID:
 		p.adopt()
 	case !p.running && p.c.instances.known():
 		p.compute()
@@ -102,7 +102,7 @@
 	p.reading = true
 	ids := p.c.controllers.autoServices()
 	missing := len(ids)
-	reign := p.status.Reign
+	reign := p.status.TermID
 	whole := true
 	for _, id := range ids {
 		p.c.tables.newest(layoutOf(id), func(t controller.ReplicaTable, ok bool) {
@@ -113,7 +113,7 @@
 				return
 			}
 			p.reading = false
-			if whole && reign == p.status.Reign {
+			if whole && reign == p.status.TermID {
 				p.adopted = reign
 			}
 		})
@@ -128,12 +128,12 @@
 		return
 	}
 	p.running = true
-	reign := p.status.Reign
+	reign := p.status.TermID
 	go func() {
 		l := job.run()
 		p.c.post(func() {
 			p.running = false
-			if standsFor(p.status) && p.status.Reign == reign {
+			if standsFor(p.status) && p.status.TermID == reign {
 				p.publish(job, l)
 			}
 		})
--- a/daemon/leases.go
+++ b/daemon/leases.go
@@ -44,12 +44,12 @@
 func leaseConfig(d *Daemon) lease.Config {
 	term := d.set.Leases.Term.Std()
 	cfg := lease.DefaultConfig(d.self)
-	cfg.Term = term
-	cfg.Renew = term / renewalsPerTerm
-	cfg.Poll = term / pollsPerTerm
-	cfg.SlowPoll = 3 * term
-	cfg.Stagger = term * 15 / 100
-	cfg.Retry = term / retriesPerTerm
+	cfg.LeaseDuration = term
+	cfg.RenewInterval = term / renewalsPerTerm
+	cfg.PollInterval = term / pollsPerTerm
+	cfg.SlowPollInterval = 3 * term
+	cfg.TakeoverStagger = term * 15 / 100
+	cfg.RetryDelay = term / retriesPerTerm
 	cfg.CallTimeout = 2 * d.set.Store.Timeout.Std()
 	return cfg
 }
@@ -120,7 +120,7 @@
 			return
 		}
 		found := lo.KeyBy(res.Rows, func(r store.Row) state.ServiceID { return state.ServiceID(r.Key) })
-		p.step(lease.ReadDone{Call: a.Call, Rows: lo.Map(a.Services, func(id state.ServiceID, _ int) lease.Stored {
+		p.step(lease.ReadDone{Call: a.Call, Rows: lo.Map(a.Services, func(id state.ServiceID, _ int) lease.StoredRow {
 			return storedOf(id, found[id])
 		})})
 	})
@@ -128,8 +128,8 @@
 
 // storedOf reads a row. One that can't be read is a later release's; its revision
 // alone keeps this daemon from taking it too early.
-func storedOf(id state.ServiceID, row store.Row) lease.Stored {
-	s := lease.Stored{Service: id, Revision: row.Revision}
+func storedOf(id state.ServiceID, row store.Row) lease.StoredRow {
+	s := lease.StoredRow{Service: id, Revision: row.Revision}
 	_ = json.Unmarshal(row.Value, &s.Row)
 	return s
 }
@@ -149,7 +149,7 @@
 	p.c.store.do(call, func(res store.Result) {
 		switch res.Status {
 		case store.Done:
-			p.step(lease.Committed{Call: a.Call, Rows: lo.Map(res.Rows, func(r store.Row, _ int) lease.Stored {
+			p.step(lease.Committed{Call: a.Call, Rows: lo.Map(res.Rows, func(r store.Row, _ int) lease.StoredRow {
 				return storedOf(state.ServiceID(r.Key), r)
 			})})
 		case store.Conflict:
@@ -177,14 +177,14 @@
 func (p *leasesPart) note(was, s lease.Status) {
 	log, id, number := p.c.d.log, telemetry.Service(s.Service), telemetry.Fencing(s.Fencing)
 	switch {
-	case s.Standing == lease.None && p.asked[s.Service]:
+	case s.State == lease.None && p.asked[s.Service]:
 		log.Emit(telemetry.EventLeaseReleased, id)
-	case s.Standing == lease.None:
+	case s.State == lease.None:
 		log.Emit(telemetry.EventLeaseLost, id)
-	case s.Reign != was.Reign:
+	case s.TermID != was.TermID:
 		delete(p.asked, s.Service)
 		log.Emit(telemetry.EventLeaseAcquired, id, number)
-	case s.Standing == lease.Lapsed && was.Standing == lease.Held:
+	case s.State == lease.Lapsed && was.State == lease.Held:
 		log.Emit(telemetry.EventOrdersFrozen, id, number)
 	}
 	p.c.d.metrics.Set(telemetry.LeasesHeld, float64(p.held()))
@@ -192,7 +192,7 @@
 
 // held counts the leases held.
 func (p *leasesPart) held() int {
-	return lo.CountBy(lo.Values(p.status), func(s lease.Status) bool { return s.Standing == lease.Held })
+	return lo.CountBy(lo.Values(p.status), func(s lease.Status) bool { return s.State == lease.Held })
 }
 
 // drain begins to hand all leases on before a planned stop.
@@ -207,7 +207,7 @@
 // controller can be under way.
 func (p *leasesPart) handOn() {
 	for _, id := range p.given() {
-		if p.status[id].Standing == lease.None || !p.c.controllers.clean(id) {
+		if p.status[id].State == lease.None || !p.c.controllers.clean(id) {
 			continue
 		}
 		p.asked[id] = true
--- a/daemon/messages.go
+++ b/daemon/messages.go
@@ -91,7 +91,7 @@
 	peer.Register[catalog.Pull](r, kindCatalog+1)
 	peer.Register[catalog.Delta](r, kindCatalog+2)
 
-	peer.Register[lease.HandOn](r, kindLeases)
+	peer.Register[lease.Handoff](r, kindLeases)
 	peer.Register[controller.RequestCountQuery](r, kindLeases+1)
 	peer.Register[controller.RequestCountReply](r, kindLeases+2)
 
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -187,5 +187,5 @@
 // standsFor reports whether a lease lets its holder decide: also one that has
 // lapsed, since a successor's decisions carry a higher number.
 func standsFor(st lease.Status) bool {
-	return st.Standing != lease.None
+	return st.State != lease.None
 }
--- a/daemon/weights.go
+++ b/daemon/weights.go
@@ -57,7 +57,7 @@
 
 // share asks for a share of the weight store's rate when that is due.
 func (s *serviceController) share(now time.Time) {
-	if s.status.Standing != lease.Held {
+	if s.status.State != lease.Held {
 		return
 	}
 	slots, _ := s.asker.Share()
