--- a/coordination/limit/bench_test.go
+++ b/coordination/limit/bench_test.go
@@ -90,7 +90,7 @@
 		if !now.Before(m.NextTick()) {
 			m.Step(now, limit.Tick{})
 		}
-		m.Step(now, limit.Ask{Call: uint64(i), Service: "s", Customer: "c"})
+		m.Step(now, limit.Acquire{Call: uint64(i), Service: "s", Customer: "c"})
 	}
 }
 
@@ -100,7 +100,7 @@
 	from := state.Member{ID: "b", Incarnation: 1}
 	r := limit.Report{}
 	for range 20 {
-		r.Uses = append(r.Uses, limit.Use{Service: "s", Customer: "c", Need: 1})
+		r.Usages = append(r.Usages, limit.Usage{Service: "s", Customer: "c", Need: 1})
 	}
 	b.ReportAllocs()
 	for i := range b.N {
--- a/coordination/limit/bucket.go
+++ b/coordination/limit/bucket.go
@@ -64,7 +64,7 @@
 func (b *bucket) mint(now time.Time, seats int, cfg *Config) {
 	burst, rate := b.limit.share(seats, cfg.Total)
 	if d := now.Sub(b.settled); d > 0 {
-		b.level += rate * (1 - cfg.Drift) * d.Seconds()
+		b.level += rate * (1 - cfg.MaxClockDrift) * d.Seconds()
 		b.settled = now
 	}
 	b.level = max(0, min(b.level, float64(burst-b.outstanding)))
@@ -85,7 +85,7 @@
 }
 
 // used applies a holder's report on one batch. The account is settled.
-func (b *bucket) used(holder state.Member, u BatchUse) {
+func (b *bucket) used(holder state.Member, u BatchUsage) {
 	i := sort.Search(len(b.batches), func(i int) bool {
 		return b.batches[i].id >= u.ID
 	})
--- a/coordination/limit/bucket_test.go
+++ b/coordination/limit/bucket_test.go
@@ -13,7 +13,7 @@
 // millisecond, whatever is given, reported and run out in between.
 func TestRareSettlingMintsNoMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{Total: 9, Drift: 0.01, BatchLife: 800 * time.Millisecond}
+		cfg := Config{Total: 9, MaxClockDrift: 0.01, BatchTTL: 800 * time.Millisecond}
 		l := Limit{PerSecond: 20, Burst: 12}
 		now := time.Unix(1000, 0)
 		rare := &bucket{limit: l, settled: now, seats: 9}
@@ -34,12 +34,12 @@
 					t.Fatalf("gave %d, but %d were there", n, got)
 				}
 				id++
-				b := batch{id: id, holder: holder, size: uint32(n), deadline: now.Add(cfg.BatchLife)}
+				b := batch{id: id, holder: holder, size: uint32(n), deadline: now.Add(cfg.BatchTTL)}
 				rare.batches = append(rare.batches, b)
 				often.batches = append(often.batches, b)
 			case 1:
 				rare.settle(now, seats, &cfg)
-				u := BatchUse{ID: rapid.Uint64Range(0, id).Draw(t, "id"), Spent: 1, Closed: rapid.Bool().Draw(t, "closed")}
+				u := BatchUsage{ID: rapid.Uint64Range(0, id).Draw(t, "id"), Spent: 1, Closed: rapid.Bool().Draw(t, "closed")}
 				rare.used(holder, u)
 				often.used(holder, u)
 			case 2:
@@ -62,13 +62,13 @@
 	key := Key{Service: "s", Customer: "c"}
 	start := time.Unix(1000, 0)
 	o := newOwner(&cfg, start, map[Key]Limit{key: {PerSecond: 1, Burst: 30}})
-	lend := func(now time.Time, uses ...Use) {
+	lend := func(now time.Time, uses ...Usage) {
 		for _, id := range cfg.Seats {
 			echo := stamp(start, now)
-			o.report(now, state.Member{ID: id, Incarnation: 1}, 1, Report{Stamp: echo, Echo: echo, To: 1, Lent: ^uint64(0), Uses: uses})
+			o.report(now, state.Member{ID: id, Incarnation: 1}, 1, Report{Stamp: echo, Echo: echo, To: 1, Lent: ^uint64(0), Usages: uses})
 		}
 	}
-	lend(start.Add(time.Second), Use{Service: "s", Customer: "c", Need: 1})
+	lend(start.Add(time.Second), Usage{Service: "s", Customer: "c", Need: 1})
 	lend(start.Add(20 * time.Second))
 	s := &o.shards[key.shard(cfg.Shards)]
 	b := s.buckets[key]
--- a/coordination/limit/choose.go
+++ b/coordination/limit/choose.go
@@ -16,7 +16,7 @@
 		if len(m.live) > 0 && !m.live[id] && id != m.cfg.Self.ID {
 			continue
 		}
-		switch s.state(now, m.cfg.SilentFor) {
+		switch s.state(now, m.cfg.OwnerTimeout) {
 		case sessionAnswering:
 			return s
 		case sessionUntried:
@@ -44,7 +44,7 @@
 	if !now.Before(ln.until) {
 		return false
 	}
-	return m.session(ln.owner.ID).state(now, m.cfg.SilentFor) == sessionAnswering
+	return m.session(ln.owner.ID).state(now, m.cfg.OwnerTimeout) == sessionAnswering
 }
 
 func (m *Limiter) session(id state.DaemonID) *session {
@@ -56,16 +56,16 @@
 func (m *Limiter) due(now time.Time, s *session) bool {
 	quiet := now.Sub(s.lastSent)
 	if m.lender != nil {
-		if s.state(now, m.cfg.SilentFor) == sessionUntried && s.lastSent.IsZero() {
+		if s.state(now, m.cfg.OwnerTimeout) == sessionUntried && s.lastSent.IsZero() {
 			return true
 		}
-		renew := m.cfg.LoanLife/renewals - m.cfg.Interval/2
+		renew := m.cfg.LoanTTL/renewals - m.cfg.ReportInterval/2
 		if quiet >= renew && (m.lender.lentTo(now, s.id) || m.chosen(now, s)) {
 			return true
 		}
 	}
-	if s.state(now, m.cfg.SilentFor) == sessionOut {
-		return quiet >= m.cfg.LoanLife/2
+	if s.state(now, m.cfg.OwnerTimeout) == sessionOut {
+		return quiet >= m.cfg.LoanTTL/2
 	}
 	for _, e := range m.order {
 		if m.wants(now, e, s) {
@@ -95,5 +95,5 @@
 	if m.choose(now, e.shard) != s {
 		return false
 	}
-	return len(e.pending) > 0 || e.target(m.cfg.Interval) > e.tokens(now)
+	return len(e.pending) > 0 || e.target(m.cfg.ReportInterval) > e.tokens(now)
 }
--- a/coordination/limit/config.go
+++ b/coordination/limit/config.go
@@ -25,21 +25,21 @@
 	Shards int
 
 	// LoanLife is how long an owner counts a seat after it asked. Default 2 s.
-	LoanLife time.Duration
+	LoanTTL time.Duration
 
 	// BatchLife is how long a holder may spend a batch after it asked; at
 	// most half of LoanLife. Default 800 ms.
-	BatchLife time.Duration
+	BatchTTL time.Duration
 
 	// Interval is the time between regular reports. Default 200 ms.
-	Interval time.Duration
+	ReportInterval time.Duration
 
 	// MinGap is the least time between two reports to one owner. Default 5 ms.
-	MinGap time.Duration
+	MinReportInterval time.Duration
 
 	// SilentFor is how long an owner may leave a report unanswered before
 	// another is chosen. Default 500 ms.
-	SilentFor time.Duration
+	OwnerTimeout time.Duration
 
 	// MaxWait is how long a request waits for an owner that does not answer.
 	// Default 400 ms.
@@ -51,7 +51,7 @@
 	MaxKeys    int
 
 	// Drift bounds how far any clock's rate is from true. Default 0.01.
-	Drift float64
+	MaxClockDrift float64
 }
 
 const (
@@ -62,22 +62,22 @@
 func (c Config) withDefaults() Config {
 	setDefault(&c.Total, len(c.Seats))
 	setDefault(&c.Shards, 16)
-	setDefault(&c.LoanLife, 2*time.Second)
-	setDefault(&c.BatchLife, 800*time.Millisecond)
-	setDefault(&c.Interval, 200*time.Millisecond)
-	setDefault(&c.MinGap, 5*time.Millisecond)
-	setDefault(&c.SilentFor, 500*time.Millisecond)
+	setDefault(&c.LoanTTL, 2*time.Second)
+	setDefault(&c.BatchTTL, 800*time.Millisecond)
+	setDefault(&c.ReportInterval, 200*time.Millisecond)
+	setDefault(&c.MinReportInterval, 5*time.Millisecond)
+	setDefault(&c.OwnerTimeout, 500*time.Millisecond)
 	setDefault(&c.MaxWait, 400*time.Millisecond)
 	setDefault(&c.MaxPending, 1024)
 	setDefault(&c.MaxKeys, 16384)
-	setDefault(&c.Drift, 0.01)
+	setDefault(&c.MaxClockDrift, 0.01)
 	return c
 }
 
 // outlast lengthens a life so that it ends, on any clock within the drift,
 // after a life of d that began no later on any other such clock.
 func (c Config) outlast(d time.Duration) time.Duration {
-	return time.Duration(float64(d)*(1+c.Drift)/(1-c.Drift)) + time.Nanosecond
+	return time.Duration(float64(d)*(1+c.MaxClockDrift)/(1-c.MaxClockDrift)) + time.Nanosecond
 }
 
 func setDefault[T comparable](field *T, value T) {
--- a/coordination/limit/event.go
+++ b/coordination/limit/event.go
@@ -16,7 +16,7 @@
 type Tick struct{}
 
 // Ask wants one token for a request; Call names it in the answer.
-type Ask struct {
+type Acquire struct {
 	Call     uint64
 	Service  state.ServiceID
 	Customer state.CustomerID
@@ -45,7 +45,7 @@
 type Drain struct{}
 
 func (Tick) event()     {}
-func (Ask) event()      {}
+func (Acquire) event()  {}
 func (Received) event() {}
 func (Members) event()  {}
 func (Limits) event()   {}
@@ -69,8 +69,8 @@
 
 // Refuse gives no token.
 type Refuse struct {
-	Call uint64
-	Why  Why
+	Call   uint64
+	Reason RefusalReason
 
 	// RetryAfter is when there may be a token; 0 if not known.
 	RetryAfter time.Duration
@@ -82,12 +82,12 @@
 
 // Why is the closed list of why there was no token. Callers see
 // state.ReasonCustomerLimit for each; each has a counter of its own.
-type Why string
+type RefusalReason string
 
 // The values of Why.
 const (
-	WhyUsedUp  Why = "limit_used_up"  // the limit is used up site-wide
-	WhyNoOwner Why = "limit_no_owner" // no owner of the key answered in time
-	WhyPending Why = "limit_pending"  // too many requests wait for the key's tokens
-	WhyUnknown Why = "limit_unknown"  // the documents give no limit for the key
+	ReasonExhausted      RefusalReason = "limit_used_up"  // the limit is used up site-wide
+	ReasonNoOwner        RefusalReason = "limit_no_owner" // no owner of the key answered in time
+	ReasonTooManyPending RefusalReason = "limit_pending"  // too many requests wait for the key's tokens
+	ReasonNoLimit        RefusalReason = "limit_unknown"  // the documents give no limit for the key
 )
--- a/coordination/limit/export_test.go
+++ b/coordination/limit/export_test.go
@@ -27,7 +27,7 @@
 	}
 	b := *held
 	b.batches = slices.Clone(held.batches)
-	b.settle(now, s.seats(now, m.cfg.outlast(m.cfg.BatchLife)), &m.cfg)
+	b.settle(now, s.seats(now, m.cfg.outlast(m.cfg.BatchTTL)), &m.cfg)
 	for i := range b.batches {
 		out[b.batches[i].holder] += b.batches[i].rest()
 	}
--- a/coordination/limit/holder.go
+++ b/coordination/limit/holder.go
@@ -89,12 +89,12 @@
 // to everyone, and batches beyond twice the target, so that tokens move to
 // where the demand is.
 func (e *entry) trim(now time.Time, cfg *Config) {
-	target := e.target(cfg.Interval)
+	target := e.target(cfg.ReportInterval)
 	have := e.tokens(now)
 	for i := len(e.held) - 1; i >= 0; i-- {
 		h := &e.held[i]
 		rest := h.rest(now)
-		ends := h.expires.Sub(now) < cfg.Interval*3/2
+		ends := h.expires.Sub(now) < cfg.ReportInterval*3/2
 		if ends || have > 2*target+1 && have-rest >= target {
 			h.closed = true
 			have -= rest
@@ -112,21 +112,21 @@
 
 // use writes what a Report to the owner of s says of the entry; wants is
 // whether that owner is the one to ask.
-func (e *entry) use(now time.Time, s *session, stamp int64, wants bool, cfg *Config) (Use, bool) {
-	u := Use{Service: e.key.Service, Customer: e.key.Customer}
+func (e *entry) use(now time.Time, s *session, stamp int64, wants bool, cfg *Config) (Usage, bool) {
+	u := Usage{Service: e.key.Service, Customer: e.key.Customer}
 	for i := range e.held {
 		h := &e.held[i]
 		if !e.untold(h, s) {
 			continue
 		}
 		h.sentStamp, h.sentSpent, h.sentClose = stamp, h.spent, h.closed
-		u.Batches = append(u.Batches, BatchUse{ID: h.id, Spent: h.spent, Closed: h.closed})
+		u.Batches = append(u.Batches, BatchUsage{ID: h.id, Spent: h.spent, Closed: h.closed})
 	}
 	if wants {
 		u.Need = uint32(len(e.pending))
-		u.Spare = uint32(max(0, e.target(cfg.Interval)-e.tokens(now)))
+		u.Prefetch = uint32(max(0, e.target(cfg.ReportInterval)-e.tokens(now)))
 	}
-	return u, u.Need > 0 || u.Spare > 0 || len(u.Batches) > 0
+	return u, u.Need > 0 || u.Prefetch > 0 || len(u.Batches) > 0
 }
 
 // settled forgets batches whose end the owner knows of or no longer asks for.
--- a/coordination/limit/lender.go
+++ b/coordination/limit/lender.go
@@ -38,12 +38,12 @@
 // replaced by a later life that lends the same seat; the answer to its next
 // Report tells it.
 func (l *lender) ready(now time.Time) bool {
-	holdOff := l.cfg.outlast(l.cfg.LoanLife + l.cfg.SilentFor)
+	holdOff := l.cfg.outlast(l.cfg.LoanTTL + l.cfg.OwnerTimeout)
 	if l.stopped || now.Before(l.start.Add(holdOff)) {
 		return false
 	}
 	alone := len(l.cfg.Seats) == 1
-	return alone || !l.contact.IsZero() && now.Sub(l.contact) <= l.cfg.LoanLife
+	return alone || !l.contact.IsZero() && now.Sub(l.contact) <= l.cfg.LoanTTL
 }
 
 // lend lends shard n to the owner of s, if no other owner may count the seat.
@@ -57,7 +57,7 @@
 	if ln.owner != s.member {
 		ln.until = time.Time{}
 	}
-	until := s.grantAt.Add(l.cfg.outlast(l.cfg.LoanLife))
+	until := s.grantAt.Add(l.cfg.outlast(l.cfg.LoanTTL))
 	if until.After(ln.until) {
 		ln.until = until
 	}
--- a/coordination/limit/machine.go
+++ b/coordination/limit/machine.go
@@ -51,7 +51,7 @@
 	if len(cfg.Seats) == 0 || len(cfg.Seats) > maxSeats || cfg.Shards > maxShards || cfg.Total < len(cfg.Seats) {
 		panic("limit: no seats, more seats or shards than the messages can tell, or a total below the seats")
 	}
-	if cfg.BatchLife > cfg.LoanLife/2 {
+	if cfg.BatchTTL > cfg.LoanTTL/2 {
 		panic("limit: batches must run out well before the loans that back them")
 	}
 	m := &Limiter{
@@ -62,7 +62,7 @@
 		known:    map[state.DaemonID]state.Incarnation{cfg.Self.ID: cfg.Self.Incarnation},
 		entries:  make(map[Key]*entry),
 		lastStep: start,
-		lastTick: start.Add(-cfg.Interval), // the first tick is due at once
+		lastTick: start.Add(-cfg.ReportInterval), // the first tick is due at once
 	}
 	m.owner = newOwner(&m.cfg, start, m.limits)
 	for _, id := range cfg.Seats {
@@ -89,7 +89,7 @@
 	switch ev := ev.(type) {
 	case Tick:
 		m.tick(now)
-	case Ask:
+	case Acquire:
 		m.ask(now, ev)
 	case Received:
 		m.receive(now, ev.From, ev.Msg)
@@ -112,7 +112,7 @@
 
 // NextTick is when the Limiter next wants a Tick.
 func (m *Limiter) NextTick() time.Time {
-	next := m.lastTick.Add(m.cfg.Interval)
+	next := m.lastTick.Add(m.cfg.ReportInterval)
 	for _, s := range m.sessions {
 		if s.urgent && s.sendableAt(&m.cfg).Before(next) {
 			next = s.sendableAt(&m.cfg)
@@ -132,9 +132,9 @@
 // resume forgives silence that was this daemon's own: after a pause every owner
 // looks silent, and leaving them all would move every loan.
 func (m *Limiter) resume(now time.Time) {
-	if now.Sub(m.lastStep) > m.cfg.SilentFor/2 {
+	if now.Sub(m.lastStep) > m.cfg.OwnerTimeout/2 {
 		for _, s := range m.sessions {
-			if !s.unanswered.IsZero() && s.unanswered.After(m.lastStep.Add(-m.cfg.SilentFor)) {
+			if !s.unanswered.IsZero() && s.unanswered.After(m.lastStep.Add(-m.cfg.OwnerTimeout)) {
 				s.unanswered = now
 			}
 		}
@@ -184,7 +184,7 @@
 // tick does what is due by time.
 func (m *Limiter) tick(now time.Time) {
 	elapsed := now.Sub(m.lastTick)
-	if elapsed < m.cfg.Interval {
+	if elapsed < m.cfg.ReportInterval {
 		return
 	}
 	m.lastTick = now
@@ -195,7 +195,7 @@
 		m.expire(now, e)
 	}
 	m.order = slices.DeleteFunc(m.order, func(e *entry) bool {
-		drop := e.idle(now, idleAfter*m.cfg.Interval)
+		drop := e.idle(now, idleAfter*m.cfg.ReportInterval)
 		if drop {
 			delete(m.entries, e.key)
 		}
@@ -213,7 +213,7 @@
 func (m *Limiter) expire(now time.Time, e *entry) {
 	n := 0
 	for n < len(e.pending) && now.Sub(e.pending[n].asked) >= m.cfg.MaxWait {
-		m.refuse(e.pending[n].call, WhyNoOwner, m.cfg.LoanLife)
+		m.refuse(e.pending[n].call, ReasonNoOwner, m.cfg.LoanTTL)
 		n++
 	}
 	e.pending = slices.Delete(e.pending, 0, n)
@@ -246,7 +246,7 @@
 	for _, e := range m.order {
 		u, ok := e.use(now, s, st, m.choose(now, e.shard) == s, &m.cfg)
 		if ok {
-			r.Uses = append(r.Uses, u)
+			r.Usages = append(r.Usages, u)
 		}
 	}
 	s.sent(now, st)
@@ -261,6 +261,6 @@
 	m.out = append(m.out, Send{To: to, Msg: msg})
 }
 
-func (m *Limiter) refuse(call uint64, why Why, after time.Duration) {
-	m.out = append(m.out, Refuse{Call: call, Why: why, RetryAfter: after})
+func (m *Limiter) refuse(call uint64, why RefusalReason, after time.Duration) {
+	m.out = append(m.out, Refuse{Call: call, Reason: why, RetryAfter: after})
 }
--- a/coordination/limit/message.go
+++ b/coordination/limit/message.go
@@ -22,22 +22,22 @@
 	// for LoanLife after Echo. A shard without its bit is asked back.
 	Lent uint64 `msgpack:"l,omitempty"`
 
-	Uses []Use `msgpack:"u,omitempty"`
+	Usages []Usage `msgpack:"u,omitempty"`
 }
 
 // Use tells the tokens of one key that the sender wants, and what became of
 // the batches that the receiver gave.
-type Use struct {
+type Usage struct {
 	Service  state.ServiceID  `msgpack:"s"`
 	Customer state.CustomerID `msgpack:"c"`
 	Need     uint32           `msgpack:"n,omitempty"` // tokens for waiting requests
-	Spare    uint32           `msgpack:"p,omitempty"` // tokens for expected requests
-	Batches  []BatchUse       `msgpack:"b,omitempty"`
+	Prefetch uint32           `msgpack:"p,omitempty"` // tokens for expected requests
+	Batches  []BatchUsage     `msgpack:"b,omitempty"`
 }
 
 // BatchUse tells the tokens spent of one batch so far. Nothing more is spent of
 // a closed one.
-type BatchUse struct {
+type BatchUsage struct {
 	ID     uint64 `msgpack:"i"`
 	Spent  uint32 `msgpack:"s,omitempty"`
 	Closed bool   `msgpack:"c,omitempty"`
@@ -58,11 +58,11 @@
 	// Leaving owners are to be lent nothing.
 	Leaving bool `msgpack:"v,omitempty"`
 
-	Shares []Share `msgpack:"h,omitempty"`
+	Allocations []Allocation `msgpack:"h,omitempty"`
 }
 
 // Share answers one Use that asked for tokens.
-type Share struct {
+type Allocation struct {
 	Service  state.ServiceID  `msgpack:"s"`
 	Customer state.CustomerID `msgpack:"c"`
 	Batch    uint64           `msgpack:"b,omitempty"`
@@ -74,11 +74,11 @@
 
 	// Tight reports that the whole burst is out in batches: nothing is minted
 	// until the word on spent tokens comes.
-	Tight bool `msgpack:"g,omitempty"`
+	Exhausted bool `msgpack:"g,omitempty"`
 
 	// Word reports that much of the burst is out in batches. Else a batch that
 	// was spent whole needs no word: it is taken as spent when it runs out.
-	Word bool `msgpack:"d,omitempty"`
+	ReportSpent bool `msgpack:"d,omitempty"`
 
 	// Unready reports that the sender has no seats for the key, so that
 	// nothing is known of the limit.
--- a/coordination/limit/owner.go
+++ b/coordination/limit/owner.go
@@ -90,9 +90,9 @@
 		o.borrow(now, i, r)
 		g.Counted = o.counted(now, i)
 	}
-	for _, u := range r.Uses {
+	for _, u := range r.Usages {
 		if share, ok := o.use(now, from, u); ok {
-			g.Shares = append(g.Shares, share)
+			g.Allocations = append(g.Allocations, share)
 		}
 	}
 	return g, true
@@ -109,7 +109,7 @@
 
 // borrow takes over what r says of the loans of seat i.
 func (o *owner) borrow(now time.Time, i int, r Report) {
-	until := o.start.Add(time.Duration(r.Echo) - 1 + o.cfg.LoanLife)
+	until := o.start.Add(time.Duration(r.Echo) - 1 + o.cfg.LoanTTL)
 	mine := r.To == o.cfg.Self.Incarnation && !o.leaving
 	mine = mine && r.Echo > 0 && r.Echo <= stamp(o.start, now)
 	for n := range o.shards {
@@ -127,7 +127,7 @@
 // extend counts seat i until then. Accounts are settled first with the seats
 // that they had, so that no time is minted for that the seat was elsewhere.
 func (o *owner) extend(now time.Time, s *ownedShard, i int, until time.Time) {
-	life := o.cfg.outlast(o.cfg.BatchLife)
+	life := o.cfg.outlast(o.cfg.BatchTTL)
 	before := s.seats(now, life)
 	old := s.lent[i]
 	s.lent[i] = until
@@ -147,7 +147,7 @@
 func (o *owner) giveBack(now time.Time, s *ownedShard, i int) {
 	old := s.lent[i]
 	s.lent[i] = time.Time{}
-	seats := s.seats(now, o.cfg.outlast(o.cfg.BatchLife))
+	seats := s.seats(now, o.cfg.outlast(o.cfg.BatchTTL))
 	for _, b := range s.buckets {
 		b.settle(now, seats, o.cfg)
 		burst, _ := b.limit.share(seats, o.cfg.Total)
@@ -170,12 +170,12 @@
 }
 
 // use applies u; the Share answers it if it asked for tokens.
-func (o *owner) use(now time.Time, from state.Member, u Use) (Share, bool) {
+func (o *owner) use(now time.Time, from state.Member, u Usage) (Allocation, bool) {
 	key := Key{Service: u.Service, Customer: u.Customer}
-	share := Share{Service: u.Service, Customer: u.Customer}
-	wants := u.Need > 0 || u.Spare > 0
+	share := Allocation{Service: u.Service, Customer: u.Customer}
+	wants := u.Need > 0 || u.Prefetch > 0
 	s := &o.shards[key.shard(o.cfg.Shards)]
-	life := o.cfg.outlast(o.cfg.BatchLife)
+	life := o.cfg.outlast(o.cfg.BatchTTL)
 	seats := s.seats(now, life)
 	b := o.bucket(now, s, key, seats)
 	if b == nil {
@@ -193,7 +193,7 @@
 		share.Unready = true
 		return share, true
 	}
-	n := b.give(int(u.Need), int(u.Spare), o.cfg)
+	n := b.give(int(u.Need), int(u.Prefetch), o.cfg)
 	if n > 0 {
 		o.nextBatch++
 		b.batches = append(b.batches, batch{
@@ -203,8 +203,8 @@
 		share.Tokens = uint32(n)
 	}
 	burst, _ := b.limit.share(seats, o.cfg.Total)
-	share.Tight = b.outstanding >= burst
-	share.Word = wordPart*b.outstanding >= burst
+	share.Exhausted = b.outstanding >= burst
+	share.ReportSpent = wordPart*b.outstanding >= burst
 	if n < int(u.Need) {
 		share.WaitMillis = uint32(b.wait(o.cfg).Milliseconds())
 	}
@@ -234,7 +234,7 @@
 	if b == nil {
 		return
 	}
-	b.settle(now, s.seats(now, o.cfg.outlast(o.cfg.BatchLife)), o.cfg)
+	b.settle(now, s.seats(now, o.cfg.outlast(o.cfg.BatchTTL)), o.cfg)
 	b.limit = l
 }
 
@@ -248,7 +248,7 @@
 	maps.DeleteFunc(o.peers, func(_ state.DaemonID, p *peer) bool {
 		return now.Sub(p.heard) > peerLife
 	})
-	life := o.cfg.outlast(o.cfg.BatchLife)
+	life := o.cfg.outlast(o.cfg.BatchTTL)
 	for n := range o.shards {
 		s := &o.shards[n]
 		seats := s.seats(now, life)
--- a/coordination/limit/requests.go
+++ b/coordination/limit/requests.go
@@ -8,10 +8,10 @@
 )
 
 // ask spends a token at hand, or lets the request wait for its owner's answer.
-func (m *Limiter) ask(now time.Time, ev Ask) {
+func (m *Limiter) ask(now time.Time, ev Acquire) {
 	e, ok := m.entry(Key{Service: ev.Service, Customer: ev.Customer})
 	if !ok {
-		m.refuse(ev.Call, WhyUnknown, 0)
+		m.refuse(ev.Call, ReasonNoLimit, 0)
 		return
 	}
 	e.asks++
@@ -21,9 +21,9 @@
 		m.out = append(m.out, Admit{Call: ev.Call})
 		m.spent(now, e)
 	case now.Before(e.dry):
-		m.refuse(ev.Call, WhyUsedUp, e.dry.Sub(now))
+		m.refuse(ev.Call, ReasonExhausted, e.dry.Sub(now))
 	case len(e.pending) >= m.cfg.MaxPending:
-		m.refuse(ev.Call, WhyPending, m.cfg.Interval)
+		m.refuse(ev.Call, ReasonTooManyPending, m.cfg.ReportInterval)
 	default:
 		e.pending = append(e.pending, pending{call: ev.Call, asked: now})
 		m.choose(now, e.shard).urgent = true
@@ -80,7 +80,7 @@
 	for _, e := range m.order {
 		e.settled(now, from, g.Echo)
 	}
-	for _, sh := range g.Shares {
+	for _, sh := range g.Allocations {
 		if e := m.entries[Key{Service: sh.Service, Customer: sh.Customer}]; e != nil {
 			m.take(now, from, e, sh, asked)
 		}
@@ -105,16 +105,16 @@
 // take adds the tokens of sh and answers the requests that wait for them. The
 // life of the batch counts from asked, when the Report left: that is before the
 // owner began to count it.
-func (m *Limiter) take(now time.Time, from state.Member, e *entry, sh Share, asked time.Time) {
+func (m *Limiter) take(now time.Time, from state.Member, e *entry, sh Allocation, asked time.Time) {
 	if sh.Tokens > 0 {
-		expires := asked.Add(m.cfg.BatchLife)
+		expires := asked.Add(m.cfg.BatchTTL)
 		e.held = append(e.held, held{
 			owner: from, id: sh.Batch, size: sh.Tokens, expires: expires,
 			closed: !now.Before(expires),
 		})
 	}
-	e.tight = sh.Tight
-	e.word = sh.Word
+	e.tight = sh.Exhausted
+	e.word = sh.ReportSpent
 	n := 0
 	for n < len(e.pending) && e.spend(now) {
 		m.out = append(m.out, Admit{Call: e.pending[n].call})
@@ -130,7 +130,7 @@
 	wait := time.Duration(sh.WaitMillis) * time.Millisecond
 	e.dry = now.Add(wait)
 	for _, p := range e.pending {
-		m.refuse(p.call, WhyUsedUp, wait)
+		m.refuse(p.call, ReasonExhausted, wait)
 	}
 	e.pending = e.pending[:0]
 }
--- a/coordination/limit/session.go
+++ b/coordination/limit/session.go
@@ -87,7 +87,7 @@
 
 func (s *session) sendableAt(cfg *Config) time.Time {
 	if s.unanswered.IsZero() {
-		return s.lastSent.Add(cfg.MinGap)
+		return s.lastSent.Add(cfg.MinReportInterval)
 	}
-	return s.lastSent.Add(cfg.Interval)
+	return s.lastSent.Add(cfg.ReportInterval)
 }
--- a/coordination/limit/world_test.go
+++ b/coordination/limit/world_test.go
@@ -298,7 +298,7 @@
 		from.sent += len(b)
 	}
 	if g, ok := a.Msg.(limit.Grant); ok {
-		for _, s := range g.Shares {
+		for _, s := range g.Allocations {
 			if s.Tokens > 0 {
 				w.truth[limit.Key{Service: s.Service, Customer: s.Customer}].owner = from.id
 			}
@@ -394,7 +394,7 @@
 	next = func() {
 		w.truth[w.keys[k]].ask(w.now)
 		if n := pick(); !n.dead && n.pausedTo <= w.now {
-			w.step(n, limit.Ask{Call: uint64(k), Service: "s", Customer: w.keys[k].Customer})
+			w.step(n, limit.Acquire{Call: uint64(k), Service: "s", Customer: w.keys[k].Customer})
 		}
 		if t := w.now + gap(); t < until {
 			w.at(t, next)
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -36,14 +36,14 @@
 	}
 	life := c.d.set.Limits.LoanLife.Std()
 	cfg := limit.Config{
-		Self:      c.d.self,
-		Seats:     seats,
-		Total:     max(c.d.set.Limits.Total, len(seats)),
-		LoanLife:  life,
-		BatchLife: life * 2 / 5,
-		Interval:  life / 10,
-		SilentFor: life / 4,
-		MaxWait:   life / 5,
+		Self:           c.d.self,
+		Seats:          seats,
+		Total:          max(c.d.set.Limits.Total, len(seats)),
+		LoanTTL:        life,
+		BatchTTL:       life * 2 / 5,
+		ReportInterval: life / 10,
+		OwnerTimeout:   life / 4,
+		MaxWait:        life / 5,
 	}
 	return &limitsPart{c: c, m: limit.New(cfg, c.now), waiting: make(map[uint64]chan<- admission)}
 }
@@ -59,7 +59,7 @@
 		case limit.Admit:
 			p.answer(a.Call, admission{admitted: true})
 		case limit.Refuse:
-			p.c.d.metrics.CountReason(telemetry.LimitedTotal, string(a.Why))
+			p.c.d.metrics.CountReason(telemetry.LimitedTotal, string(a.Reason))
 			p.answer(a.Call, admission{retryAfter: secondsOf(a.RetryAfter)})
 		}
 	}
@@ -82,7 +82,7 @@
 func (p *limitsPart) ask(id state.ServiceID, customer state.CustomerID, answer chan<- admission) {
 	p.last++
 	p.waiting[p.last] = answer
-	p.step(limit.Ask{Call: p.last, Service: id, Customer: customer})
+	p.step(limit.Acquire{Call: p.last, Service: id, Customer: customer})
 }
 
 func (p *limitsPart) answer(call uint64, a admission) {
