--- a/coordination/membership/apply.go
+++ b/coordination/membership/apply.go
@@ -29,7 +29,7 @@
 	case c == 0:
 		m.gossip.toldBy(memberSubject(u.ID), teller)
 		if u.State == Suspect {
-			m.addAccuser(e, u.By)
+			m.addAccuser(e, u.Accuser)
 		}
 		return
 	}
@@ -64,7 +64,7 @@
 	m.table.add(e)
 	m.nearStale = true
 	e.since = m.now
-	m.act(Changed{Member: state.Member{ID: u.ID, Incarnation: u.Incarnation}, To: u.State, New: true})
+	m.act(MemberChanged{Member: state.Member{ID: u.ID, Incarnation: u.Incarnation}, To: u.State, New: true})
 	m.set(e, u)
 	if !m.joining {
 		m.gossip.tellUpdate(u, teller, m.now)
@@ -88,11 +88,11 @@
 	e.suspicion = suspicion{}
 	if u.State == Suspect {
 		e.suspicion.start = m.now
-		m.addAccuser(e, u.By)
+		m.addAccuser(e, u.Accuser)
 	}
 	if was.state != u.State || later {
 		e.since = m.now
-		m.act(Changed{Member: e.member(), From: was.state, To: u.State})
+		m.act(MemberChanged{Member: e.member(), From: was.state, To: u.State})
 	}
 	if was.state.live() != u.State.live() {
 		m.nearStale = true
@@ -114,7 +114,7 @@
 	}
 	m.self.rev = u.Revision + 1
 	m.health.worse()
-	m.act(Refuted{Held: u.State})
+	m.act(Refuted{Claimed: u.State})
 	m.membersChanged()
 	m.tellSelf()
 }
@@ -130,7 +130,7 @@
 func (m *Membership) accuse(self Update) {
 	if u, ok := m.accusation(self); ok {
 		e, _ := m.table.get(self.ID)
-		m.send(e, Gossip{Self: m.self.update(), Rumours: Rumours{Updates: []Update{u}}})
+		m.send(e, Gossip{Self: m.self.update(), Payload: GossipPayload{Updates: []Update{u}}})
 	}
 }
 
--- a/coordination/membership/config.go
+++ b/coordination/membership/config.go
@@ -15,7 +15,7 @@
 	// ProbeDeadline is when an unanswered probe fails, counted from its start; 1 s.
 	ProbeDeadline time.Duration `json:"probe_deadline"`
 	// Helpers is how many neighbours probe on behalf of another; 3.
-	Helpers int `json:"helpers"`
+	IndirectProbes int `json:"helpers"`
 
 	// SuspicionMax is how long a suspect may refute if one daemon accuses it; 4 s.
 	SuspicionMax time.Duration `json:"suspicion_max"`
@@ -41,20 +41,20 @@
 	// or an address of the instance list; 2 s.
 	ReconnectInterval time.Duration `json:"reconnect_interval"`
 	// DeadKeep is how long a dead member is remembered and contacted; 10 min.
-	DeadKeep time.Duration `json:"dead_keep"`
+	DeadRetention time.Duration `json:"dead_keep"`
 
 	// PauseLimit is the lateness of a tick from which the daemon holds itself
 	// for paused; 2 s.
-	PauseLimit time.Duration `json:"pause_limit"`
+	PauseThreshold time.Duration `json:"pause_limit"`
 
 	// BackendFactKeep is how long a fact on a backend server holds; 60 s, which
 	// has to exceed the lag of the instance list.
-	BackendFactKeep time.Duration `json:"backend_fact_keep"`
+	BackendFactTTL time.Duration `json:"backend_fact_keep"`
 	// DocumentFactKeep is how long a fact on a document version is kept; 30 s.
-	DocumentFactKeep time.Duration `json:"document_fact_keep"`
+	DocumentFactTTL time.Duration `json:"document_fact_keep"`
 	// NoticeKeep is how long a notice is passed on; 15 s, longer than any of them
 	// counts.
-	NoticeKeep time.Duration `json:"notice_keep"`
+	NoticeTTL time.Duration `json:"notice_keep"`
 
 	// Rings fixes the number of neighbour rings; 0 takes ceil(log2(n+1)).
 	Rings int `json:"rings"`
@@ -79,12 +79,12 @@
 	orDuration(&c.GossipInterval, 100*time.Millisecond)
 	orDuration(&c.ExchangeInterval, 15*time.Second)
 	orDuration(&c.ReconnectInterval, 2*time.Second)
-	orDuration(&c.DeadKeep, 10*time.Minute)
-	orDuration(&c.PauseLimit, 2*time.Second)
-	orDuration(&c.BackendFactKeep, time.Minute)
-	orDuration(&c.DocumentFactKeep, 30*time.Second)
-	orDuration(&c.NoticeKeep, 15*time.Second)
-	orInt(&c.Helpers, defaultHelpers)
+	orDuration(&c.DeadRetention, 10*time.Minute)
+	orDuration(&c.PauseThreshold, 2*time.Second)
+	orDuration(&c.BackendFactTTL, time.Minute)
+	orDuration(&c.DocumentFactTTL, 30*time.Second)
+	orDuration(&c.NoticeTTL, 15*time.Second)
+	orInt(&c.IndirectProbes, defaultHelpers)
 	orInt(&c.Fanout, defaultFanout)
 	orInt(&c.GossipBytes, defaultGossipBytes)
 	orInt(&c.GossipRate, defaultGossipRate)
--- a/coordination/membership/event.go
+++ b/coordination/membership/event.go
@@ -89,7 +89,7 @@
 type ViewChanged struct{}
 
 // Changed says what became of one member, for the log.
-type Changed struct {
+type MemberChanged struct {
 	Member   state.Member
 	From, To State
 	New      bool // first seen; From is then meaningless
@@ -108,12 +108,12 @@
 
 // Refuted says that others suspected this daemon or held it for dead.
 type Refuted struct {
-	Held State
+	Claimed State
 }
 
 // Late says that this daemon was paused and started over.
-type Late struct {
-	By time.Duration
+type PauseDetected struct {
+	Delay time.Duration
 }
 
 // Superseded says that a later life of this daemon's ID is around. This process
@@ -124,9 +124,9 @@
 
 func (Send) membershipAction()          {}
 func (ViewChanged) membershipAction()   {}
-func (Changed) membershipAction()       {}
+func (MemberChanged) membershipAction() {}
 func (FactLearned) membershipAction()   {}
 func (DigestChanged) membershipAction() {}
 func (Refuted) membershipAction()       {}
-func (Late) membershipAction()          {}
+func (PauseDetected) membershipAction() {}
 func (Superseded) membershipAction()    {}
--- a/coordination/membership/exchange.go
+++ b/coordination/membership/exchange.go
@@ -46,8 +46,8 @@
 	return m.hash
 }
 
-func (m *Membership) compare() Compare {
-	return Compare{Self: m.self.full(), Hashes: m.hashes(), Facts: m.facts.hash(m.now)}
+func (m *Membership) compare() ExchangeRequest {
+	return ExchangeRequest{Self: m.self.full(), BucketHashes: m.hashes(), FactsHash: m.facts.hash(m.now)}
 }
 
 // ask has a peer send the records that differ, because it told of a member that is
@@ -64,22 +64,22 @@
 	m.act(s)
 }
 
-func (m *Membership) onCompare(from state.DaemonID, msg Compare) {
+func (m *Membership) onCompare(from state.DaemonID, msg ExchangeRequest) {
 	e, ok := m.table.get(from)
-	if !ok || len(msg.Hashes) != buckets {
+	if !ok || len(msg.BucketHashes) != buckets {
 		return
 	}
-	reply := Records{Self: m.self.full()}
+	reply := ExchangeRecords{Self: m.self.full()}
 	for i, h := range m.hashes() {
-		if h != msg.Hashes[i] {
+		if h != msg.BucketHashes[i] {
 			reply.Buckets = append(reply.Buckets, uint8(i))
 		}
 	}
-	reply.Want = len(reply.Buckets) > 0
+	reply.WantRecords = len(reply.Buckets) > 0
 	reply.Updates = m.records(reply.Buckets)
-	if msg.Facts != m.facts.hash(m.now) {
+	if msg.FactsHash != m.facts.hash(m.now) {
 		reply.Facts = m.facts.all(m.now)
-		reply.FactsDiffer = true
+		reply.WantFacts = true
 	}
 	if u, ok := m.accusation(msg.Self); ok {
 		reply.Updates = append(reply.Updates, u)
@@ -98,7 +98,7 @@
 	return out
 }
 
-func (m *Membership) onRecords(from state.DaemonID, msg Records) {
+func (m *Membership) onRecords(from state.DaemonID, msg ExchangeRecords) {
 	// A daemon that knew nobody but the sender has news for nobody: passing the
 	// whole fleet's records on would cost each of its neighbours as much again.
 	m.joining = m.table.live() <= 2
@@ -110,15 +110,15 @@
 		m.applyFact(f, from)
 	}
 	e, ok := m.table.get(from)
-	if !ok || !msg.Want && !msg.FactsDiffer {
+	if !ok || !msg.WantRecords && !msg.WantFacts {
 		m.accuse(msg.Self)
 		return
 	}
-	reply := Records{Self: m.self.full()}
-	if msg.Want {
+	reply := ExchangeRecords{Self: m.self.full()}
+	if msg.WantRecords {
 		reply.Updates = m.records(msg.Buckets)
 	}
-	if msg.FactsDiffer {
+	if msg.WantFacts {
 		reply.Facts = m.facts.all(m.now)
 	}
 	m.send(e, reply)
@@ -204,7 +204,7 @@
 		m.changed = true
 	}
 	for _, e := range slices.Clone(m.table.sorted) {
-		if !e.state.live() && m.now.Sub(e.since) >= m.cfg.DeadKeep {
+		if !e.state.live() && m.now.Sub(e.since) >= m.cfg.DeadRetention {
 			m.table.remove(e.id)
 			m.gossip.drop(memberSubject(e.id))
 			m.membersChanged()
--- a/coordination/membership/facts.go
+++ b/coordination/membership/facts.go
@@ -144,11 +144,11 @@
 func (m *Membership) keep(k FactKind) time.Duration {
 	switch k {
 	case DocumentVersion:
-		return m.cfg.DocumentFactKeep
+		return m.cfg.DocumentFactTTL
 	case Notice:
-		return m.cfg.NoticeKeep
+		return m.cfg.NoticeTTL
 	default:
-		return m.cfg.BackendFactKeep
+		return m.cfg.BackendFactTTL
 	}
 }
 
@@ -174,7 +174,7 @@
 func (m *Membership) reportBackend(id state.BackendID, kind FactKind) {
 	f := Fact{Kind: kind, Subject: string(id), Version: uint64(m.now.UnixMilli()), Reporter: m.self.member()}
 	if h, ok := m.facts.byID[f.subject()]; ok {
-		if h.fact.Kind == kind && m.now.Sub(h.observed) < m.cfg.BackendFactKeep/2 {
+		if h.fact.Kind == kind && m.now.Sub(h.observed) < m.cfg.BackendFactTTL/2 {
 			return
 		}
 		f.Version = max(f.Version, h.fact.Version+1)
--- a/coordination/membership/failure_test.go
+++ b/coordination/membership/failure_test.go
@@ -30,7 +30,7 @@
 		AddReportEntry("virtual time", took.String())
 	}
 	isolated := func(n *node) bool {
-		return n.m.View().Reach.Isolated(f.now, 3*time.Second, 0.5)
+		return n.m.View().Connectivity.Isolated(f.now, 3*time.Second, 0.5)
 	}
 
 	// A new daemon is told by the instance list, which lags, of five daemons that
@@ -127,7 +127,7 @@
 		Expect(replaced()).To(BeTrue())
 		f.step(old, membership.Received{
 			From: f.nodes[0].self.Member,
-			Msg:  membership.Gossip{Self: update(f.nodes[0]), Rumours: membership.Rumours{Updates: []membership.Update{update(f.nodes[9])}}},
+			Msg:  membership.Gossip{Self: update(f.nodes[0]), Payload: membership.GossipPayload{Updates: []membership.Update{update(f.nodes[9])}}},
 		})
 		Expect(old.actions).To(ContainElement(membership.Superseded{By: 2}))
 	})
@@ -148,7 +148,7 @@
 			died := 0
 			for _, d := range f.nodes {
 				for _, a := range d.actions {
-					if c, ok := a.(membership.Changed); ok && c.To == membership.Dead && side(c.Member.ID) == side(d.id) {
+					if c, ok := a.(membership.MemberChanged); ok && c.To == membership.Dead && side(c.Member.ID) == side(d.id) {
 						died++
 					}
 				}
@@ -241,16 +241,16 @@
 		f.start(5, 30*time.Second)
 		f.clear()
 		u := update(f.nodes[2])
-		u.State, u.By = membership.Suspect, "entry-1"
+		u.State, u.Accuser = membership.Suspect, "entry-1"
 		f.step(f.nodes[0], membership.Received{From: f.nodes[1].self.Member, Msg: membership.Gossip{
-			Self: update(f.nodes[1]), Rumours: membership.Rumours{Updates: []membership.Update{u}},
+			Self: update(f.nodes[1]), Payload: membership.GossipPayload{Updates: []membership.Update{u}},
 		}})
 		f.nodes[3].dead = true
 		f.pause(f.nodes[4], 10*time.Second)
 		within(time.Second, func() bool { return f.tally().refuted == 1 })
 		f.run(20 * time.Second)
 		Expect(f.nodes[0].actions).NotTo(ContainElement(
-			membership.Changed{Member: f.nodes[2].self.Member, From: membership.Suspect, To: membership.Dead}))
+			membership.MemberChanged{Member: f.nodes[2].self.Member, From: membership.Suspect, To: membership.Dead}))
 	})
 
 	// A daemon stands still for thirty seconds (a paused virtual machine). The
@@ -263,9 +263,9 @@
 		// Half of what it watches is under suspicion when the pause begins.
 		for _, n := range f.nodes[10:25] {
 			u := update(n)
-			u.State, u.By = membership.Suspect, "entry-9"
+			u.State, u.Accuser = membership.Suspect, "entry-9"
 			f.step(asleep, membership.Received{From: f.nodes[9].self.Member, Msg: membership.Gossip{
-				Self: update(f.nodes[9]), Rumours: membership.Rumours{Updates: []membership.Update{u}},
+				Self: update(f.nodes[9]), Payload: membership.GossipPayload{Updates: []membership.Update{u}},
 			}})
 		}
 		f.pause(asleep, 30*time.Second)
@@ -295,11 +295,11 @@
 func updatesTold(msg membership.Message) int {
 	switch msg := msg.(type) {
 	case membership.Ping:
-		return len(msg.Rumours.Updates)
+		return len(msg.Payload.Updates)
 	case membership.Ack:
-		return len(msg.Rumours.Updates)
+		return len(msg.Payload.Updates)
 	case membership.Gossip:
-		return len(msg.Rumours.Updates)
+		return len(msg.Payload.Updates)
 	}
 	return 0
 }
--- a/coordination/membership/fleet_test.go
+++ b/coordination/membership/fleet_test.go
@@ -79,8 +79,8 @@
 	peer.Register[membership.PingRequest](r, firstKind+2)
 	peer.Register[membership.PingResult](r, firstKind+3)
 	peer.Register[membership.Gossip](r, firstKind+4)
-	peer.Register[membership.Compare](r, firstKind+5)
-	peer.Register[membership.Records](r, firstKind+6)
+	peer.Register[membership.ExchangeRequest](r, firstKind+5)
+	peer.Register[membership.ExchangeRecords](r, firstKind+6)
 	return &fleet{
 		now: epoch, rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, codec: r,
 		at: make(map[string]*node),
@@ -131,7 +131,7 @@
 		seeds = append(seeds, n.self.Meta.PeerAddress)
 	}
 	for _, n := range f.nodes {
-		f.step(n, membership.SetDigest{Digest: membership.Digest{Documents: f.rng.Uint64(), Load: 500}})
+		f.step(n, membership.SetDigest{Digest: membership.Digest{DocumentsHash: f.rng.Uint64(), LoadPermille: 500}})
 		f.step(n, membership.Seeds{Addresses: seeds})
 	}
 	f.run(settle)
@@ -301,7 +301,7 @@
 	for _, n := range f.nodes {
 		for _, a := range n.actions {
 			switch a := a.(type) {
-			case membership.Changed:
+			case membership.MemberChanged:
 				if a.To == membership.Suspect {
 					t.suspected++
 				}
@@ -310,7 +310,7 @@
 				}
 			case membership.Refuted:
 				t.refuted++
-			case membership.Late:
+			case membership.PauseDetected:
 				t.late++
 			}
 		}
--- a/coordination/membership/gossip.go
+++ b/coordination/membership/gossip.go
@@ -74,7 +74,7 @@
 		// The older rumour introduces the member, and still has to.
 		u.Meta = old.update.Meta
 	}
-	size := updateSize + len(u.ID) + len(u.By)
+	size := updateSize + len(u.ID) + len(u.Accuser)
 	if u.Meta != nil {
 		size += metaSize + len(u.Meta.PeerAddress) + len(u.Meta.CallerAddress) +
 			len(u.Meta.Domain) + len(u.Meta.Region)
@@ -139,7 +139,7 @@
 		}
 		e := near[(i+m.gossipStart(len(near)))%len(near)]
 		if rs := m.piggyback(e); len(rs.Updates)+len(rs.Facts) > 0 {
-			m.send(e, Gossip{Self: m.self.update(), Rumours: rs})
+			m.send(e, Gossip{Self: m.self.update(), Payload: rs})
 			sent++
 		}
 	}
@@ -173,9 +173,9 @@
 // piggyback takes what e is to be told next, within the bytes of one message and
 // the byte rate: facts first, since someone waits for them, then what was told
 // least often.
-func (m *Membership) piggyback(e *entry) Rumours {
+func (m *Membership) piggyback(e *entry) GossipPayload {
 	g := &m.gossip
-	out := Rumours{Members: m.membersHash()}
+	out := GossipPayload{MembersHash: m.membersHash()}
 	if len(g.queue) == 0 || !m.isNear(e) {
 		return out
 	}
@@ -234,7 +234,7 @@
 }
 
 // learn takes in what a peer passes on.
-func (m *Membership) learn(teller state.DaemonID, rs Rumours) {
+func (m *Membership) learn(teller state.DaemonID, rs GossipPayload) {
 	for _, u := range rs.Updates {
 		m.apply(u, teller, fromRumour)
 	}
--- a/coordination/membership/health.go
+++ b/coordination/membership/health.go
@@ -48,10 +48,10 @@
 		return
 	}
 	late := m.now.Sub(m.wake)
-	if late < m.cfg.PauseLimit {
+	if late < m.cfg.PauseThreshold {
 		return
 	}
-	m.act(Late{By: late})
+	m.act(PauseDetected{Delay: late})
 	m.probes.drop()
 	m.probes.next = m.now
 	for _, e := range m.table.sorted {
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -138,7 +138,7 @@
 	}
 	m.hear(self)
 	m.learn(from.ID, rumours)
-	m.sameMembers(from.ID, rumours.Members)
+	m.sameMembers(from.ID, rumours.MembersHash)
 	switch msg := msg.(type) {
 	case Ping:
 		m.onPing(from.ID, msg)
@@ -148,9 +148,9 @@
 		m.onPingRequest(from.ID, msg)
 	case PingResult:
 		m.onPingResult(msg)
-	case Compare:
+	case ExchangeRequest:
 		m.onCompare(from.ID, msg)
-	case Records:
+	case ExchangeRecords:
 		m.onRecords(from.ID, msg)
 	case Gossip:
 		m.accuse(self)
@@ -158,24 +158,24 @@
 }
 
 // header gives what every message carries.
-func header(msg Message) (Update, Rumours) {
+func header(msg Message) (Update, GossipPayload) {
 	switch msg := msg.(type) {
 	case Ping:
-		return msg.Self, msg.Rumours
+		return msg.Self, msg.Payload
 	case Ack:
-		return msg.Self, msg.Rumours
+		return msg.Self, msg.Payload
 	case PingRequest:
-		return msg.Self, Rumours{}
+		return msg.Self, GossipPayload{}
 	case PingResult:
-		return msg.Self, Rumours{}
+		return msg.Self, GossipPayload{}
 	case Gossip:
-		return msg.Self, msg.Rumours
-	case Compare:
-		return msg.Self, Rumours{}
-	case Records:
-		return msg.Self, Rumours{}
+		return msg.Self, msg.Payload
+	case ExchangeRequest:
+		return msg.Self, GossipPayload{}
+	case ExchangeRecords:
+		return msg.Self, GossipPayload{}
 	}
-	return Update{}, Rumours{}
+	return Update{}, GossipPayload{}
 }
 
 // hear takes in what the sender of a message says of itself.
@@ -204,7 +204,7 @@
 	m.self.since = m.now
 	m.membersChanged()
 	msg := Gossip{Self: m.self.update()}
-	msg.Rumours.Updates = []Update{m.self.update()}
+	msg.Payload.Updates = []Update{m.self.update()}
 	for _, e := range m.neighbours() {
 		m.send(e, msg)
 	}
--- a/coordination/membership/message.go
+++ b/coordination/membership/message.go
@@ -49,7 +49,7 @@
 	Revision    uint32 // raised only by the daemon itself: to refute, drain or leave
 	State       State
 	Draining    bool
-	By          state.DaemonID // who accuses; set for Suspect only
+	Accuser     state.DaemonID // who accuses; set for Suspect only
 	Meta        *Meta          // nil where the receiver is expected to know it
 }
 
@@ -102,24 +102,24 @@
 type Digest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
-	Documents uint64 // hash of the document versions in force
-	Load      uint16 // thousandths of its own capacity in use
-	Opaque    []byte // anything else, a few dozen bytes
+	DocumentsHash uint64 // hash of the document versions in force
+	LoadPermille  uint16 // thousandths of its own capacity in use
+	Opaque        []byte // anything else, a few dozen bytes
 }
 
 // equal reports whether d and e say the same.
 func (d Digest) equal(e Digest) bool {
-	return d.Documents == e.Documents && d.Load == e.Load && string(d.Opaque) == string(e.Opaque)
+	return d.DocumentsHash == e.DocumentsHash && d.LoadPermille == e.LoadPermille && string(d.Opaque) == string(e.Opaque)
 }
 
 // Rumours are updates and facts on their way through the fleet.
-type Rumours struct {
+type GossipPayload struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Updates []Update
 	Facts   []Fact
 	// Members is a hash of the live members that the sender knows, with their revisions.
-	Members uint64
+	MembersHash uint64
 }
 
 // Message is one message between daemons: Ping, Ack, PingRequest, PingResult,
@@ -136,7 +136,7 @@
 	Self    Update // the sender's newest word on itself
 	Target  state.DaemonID
 	Digest  Digest
-	Rumours Rumours
+	Payload GossipPayload
 }
 
 // Ack answers the Ping with the same Seq.
@@ -146,7 +146,7 @@
 	Seq     uint32
 	Self    Update
 	Digest  Digest
-	Rumours Rumours
+	Payload GossipPayload
 }
 
 // PingRequest asks a helper to ping Target and to say what came of it.
@@ -175,22 +175,22 @@
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Self    Update
-	Rumours Rumours
+	Payload GossipPayload
 }
 
 // Compare begins an exchange of state, and introduces a daemon to one that may not
 // know it: Self has Meta. Hashes has one hash a bucket of live members.
-type Compare struct {
+type ExchangeRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
-	Self   Update
-	Hashes []uint64
-	Facts  uint64 // hash of the facts held
+	Self         Update
+	BucketHashes []uint64
+	FactsHash    uint64 // hash of the facts held
 }
 
 // Records answers Compare with all that is known in the buckets that differ. With
 // Want the receiver answers with its own records of the same buckets.
-type Records struct {
+type ExchangeRecords struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Self    Update
@@ -198,14 +198,14 @@
 	Updates []Update
 	Facts   []Fact
 	// FactsDiffer asks the receiver for its facts as well.
-	FactsDiffer bool
-	Want        bool
+	WantFacts   bool
+	WantRecords bool
 }
 
-func (Ping) membershipMessage()        {}
-func (Ack) membershipMessage()         {}
-func (PingRequest) membershipMessage() {}
-func (PingResult) membershipMessage()  {}
-func (Gossip) membershipMessage()      {}
-func (Compare) membershipMessage()     {}
-func (Records) membershipMessage()     {}
+func (Ping) membershipMessage()            {}
+func (Ack) membershipMessage()             {}
+func (PingRequest) membershipMessage()     {}
+func (PingResult) membershipMessage()      {}
+func (Gossip) membershipMessage()          {}
+func (ExchangeRequest) membershipMessage() {}
+func (ExchangeRecords) membershipMessage() {}
--- a/coordination/membership/probe.go
+++ b/coordination/membership/probe.go
@@ -107,10 +107,10 @@
 func (m *Membership) ping(e *entry, seq uint32) {
 	msg := Ping{
 		Seq: seq, Self: m.self.update(), Target: e.id,
-		Digest: m.self.digest, Rumours: m.piggyback(e),
+		Digest: m.self.digest, Payload: m.piggyback(e),
 	}
 	if e.state != Alive {
-		msg.Rumours.Updates = append(msg.Rumours.Updates, e.update())
+		msg.Payload.Updates = append(msg.Payload.Updates, e.update())
 	}
 	m.send(e, msg)
 }
@@ -154,7 +154,7 @@
 	m.rng.Shuffle(len(candidates), func(i, j int) {
 		candidates[i], candidates[j] = candidates[j], candidates[i]
 	})
-	for _, e := range spreadDomains(candidates, m.self.meta.Domain, m.cfg.Helpers) {
+	for _, e := range spreadDomains(candidates, m.self.meta.Domain, m.cfg.IndirectProbes) {
 		m.send(e, PingRequest{
 			Seq: p.seq, Self: m.self.update(),
 			Target: p.target.id, Address: p.target.meta.PeerAddress,
@@ -187,10 +187,10 @@
 	}
 	ack := Ack{
 		Seq: msg.Seq, Self: m.self.update(),
-		Digest: m.self.digest, Rumours: m.piggyback(e),
+		Digest: m.self.digest, Payload: m.piggyback(e),
 	}
 	if u, ok := m.accusation(msg.Self); ok {
-		ack.Rumours.Updates = append(ack.Rumours.Updates, u)
+		ack.Payload.Updates = append(ack.Payload.Updates, u)
 	}
 	m.send(e, ack)
 }
--- a/coordination/membership/property_test.go
+++ b/coordination/membership/property_test.go
@@ -120,7 +120,7 @@
 		well := f.nodes[:n-2]
 		f.onStep = func(d *node, as []membership.Action) {
 			for _, a := range as {
-				c, ok := a.(membership.Changed)
+				c, ok := a.(membership.MemberChanged)
 				for _, w := range well {
 					if ok && c.To == membership.Dead && c.Member.ID == w.id {
 						t.Fatalf("%s holds %s for dead", d.id, w.id)
@@ -135,11 +135,11 @@
 				at, by, of := well[who.Draw(t, "at")], well[who.Draw(t, "by")], well[who.Draw(t, "of")]
 				i, _ := of.m.View().Lookup(of.id)
 				u := membership.Update{
-					ID: of.id, Incarnation: i.Member.Incarnation, State: membership.Suspect, By: by.id,
+					ID: of.id, Incarnation: i.Member.Incarnation, State: membership.Suspect, Accuser: by.id,
 					Revision: uint32(rapid.IntRange(0, 3).Draw(t, "revision")),
 				}
 				f.step(at, membership.Received{From: by.self.Member, Msg: membership.Gossip{
-					Self: update(by), Rumours: membership.Rumours{Updates: []membership.Update{u}},
+					Self: update(by), Payload: membership.GossipPayload{Updates: []membership.Update{u}},
 				}})
 			},
 			"pause": func(t *rapid.T) { f.pause(f.nodes[n-1], time.Duration(rapid.IntRange(1, 40).Draw(t, "s"))*time.Second) },
--- a/coordination/membership/suspicion.go
+++ b/coordination/membership/suspicion.go
@@ -21,7 +21,7 @@
 // suspect accuses e on this daemon's own account.
 func (m *Membership) suspect(e *entry) {
 	u := e.update()
-	u.By = m.self.id
+	u.Accuser = m.self.id
 	switch e.state {
 	case Alive:
 		u.State = Suspect
@@ -33,7 +33,7 @@
 		return
 	}
 	// The suspect itself hears it first: it has the most to say.
-	m.send(e, Gossip{Self: m.self.update(), Rumours: Rumours{Updates: []Update{u}}})
+	m.send(e, Gossip{Self: m.self.update(), Payload: GossipPayload{Updates: []Update{u}}})
 }
 
 // addAccuser notes a further accuser and passes the accusation on, up to the
@@ -46,7 +46,7 @@
 	s.accusers = append(s.accusers, by)
 	if len(s.accusers) > 1 {
 		u := e.update()
-		u.By = by
+		u.Accuser = by
 		m.gossip.tellUpdate(u, by, m.now)
 	}
 }
--- a/coordination/membership/view.go
+++ b/coordination/membership/view.go
@@ -32,10 +32,10 @@
 }
 
 // Reach is how much of the fleet this daemon is in contact with.
-type Reach struct {
+type Connectivity struct {
 	// Answered is when the last probe that was answered went out: the last time
 	// for which contact in both directions is proved. Zero if there was none.
-	Answered time.Time
+	LastAcked time.Time
 	// Live of Known members are held alive, this daemon included. Known also has
 	// those held dead since less than Config.DeadKeep, who may be alive beyond a
 	// break, and the listed addresses at which nobody is known; not those that
@@ -47,29 +47,29 @@
 
 // InTouch is the time up to which this daemon can vouch for its view: now if it
 // knows of nobody else.
-func (r Reach) InTouch(now time.Time) time.Time {
+func (r Connectivity) ConfirmedUntil(now time.Time) time.Time {
 	if r.Known <= 1 {
 		return now
 	}
-	return r.Answered
+	return r.LastAcked
 }
 
 // Isolated reports whether contact is unproved for longer than silence, or less
 // than share of the known daemons is held alive.
-func (r Reach) Isolated(now time.Time, silence time.Duration, share float64) bool {
+func (r Connectivity) Isolated(now time.Time, silence time.Duration, share float64) bool {
 	if r.Known <= 1 {
 		return false
 	}
-	return now.Sub(r.Answered) > silence || float64(r.Live) < share*float64(r.Known)
+	return now.Sub(r.LastAcked) > silence || float64(r.Live) < share*float64(r.Known)
 }
 
 // View is an immutable snapshot. It may be read by any goroutine; nobody may
 // change what it holds.
 type View struct {
-	Self     Info
-	Members  []Info // by ID, this daemon included, dead and left ones too
-	Backends map[state.BackendID]BackendFact
-	Reach    Reach
+	Self         Info
+	Members      []Info // by ID, this daemon included, dead and left ones too
+	Backends     map[state.BackendID]BackendFact
+	Connectivity Connectivity
 }
 
 // Lookup finds a member by ID.
@@ -85,10 +85,10 @@
 // View gives the present snapshot.
 func (m *Membership) View() *View {
 	reach := m.reach()
-	if m.view != nil && m.view.Reach == reach {
+	if m.view != nil && m.view.Connectivity == reach {
 		return m.view
 	}
-	v := &View{Reach: reach, Self: m.self.info()}
+	v := &View{Connectivity: reach, Self: m.self.info()}
 	if m.view != nil {
 		v.Members, v.Backends = m.view.Members, m.view.Backends
 	} else {
@@ -124,8 +124,8 @@
 	return out
 }
 
-func (m *Membership) reach() Reach {
-	r := Reach{Answered: m.health.answered, Known: len(m.strangers())}
+func (m *Membership) reach() Connectivity {
+	r := Connectivity{LastAcked: m.health.answered, Known: len(m.strangers())}
 	domains := make(map[state.FailureDomain]bool)
 	for _, e := range m.table.sorted {
 		if e.state == Left {
--- a/daemon/addresses.go
+++ b/daemon/addresses.go
@@ -34,7 +34,7 @@
 	candidates := lo.FilterMap(view.Members, func(i membership.Info, _ int) (address.Candidate, bool) {
 		return candidateOf(i), i.Live()
 	})
-	a := p.book.Resolve(p.c.now, view.Reach.InTouch(p.c.now), address.Query{
+	a := p.book.Resolve(p.c.now, view.Connectivity.ConfirmedUntil(p.c.now), address.Query{
 		Customer: q.Customer, Caller: q.Caller, Domain: q.Domain,
 	}, candidates)
 	return caller.AddressAnswer{
@@ -51,7 +51,7 @@
 		Region:   i.Meta.Region,
 		Draining: i.Draining,
 		Suspect:  i.State == membership.Suspect,
-		Load:     float64(i.Digest.Load) / loadUnit,
+		Load:     float64(i.Digest.LoadPermille) / loadUnit,
 	}
 }
 
--- a/daemon/documents.go
+++ b/daemon/documents.go
@@ -78,7 +78,7 @@
 	p.c.d.metrics.Add(telemetry.DocumentsAppliedTotal, 1)
 	p.c.d.metrics.SetService(telemetry.DocumentVersion, doc.Service, float64(doc.Version))
 	p.c.d.log.Emit(telemetry.EventDocumentApplied, telemetry.Service(doc.Service), telemetry.Version(doc.Version))
-	p.c.members.step(membership.SetDigest{Digest: membership.Digest{Documents: p.m.Digest().Hash}})
+	p.c.members.step(membership.SetDigest{Digest: membership.Digest{DocumentsHash: p.m.Digest().Hash}})
 	p.c.slots.home(home.DocumentChanged{Document: &v.Document})
 	p.c.controllers.documentChanged(was, v)
 	p.c.slots.documentChanged(v)
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -90,23 +90,23 @@
 	case membership.ViewChanged:
 		p.view = p.m.View()
 		p.c.later(p.viewChanged)
-	case membership.Changed:
+	case membership.MemberChanged:
 		p.logChange(a)
 	case membership.DigestChanged:
-		p.c.documents.step(documents.Received{From: a.From, Msg: documents.Digest{Hash: a.Digest.Documents}})
+		p.c.documents.step(documents.Received{From: a.From, Msg: documents.Digest{Hash: a.Digest.DocumentsHash}})
 	case membership.FactLearned:
 		p.c.backends.learned(a.Fact)
 	case membership.Refuted:
 		log.Emit(telemetry.EventSelfSuspected)
-	case membership.Late:
-		log.Emit(telemetry.EventSelfSuspected, telemetry.Took(a.By), telemetry.Detail("this daemon was paused"))
+	case membership.PauseDetected:
+		log.Emit(telemetry.EventSelfSuspected, telemetry.Took(a.Delay), telemetry.Detail("this daemon was paused"))
 	case membership.Superseded:
 		log.Emit(telemetry.EventIncarnationSuperseded, telemetry.Incarnation(a.By))
 		go p.c.d.Kill()
 	}
 }
 
-func (p *membersPart) logChange(a membership.Changed) {
+func (p *membersPart) logChange(a membership.MemberChanged) {
 	event := telemetry.EventMemberRefuted
 	switch {
 	case a.New && a.To == membership.Alive:
@@ -183,5 +183,5 @@
 	others := lo.FilterMap(p.live(), func(i membership.Info, _ int) (state.Member, bool) {
 		return i.Member, i.Member.ID != p.self.Member.ID
 	})
-	p.c.documents.step(documents.Members{Live: others, Known: p.view.Reach.Known})
+	p.c.documents.step(documents.Members{Live: others, Known: p.view.Connectivity.Known})
 }
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -207,11 +207,11 @@
 		_ = g.node.Send(a.Address, a.Msg) // a lost message is a missed probe
 	case membership.ViewChanged:
 		p.viewStale = true
-	case membership.Changed:
+	case membership.MemberChanged:
 		g.log.Emit(memberEvent(a), telemetry.Peer(a.Member.ID), telemetry.Incarnation(a.Member.Incarnation))
 	case membership.FactLearned:
 		g.learned(p.c.now, a.Fact)
-	case membership.Refuted, membership.Late:
+	case membership.Refuted, membership.PauseDetected:
 		g.log.Emit(telemetry.EventSelfSuspected)
 	case membership.Superseded:
 		g.log.Emit(telemetry.EventIncarnationSuperseded, telemetry.Incarnation(a.By))
@@ -241,7 +241,7 @@
 }
 
 // memberEvent is the log event of a member's change.
-func memberEvent(a membership.Changed) telemetry.Event {
+func memberEvent(a membership.MemberChanged) telemetry.Event {
 	switch {
 	case a.New && a.To == membership.Alive:
 		return telemetry.EventMemberJoined
--- a/protocol/peer/membership.go
+++ b/protocol/peer/membership.go
@@ -9,6 +9,6 @@
 	Register[membership.PingRequest](r, first+2)
 	Register[membership.PingResult](r, first+3)
 	Register[membership.Gossip](r, first+4)
-	Register[membership.Compare](r, first+5)
-	Register[membership.Records](r, first+6)
+	Register[membership.ExchangeRequest](r, first+5)
+	Register[membership.ExchangeRecords](r, first+6)
 }
