--- a/coordination/pathing/choose.go
+++ b/coordination/pathing/choose.go
@@ -10,7 +10,7 @@
 // Choose returns the cheapest path, or false where some layer is held by no card that may
 // be used. states has one entry a card of the roster. Cards that are suspects are used only
 // where suspects is set.
-func (r *Roster) Choose(req Request, states []State, suspects bool) (fleet.Path, bool) {
+func (r *Roster) Choose(req Request, states []ServerState, suspects bool) (fleet.Path, bool) {
 	w := r.newWays(&req)
 	last, lastCost := -1, math.Inf(1)
 	for i := range r.groups {
@@ -95,11 +95,11 @@
 }
 
 // best finds the cheapest cards of a group; false where none may be used.
-func (w *ways) best(g *group, states []State, suspects bool) (choice, bool) {
+func (w *ways) best(g *group, states []ServerState, suspects bool) (choice, bool) {
 	out := choice{later: w.later[:0], first: -1, firstCost: math.Inf(1)}
 	for _, i := range g.cards {
 		st := &states[i]
-		if st.Barred || st.Suspect && !suspects {
+		if st.Excluded || st.Suspect && !suspects {
 			continue
 		}
 		c := &w.r.cards[i]
@@ -127,16 +127,16 @@
 }
 
 // first is what a card costs more as the first hop; false where it may not be that.
-func (w *ways) first(c *Card, st *State) (float64, bool) {
+func (w *ways) first(c *Candidate, st *ServerState) (float64, bool) {
 	s := c.Server
-	if st.NotFirst || s.Layers.From != 0 || w.req.First != nil && !w.req.First[s.Address] {
+	if st.NotFirstHop || s.Layers.From != 0 || w.req.FirstHops != nil && !w.req.FirstHops[s.Address] {
 		return 0, false
 	}
 	extra := 0.0
 	if s.Domain != w.req.Domain {
 		extra += farMS
 	}
-	if s.Slots > 0 && st.Load.First >= float64(s.Slots) {
+	if s.Slots > 0 && st.Load.FirstHopRequests >= float64(s.Slots) {
 		extra += fullMS
 	}
 	return extra, true
--- a/coordination/pathing/cost.go
+++ b/coordination/pathing/cost.go
@@ -50,7 +50,7 @@
 func (p price) of(layers int) float64 { return p.fixed + float64(layers)*p.each }
 
 // priceOf is what a card costs in a state.
-func priceOf(c *Card, st *State, e *fleet.Engine, r *Request) price {
+func priceOf(c *Candidate, st *ServerState, e *fleet.Engine, r *Request) price {
 	return price{fixed: fixed(c, st, r), each: layer(c, st, e, r)}
 }
 
@@ -59,25 +59,25 @@
 // itself and them up. All of it is in the configuration, so that cards are used as their
 // kind reads and steps; a fixed cost a request would leave fast cards at the load of slow
 // ones, and a card that reads slowly as good as one that reads fast.
-func layer(c *Card, st *State, e *fleet.Engine, r *Request) float64 {
+func layer(c *Candidate, st *ServerState, e *fleet.Engine, r *Request) float64 {
 	streams := loadWeight * st.Load.Tokens / streamTokens
 	seq := max(e.SeqMS, leastSeqShare*e.StepMS)
 	step := e.StepMS + 2*(seq*streams+e.ContextMS*st.Load.Tokens/1000)
 	ms := c.Kind.Pace * step
 	if e.ReadPerS > 0 {
-		read := c.Kind.ReadPace * float64(r.Prompt) / e.ReadPerS * 1000
-		ms += read * (1 + streams) / r.Answer()
+		read := c.Kind.ReadPace * float64(r.PromptTokens) / e.ReadPerS * 1000
+		ms += read * (1 + streams) / r.ExpectedOutput()
 	}
 	return ms / float64(e.Layers)
 }
 
 // fixed is what one use of a card costs beside its layers.
-func fixed(c *Card, st *State, r *Request) float64 {
-	ms := hopMS + delayWeight*st.Delay
-	if c.Room <= 0 {
+func fixed(c *Candidate, st *ServerState, r *Request) float64 {
+	ms := hopMS + delayWeight*st.DelayMS
+	if c.KVCapacity <= 0 {
 		return ms
 	}
-	used := (st.Load.Tokens + r.Held()) / float64(c.Room)
+	used := (st.Load.Tokens + r.ExpectedTokens()) / float64(c.KVCapacity)
 	switch {
 	case used >= 1:
 		ms += fullMS
@@ -98,9 +98,9 @@
 
 // crossing returns what a hop from one domain to another costs.
 func crossing(e *fleet.Engine, r *Request, from, to state.FailureDomain) float64 {
-	ms := hopMS + crossWeight*TransferMS(e, r.Prompt)
-	if r.Backlog != nil {
-		ms += r.Backlog(from, to)
+	ms := hopMS + crossWeight*TransferMS(e, r.PromptTokens)
+	if r.LinkBacklog != nil {
+		ms += r.LinkBacklog(from, to)
 	}
 	return ms
 }
--- a/coordination/pathing/estimate.go
+++ b/coordination/pathing/estimate.go
@@ -22,14 +22,14 @@
 // 35 ms a token at 69 daemons and 34 at 195, 29 if each knew all, and 260 at 195 where a
 // stream stands for all daemons. With the domain's daemons alone a deployment of six daemons
 // is worth .45 to .58 on days of losses beside slow cards, and .62 to .68 with this.
-func (r *Roster) Estimate(states []State, d Daemons) {
-	home := slices.Index(r.domains, d.Here)
-	use := r.useByKind(states, home, float64(d.Near))
+func (r *Roster) Estimate(states []ServerState, d DaemonCounts) {
+	home := slices.Index(r.domains, d.Domain)
+	use := r.useByKind(states, home, float64(d.InDomain))
 	for i := range states {
-		p, load, room := &r.places[i], &states[i].Load, float64(r.cards[i].Room)
+		p, load, room := &r.places[i], &states[i].Load, float64(r.cards[i].KVCapacity)
 		n := d.standsFor(room)
 		load.Tokens *= n
-		load.First *= n
+		load.FirstHopRequests *= n
 		if p.domain != home {
 			load.Tokens += d.unseen(n) * use[p.kind] * room
 		}
@@ -37,10 +37,10 @@
 }
 
 // Daemons are those that share a service's engines with the one that asks.
-type Daemons struct {
-	Here state.FailureDomain // of the one that asks
-	Near int                 // daemons in its domain, itself included; at least 1
-	All  int                 // of all domains; at least Near
+type DaemonCounts struct {
+	Domain   state.FailureDomain // of the one that asks
+	InDomain int                 // daemons in its domain, itself included; at least 1
+	Total    int                 // of all domains; at least Near
 }
 
 // mostStands is the largest share of a card's room for which one stream is to stand, unless
@@ -48,22 +48,22 @@
 const mostStands = 0.25
 
 // standsFor is for how many daemons a stream of one's own on a card of some room stands.
-func (d Daemons) standsFor(room float64) float64 {
+func (d DaemonCounts) standsFor(room float64) float64 {
 	most := mostStands * room / streamTokens
-	return max(float64(d.Near), min(float64(d.All), most))
+	return max(float64(d.InDomain), min(float64(d.Total), most))
 }
 
 // unseen is which part of the use of another domain's cards a daemon does not see, where a
 // stream stands for n daemons.
-func (d Daemons) unseen(n float64) float64 {
-	if d.All <= d.Near {
+func (d DaemonCounts) unseen(n float64) float64 {
+	if d.Total <= d.InDomain {
 		return 1
 	}
-	return (float64(d.All) - n) / float64(d.All-d.Near)
+	return (float64(d.Total) - n) / float64(d.Total-d.InDomain)
 }
 
 // useByKind is the mean share of their rooms that the cards of each kind in a domain use.
-func (r *Roster) useByKind(states []State, home int, near float64) []float64 {
+func (r *Roster) useByKind(states []ServerState, home int, near float64) []float64 {
 	held := make([]float64, len(r.kinds)) // tokens times layers
 	room := make([]float64, len(r.kinds))
 	for i := range states {
@@ -72,7 +72,7 @@
 			continue
 		}
 		held[p.kind] += states[i].Load.Tokens * p.layers
-		room[p.kind] += float64(r.cards[i].Room) * p.layers
+		room[p.kind] += float64(r.cards[i].KVCapacity) * p.layers
 	}
 	use := make([]float64, len(r.kinds))
 	for k := range use {
--- a/coordination/pathing/estimate_test.go
+++ b/coordination/pathing/estimate_test.go
@@ -53,16 +53,16 @@
 	roster  *Roster
 	daemons int
 	domains []state.FailureDomain
-	own     [][]State // of each daemon
-	all     []State   // of all together
+	own     [][]ServerState // of each daemon
+	all     []ServerState   // of all together
 	rng     *rand.Rand
 }
 
 func newSiteLoad(daemons int) *siteLoad {
 	l := &siteLoad{roster: NewRoster(mixed, mixedSite()), daemons: daemons, domains: []state.FailureDomain{"a", "b", "c"}, rng: rand.New(rand.NewPCG(1, 2))}
-	l.all = make([]State, l.roster.Len())
+	l.all = make([]ServerState, l.roster.Len())
 	for range daemons {
-		l.own = append(l.own, make([]State, l.roster.Len()))
+		l.own = append(l.own, make([]ServerState, l.roster.Len()))
 	}
 	return l
 }
@@ -77,11 +77,11 @@
 // add counts a stream, or takes it off.
 func (l *siteLoad) add(s sent, by float64) {
 	for k, h := range s.path {
-		i, _ := l.roster.At(h.Address)
-		for _, st := range []*State{&l.own[s.daemon][i], &l.all[i]} {
+		i, _ := l.roster.IndexAt(h.Address)
+		for _, st := range []*ServerState{&l.own[s.daemon][i], &l.all[i]} {
 			st.Load.Tokens += by * s.held
 			if k == 0 {
-				st.Load.First += by
+				st.Load.FirstHopRequests += by
 			}
 		}
 	}
@@ -100,12 +100,12 @@
 			under = under[:len(under)-1]
 		}
 		d := l.rng.IntN(l.daemons)
-		req := Request{Domain: l.domains[d%len(l.domains)], Prompt: 400 + l.rng.IntN(700), Longest: 300 + l.rng.IntN(600)}
-		states := append([]State(nil), l.own[d]...)
+		req := Request{Domain: l.domains[d%len(l.domains)], PromptTokens: 400 + l.rng.IntN(700), MaxTokens: 300 + l.rng.IntN(600)}
+		states := append([]ServerState(nil), l.own[d]...)
 		if known {
 			copy(states, l.all)
 		} else {
-			l.roster.Estimate(states, Daemons{Here: req.Domain, Near: l.daemons / len(l.domains), All: l.daemons})
+			l.roster.Estimate(states, DaemonCounts{Domain: req.Domain, InDomain: l.daemons / len(l.domains), Total: l.daemons})
 		}
 		path, ok := l.roster.Choose(req, states, false)
 		if !ok {
@@ -115,7 +115,7 @@
 			total += costOf(l.roster, req, l.all, path)
 			n++
 		}
-		s := sent{daemon: d, path: path, held: req.Held()}
+		s := sent{daemon: d, path: path, held: req.ExpectedTokens()}
 		l.add(s, 1)
 		under = append(under, s)
 	}
--- a/coordination/pathing/pathing.go
+++ b/coordination/pathing/pathing.go
@@ -6,39 +6,39 @@
 )
 
 // Card is one backend server that holds layers.
-type Card struct {
-	Server *fleet.Server
-	Kind   fleet.CardKind
-	Room   int // tokens that it can hold beside its weights
+type Candidate struct {
+	Server     *fleet.Server
+	Kind       fleet.CardKind
+	KVCapacity int // tokens that it can hold beside its weights
 }
 
 // State is what speaks for and against a card at one moment.
-type State struct {
-	Load    Load
-	Delay   float64 // its part of what answers took to begin of late, in ms
-	Barred  bool    // it may not be used
-	Suspect bool    // it is better not used
+type ServerState struct {
+	Load     Load
+	DelayMS  float64 // its part of what answers took to begin of late, in ms
+	Excluded bool    // it may not be used
+	Suspect  bool    // it is better not used
 	// NotFirst: no request may be sent to it. Others may pass it on.
-	NotFirst bool
+	NotFirstHop bool
 }
 
 // Load is what runs on a server.
 type Load struct {
-	Requests float64 // as any hop
-	First    float64 // as the first hop, each of which takes a slot
-	Tokens   float64 // held for them
+	Requests         float64 // as any hop
+	FirstHopRequests float64 // as the first hop, each of which takes a slot
+	Tokens           float64 // held for them
 }
 
 // Request is what a path is wanted for.
 type Request struct {
-	Domain  state.FailureDomain // of the daemon that sends it
-	Prompt  int                 // tokens
-	Longest int                 // tokens of the longest answer
+	Domain       state.FailureDomain // of the daemon that sends it
+	PromptTokens int                 // tokens
+	MaxTokens    int                 // tokens of the longest answer
 	// First are the addresses that a path may begin with; nil for any.
-	First map[string]bool
+	FirstHops map[string]bool
 	// Backlog is how many ms of transfers wait for the link between two domains;
 	// nil for none.
-	Backlog func(a, b state.FailureDomain) float64
+	LinkBacklog func(a, b state.FailureDomain) float64
 }
 
 // answerShare is the usual answer's part of the longest one that a caller allows. Were rooms
@@ -47,7 +47,7 @@
 const answerShare = 0.4
 
 // Answer is how many tokens the answer is likely to have, at least 1.
-func (r *Request) Answer() float64 { return max(answerShare*float64(r.Longest), 1) }
+func (r *Request) ExpectedOutput() float64 { return max(answerShare*float64(r.MaxTokens), 1) }
 
 // Held is how many tokens the request is likely to hold at its end.
-func (r *Request) Held() float64 { return float64(r.Prompt) + r.Answer() }
+func (r *Request) ExpectedTokens() float64 { return float64(r.PromptTokens) + r.ExpectedOutput() }
--- a/coordination/pathing/pathing_test.go
+++ b/coordination/pathing/pathing_test.go
@@ -22,7 +22,7 @@
 // card is a server with its state.
 type card struct {
 	fleet.Server
-	pathing.State
+	pathing.ServerState
 }
 
 // holding is a server with layers from to to in a domain.
@@ -39,10 +39,10 @@
 		servers[i] = cards[i].Server
 	}
 	roster := pathing.NewRoster(engine, servers)
-	states := make([]pathing.State, roster.Len())
+	states := make([]pathing.ServerState, roster.Len())
 	for i := range cards {
-		if at, ok := roster.At(cards[i].Address); ok {
-			states[at] = cards[i].State
+		if at, ok := roster.IndexAt(cards[i].Address); ok {
+			states[at] = cards[i].ServerState
 		}
 	}
 	return roster.Choose(r, states, false)
@@ -57,7 +57,7 @@
 }
 
 var _ = Describe("Choose", func() {
-	request := pathing.Request{Domain: "a", Prompt: 700, Longest: 500}
+	request := pathing.Request{Domain: "a", PromptTokens: 700, MaxTokens: 500}
 
 	It("uses a part of a range where ranges overlap", func() {
 		path, ok := choose([]card{holding("x", "a", 0, 8), holding("y", "a", 4, 12)}, request)
@@ -78,7 +78,7 @@
 			holding("a1", "a", 0, 6), holding("a2", "a", 6, 12),
 			holding("b1", "b", 0, 6), holding("b2", "b", 6, 12),
 		}
-		cards[1].Barred = true
+		cards[1].Excluded = true
 		path, ok := choose(cards, request)
 		Expect(ok).To(BeTrue())
 		Expect(addresses(path)).To(Equal([]string{"b1=0-6", "b2=6-12"}))
@@ -127,7 +127,7 @@
 				covered[l] = true
 			}
 		}
-		path, ok := choose(cards, pathing.Request{Domain: "a", Prompt: 700, Longest: 500})
+		path, ok := choose(cards, pathing.Request{Domain: "a", PromptTokens: 700, MaxTokens: 500})
 		for _, c := range covered {
 			if !c && ok {
 				t.Fatalf("a path over a layer that nobody holds: %v", addresses(path))
--- a/coordination/pathing/reference_test.go
+++ b/coordination/pathing/reference_test.go
@@ -19,7 +19,7 @@
 }
 
 // hopCost is what a card costs as the hop after a card of another domain, or of its own.
-func hopCost(r *Roster, req *Request, i int, st *State, layers int, before *state.FailureDomain) float64 {
+func hopCost(r *Roster, req *Request, i int, st *ServerState, layers int, before *state.FailureDomain) float64 {
 	c := &r.cards[i]
 	ms := priceOf(c, st, r.engine, req).of(layers)
 	if before != nil && *before != c.Server.Domain {
@@ -29,7 +29,7 @@
 }
 
 // firstCost is what a card costs more as the first hop.
-func firstCost(r *Roster, req *Request, i int, st *State) float64 {
+func firstCost(r *Roster, req *Request, i int, st *ServerState) float64 {
 	w := ways{r: r, req: req}
 	ms, ok := w.first(&r.cards[i], st)
 	if !ok {
@@ -40,7 +40,7 @@
 
 // cheapest is the cost of the cheapest path, found by comparing each card with each other
 // one, layer by layer.
-func cheapest(r *Roster, req Request, states []State, suspects bool) float64 {
+func cheapest(r *Roster, req Request, states []ServerState, suspects bool) float64 {
 	cost := make([]float64, r.Len()) // of the cheapest way that ends with a card
 	for i := range cost {
 		cost[i] = math.Inf(1)
@@ -49,7 +49,7 @@
 	for to := 1; to <= r.engine.Layers; to++ {
 		for i := range r.cards {
 			s, st := r.cards[i].Server, &states[i]
-			if s.Layers.To != to || st.Barred || st.Suspect && !suspects {
+			if s.Layers.To != to || st.Excluded || st.Suspect && !suspects {
 				continue
 			}
 			cost[i] = firstCost(r, &req, i, st) + hopCost(r, &req, i, st, s.Layers.Len(), nil)
@@ -68,11 +68,11 @@
 }
 
 // costOf is what a path costs.
-func costOf(r *Roster, req Request, states []State, path fleet.Path) float64 {
+func costOf(r *Roster, req Request, states []ServerState, path fleet.Path) float64 {
 	total := 0.0
 	var before *state.FailureDomain
 	for k, h := range path {
-		i, _ := r.At(h.Address)
+		i, _ := r.IndexAt(h.Address)
 		if k == 0 {
 			total += firstCost(r, &req, i, &states[i])
 		}
@@ -83,9 +83,9 @@
 }
 
 // draw makes engines of several domains with any state.
-func draw(t *rapid.T, n int) (*Roster, []State) {
+func draw(t *rapid.T, n int) (*Roster, []ServerState) {
 	servers := make([]fleet.Server, n)
-	states := make([]State, n)
+	states := make([]ServerState, n)
 	for i := range n {
 		size := rapid.SampledFrom([]int{6, 9, 15}).Draw(t, "size")
 		from := rapid.SampledFrom([]int{0, 6, 12, 21, 30, 44, 50, 60, 65, 71, 74}).Draw(t, "from")
@@ -95,13 +95,13 @@
 			Domain: rapid.SampledFrom([]state.FailureDomain{"a", "b", "c"}).Draw(t, "domain"),
 			Layers: fleet.Range{From: from, To: min(from+size, big.Layers)},
 		}
-		states[i] = State{
+		states[i] = ServerState{
 			Load: Load{
-				Requests: rapid.Float64Range(0, 100).Draw(t, "requests"), First: rapid.Float64Range(0, 300).Draw(t, "first"),
+				Requests: rapid.Float64Range(0, 100).Draw(t, "requests"), FirstHopRequests: rapid.Float64Range(0, 300).Draw(t, "first"),
 				Tokens: rapid.Float64Range(0, 2e5).Draw(t, "tokens"),
 			},
-			Delay:  rapid.Float64Range(0, 100).Draw(t, "delay"),
-			Barred: rapid.IntRange(0, 9).Draw(t, "barred") == 0, Suspect: rapid.IntRange(0, 4).Draw(t, "suspect") == 0,
+			DelayMS:  rapid.Float64Range(0, 100).Draw(t, "delay"),
+			Excluded: rapid.IntRange(0, 9).Draw(t, "barred") == 0, Suspect: rapid.IntRange(0, 4).Draw(t, "suspect") == 0,
 		}
 	}
 	return NewRoster(big, servers), states
@@ -111,9 +111,9 @@
 func TestChooseFindsTheCheapestPath(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		roster, states := draw(t, rapid.IntRange(0, 60).Draw(t, "cards"))
-		r := Request{Domain: "a", Prompt: 700, Longest: 500, Backlog: func(x, y state.FailureDomain) float64 { return float64(len(x + y)) }}
+		r := Request{Domain: "a", PromptTokens: 700, MaxTokens: 500, LinkBacklog: func(x, y state.FailureDomain) float64 { return float64(len(x + y)) }}
 		if rapid.Bool().Draw(t, "begins at few") {
-			r.First = map[string]bool{"0": true, "1": true, "2": true}
+			r.FirstHops = map[string]bool{"0": true, "1": true, "2": true}
 		}
 		suspects := rapid.Bool().Draw(t, "suspects")
 		want := cheapest(roster, r, states, suspects)
@@ -153,13 +153,13 @@
 	for _, n := range []int{45, 100, 1000, 3000, 12000} {
 		b.Run(fmt.Sprintf("%d cards", n), func(b *testing.B) {
 			roster := NewRoster(big, benchServers(n))
-			states := make([]State, roster.Len())
+			states := make([]ServerState, roster.Len())
 			for i := range states {
 				states[i].Load.Requests = float64(i % 10)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, ok := roster.Choose(Request{Domain: "a", Prompt: 700, Longest: 500}, states, false); !ok {
+				if _, ok := roster.Choose(Request{Domain: "a", PromptTokens: 700, MaxTokens: 500}, states, false); !ok {
 					b.Fatal("no path")
 				}
 			}
--- a/coordination/pathing/roster.go
+++ b/coordination/pathing/roster.go
@@ -17,7 +17,7 @@
 // 0.07 ms (BenchmarkChoose of package gateway).
 type Roster struct {
 	engine  *fleet.Engine
-	cards   []Card
+	cards   []Candidate
 	groups  []group // those that end first first
 	domains []state.FailureDomain
 	kinds   []string
@@ -56,7 +56,7 @@
 			continue
 		}
 		kind := e.Kinds[s.Kind]
-		c := Card{Server: s, Kind: kind, Room: e.Room(kind, s.Layers.Len())}
+		c := Candidate{Server: s, Kind: kind, KVCapacity: e.Room(kind, s.Layers.Len())}
 		at := len(r.cards)
 		r.cards = append(r.cards, c)
 		r.byLife[s.Life()], r.byPlace[s.Address] = at, at
@@ -92,13 +92,13 @@
 func (r *Roster) Server(i int) *fleet.Server { return r.cards[i].Server }
 
 // OfLife is the card of a server's life, At the one at an address; false for none.
-func (r *Roster) OfLife(l state.Life) (int, bool) {
+func (r *Roster) IndexOf(l state.Life) (int, bool) {
 	i, ok := r.byLife[l]
 	return i, ok
 }
 
 // At is the card at an address; false for none.
-func (r *Roster) At(address string) (int, bool) {
+func (r *Roster) IndexAt(address string) (int, bool) {
 	i, ok := r.byPlace[address]
 	return i, ok
 }
--- a/gateway/book.go
+++ b/gateway/book.go
@@ -28,7 +28,7 @@
 	waits    map[state.ServiceID]*waits
 	crashes  *crashes.Tracker
 	permits  *permits.Permits
-	states   []pathing.State // of the roster's cards in a choice; kept for the next one
+	states   []pathing.ServerState // of the roster's cards in a choice; kept for the next one
 }
 
 func newBook(set Settings) *book {
@@ -74,7 +74,7 @@
 		b.loads[server] = l
 	}
 	l.Requests += requests
-	l.First += first
+	l.FirstHopRequests += first
 	l.Tokens += tokens
 	if l.Requests <= 0 {
 		delete(b.loads, server)
--- a/gateway/choice.go
+++ b/gateway/choice.go
@@ -20,9 +20,9 @@
 	roster := prepared()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r.Backlog = func(x, y state.FailureDomain) float64 { return b.pipes.backlog(now, x, y) }
+	r.LinkBacklog = func(x, y state.FailureDomain) float64 { return b.pipes.backlog(now, x, y) }
 	states := b.statesOf(roster)
-	roster.Estimate(states, pathing.Daemons{Here: r.Domain, Near: max(v.near, 1), All: max(v.live, 1)})
+	roster.Estimate(states, pathing.DaemonCounts{Domain: r.Domain, InDomain: max(v.near, 1), Total: max(v.live, 1)})
 	bar(roster, states, b.buried)
 	bar(roster, states, avoid)
 	suspects := b.suspect(now, roster, states)
@@ -38,18 +38,18 @@
 	if ok {
 		b.spendPermit(now, path[0].Server, permit)
 		// Requests are spread over the daemons at random: each stands for as many.
-		b.pipes.add(now, path, pathing.TransferMS(svc.Engine, r.Prompt)*float64(max(v.live, 1)))
-		b.count(path, r.Held(), 1)
+		b.pipes.add(now, path, pathing.TransferMS(svc.Engine, r.PromptTokens)*float64(max(v.live, 1)))
+		b.count(path, r.ExpectedTokens(), 1)
 	}
 	return path, ok
 }
 
 // passOver has no path begin at a server for which a request has no permit, nor at any such
 // once the request has wanted enough of them.
-func (b *book) passOver(now time.Time, roster *pathing.Roster, states []pathing.State, server state.Life, permit *permitRequest) {
+func (b *book) passOver(now time.Time, roster *pathing.Roster, states []pathing.ServerState, server state.Life, permit *permitRequest) {
 	not := func(server state.Life) {
-		if i, ok := roster.OfLife(server); ok {
-			states[i].NotFirst = true
+		if i, ok := roster.IndexOf(server); ok {
+			states[i].NotFirstHop = true
 		}
 	}
 	not(server)
@@ -60,7 +60,7 @@
 
 // cheapest is the cheapest path, over suspects where there is no other: a suspect is better than
 // nothing, a dead server is not.
-func cheapest(roster *pathing.Roster, r pathing.Request, states []pathing.State, suspects bool) (fleet.Path, bool) {
+func cheapest(roster *pathing.Roster, r pathing.Request, states []pathing.ServerState, suspects bool) (fleet.Path, bool) {
 	path, ok := roster.Choose(r, states, false)
 	if !ok && suspects {
 		path, ok = roster.Choose(r, states, true)
@@ -70,14 +70,14 @@
 
 // statesOf is the state of a roster's cards by this daemon's own requests. Few of thousands
 // of servers run any of them.
-func (b *book) statesOf(roster *pathing.Roster) []pathing.State {
+func (b *book) statesOf(roster *pathing.Roster) []pathing.ServerState {
 	if cap(b.states) < roster.Len() {
-		b.states = make([]pathing.State, roster.Len())
+		b.states = make([]pathing.ServerState, roster.Len())
 	}
 	states := b.states[:roster.Len()]
 	clear(states)
 	for life, load := range b.loads {
-		if i, ok := roster.OfLife(life); ok {
+		if i, ok := roster.IndexOf(life); ok {
 			states[i].Load = *load
 		}
 	}
@@ -85,31 +85,31 @@
 }
 
 // bar has the cards at some addresses not used.
-func bar(roster *pathing.Roster, states []pathing.State, addresses map[string]bool) {
+func bar(roster *pathing.Roster, states []pathing.ServerState, addresses map[string]bool) {
 	for address := range addresses {
-		if i, ok := roster.At(address); ok {
-			states[i].Barred = true
+		if i, ok := roster.IndexAt(address); ok {
+			states[i].Excluded = true
 		}
 	}
 }
 
 // suspect fills in what is believed of the cards. It returns whether any is better not used.
-func (b *book) suspect(now time.Time, roster *pathing.Roster, states []pathing.State) bool {
+func (b *book) suspect(now time.Time, roster *pathing.Roster, states []pathing.ServerState) bool {
 	found := false
 	b.suspects.Each(now, func(address string, avoided bool, delayMS float64) {
-		if i, ok := roster.At(address); ok {
-			states[i].Delay, states[i].Suspect = delayMS, avoided
+		if i, ok := roster.IndexAt(address); ok {
+			states[i].DelayMS, states[i].Suspect = delayMS, avoided
 			found = found || avoided
 		}
 	})
 	b.suspects.EachLeaving(now, func(server state.Life) {
-		if i, ok := roster.OfLife(server); ok {
+		if i, ok := roster.IndexOf(server); ok {
 			states[i].Suspect, found = true, true
 		}
 	})
 	b.suspects.EachOutdated(now, func(o suspect.Outdated) {
-		if i, ok := roster.OfLife(o.Server); ok && roster.Server(i).Layers == o.Layers {
-			states[i].Barred = true
+		if i, ok := roster.IndexOf(o.Server); ok && roster.Server(i).Layers == o.Layers {
+			states[i].Excluded = true
 		}
 	})
 	return found
--- a/gateway/control_bench_internal_test.go
+++ b/gateway/control_bench_internal_test.go
@@ -75,7 +75,7 @@
 			benchList(c, servers)
 			v, book := c.g.current.Load(), c.g.book
 			svc := v.config.Services["llm"]
-			want := pathing.Request{Domain: "a", Prompt: 760, Longest: 600}
+			want := pathing.Request{Domain: "a", PromptTokens: 760, MaxTokens: 600}
 			now := time.Now()
 			for range 60 {
 				path, ok := book.choose(now, v, &svc, want, nil, &permitRequest{})
@@ -87,7 +87,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				path, _ := book.choose(now, v, &svc, want, nil, &permitRequest{})
-				book.release(path, want.Held())
+				book.release(path, want.ExpectedTokens())
 			}
 		})
 	}
--- a/gateway/path.go
+++ b/gateway/path.go
@@ -15,9 +15,9 @@
 
 // attemptPath sends the request along a path of engines.
 func (r *run) attemptPath(ctx context.Context) (relay.End, Result) {
-	want := pathing.Request{Domain: r.g.set().Domain, Prompt: r.req.Prompt, Longest: r.req.Answer}
+	want := pathing.Request{Domain: r.g.set().Domain, PromptTokens: r.req.Prompt, MaxTokens: r.req.Answer}
 	if on, exhausted := r.relay.Exhausted(); exhausted {
-		want.First = on
+		want.FirstHops = on
 	}
 	var path fleet.Path
 	found := r.hold(ctx, func() (ok bool) {
@@ -30,7 +30,7 @@
 	if !found {
 		return r.noServer(admission.Uncovered)
 	}
-	defer r.g.book.release(path, want.Held())
+	defer r.g.book.release(path, want.ExpectedTokens())
 	if !path.Whole(r.service.Engine.Layers) {
 		panic("gateway: a path that does not run each layer once")
 	}
