--- a/coordination/permits/event.go
+++ b/coordination/permits/event.go
@@ -13,29 +13,29 @@
 }
 
 // View is who takes part.
-type View struct {
+type Membership struct {
 	Self state.DaemonID
 	// Daemons may own permits: they live and do not leave. Their order does not matter.
 	Daemons []state.DaemonID
 	// Part is the share of all daemons that this one is in contact with, from 0 to 1.
-	Part float64
+	Share float64
 }
 
 // Heard is what a server's answer says of its limit.
-type Heard struct {
+type LimitObserved struct {
 	Server state.Life
 	Limit  fleet.RateLimit
 	Sent   time.Time // when the request was sent
 }
 
 // Learned is what another daemon has told all.
-type Learned struct {
-	Told
+type LimitReceived struct {
+	LimitNotice
 	At time.Time // when that daemon did, by this daemon's clock
 }
 
 // Received is a message of another daemon.
-type Received struct {
+type MessageReceived struct {
 	From state.DaemonID
 	Msg  Message
 }
@@ -43,11 +43,11 @@
 // Tick lets timers run.
 type Tick struct{}
 
-func (View) permitsEvent()     {}
-func (Heard) permitsEvent()    {}
-func (Learned) permitsEvent()  {}
-func (Received) permitsEvent() {}
-func (Tick) permitsEvent()     {}
+func (Membership) permitsEvent()      {}
+func (LimitObserved) permitsEvent()   {}
+func (LimitReceived) permitsEvent()   {}
+func (MessageReceived) permitsEvent() {}
+func (Tick) permitsEvent()            {}
 
 // Action is what the caller of Step is to do.
 type Action interface {
@@ -61,15 +61,15 @@
 }
 
 // Tell has all live daemons learn a limit.
-type Tell struct {
-	Told
+type Broadcast struct {
+	LimitNotice
 }
 
 // Changed says that another limit of a server is known here than before.
-type Changed struct {
-	Told
+type LimitChanged struct {
+	LimitNotice
 }
 
-func (Send) permitsAction()    {}
-func (Tell) permitsAction()    {}
-func (Changed) permitsAction() {}
+func (Send) permitsAction()         {}
+func (Broadcast) permitsAction()    {}
+func (LimitChanged) permitsAction() {}
--- a/coordination/permits/failure_test.go
+++ b/coordination/permits/failure_test.go
@@ -147,11 +147,11 @@
 	// limit stands: they say nothing of what came after them.
 	It("is not ended by an answer from before it", Label("failure:answer-from-before"), func() {
 		p, now := permits.New(), epoch
-		p.Step(now, permits.View{Self: "d1", Daemons: []state.DaemonID{"d1"}, Part: 1})
-		p.Step(now, permits.Heard{Server: engine, Limit: fleet.RateLimit{Named: true, PerSecond: 1}, Sent: now.Add(-time.Second)})
-		p.Step(now.Add(time.Second), permits.Heard{Server: engine, Sent: now.Add(-time.Millisecond)})
+		p.Step(now, permits.Membership{Self: "d1", Daemons: []state.DaemonID{"d1"}, Share: 1})
+		p.Step(now, permits.LimitObserved{Server: engine, Limit: fleet.RateLimit{Named: true, PerSecond: 1}, Sent: now.Add(-time.Second)})
+		p.Step(now.Add(time.Second), permits.LimitObserved{Server: engine, Sent: now.Add(-time.Millisecond)})
 		Expect(p.Limited(engine)).To(BeTrue())
-		p.Step(now.Add(time.Second), permits.Heard{Server: engine, Sent: now.Add(time.Millisecond)})
+		p.Step(now.Add(time.Second), permits.LimitObserved{Server: engine, Sent: now.Add(time.Millisecond)})
 		Expect(p.Limited(engine)).To(BeFalse())
 	})
 
@@ -192,9 +192,9 @@
 	// spend none of those: what lapsed has been issued to others since.
 	It("is not kept back for later", func() {
 		p, now := permits.New(), epoch
-		p.Step(now, permits.View{Self: "d1", Daemons: []state.DaemonID{"d1", "d2"}, Part: 1})
-		known := permits.Known{Limit: fleet.RateLimit{Named: true, PerSecond: 100}}
-		p.Step(now, permits.Received{From: "d2", Msg: permits.Issue{Server: engine, Permits: 5, Known: known}})
+		p.Step(now, permits.Membership{Self: "d1", Daemons: []state.DaemonID{"d1", "d2"}, Share: 1})
+		known := permits.LimitReport{Limit: fleet.RateLimit{Named: true, PerSecond: 100}}
+		p.Step(now, permits.MessageReceived{From: "d2", Msg: permits.PermitGrant{Server: engine, Permits: 5, Known: known}})
 		Expect(p.Unavailable(now, engine)).To(BeFalse())
 		Expect(p.Unavailable(now.Add(time.Second), engine)).To(BeTrue())
 	})
--- a/coordination/permits/holder.go
+++ b/coordination/permits/holder.go
@@ -89,19 +89,19 @@
 }
 
 // take takes the answer of an owner.
-func (h *holder) take(now time.Time, m Issue, life time.Duration) {
+func (h *holder) take(now time.Time, m PermitGrant, life time.Duration) {
 	h.drop(now)
 	for range m.Permits {
 		h.lapse = append(h.lapse, now.Add(life))
 	}
 	slices.SortFunc(h.lapse, time.Time.Compare)
 	h.denied, h.answered = false, now
-	h.again = now.Add(m.Again)
-	h.first, h.each = now.Add(m.First), m.Each
+	h.again = now.Add(m.RetryAfter)
+	h.first, h.each = now.Add(m.NextIn), m.Interval
 }
 
 // EachUnavailable calls f with each server that no request is to be sent to now, for want of a permit.
-func (p *Permits) EachUnavailable(now time.Time, f func(server state.Life)) {
+func (p *Limiter) EachUnavailable(now time.Time, f func(server state.Life)) {
 	for life := range p.servers {
 		if p.Unavailable(now, life) {
 			f(life)
@@ -110,7 +110,7 @@
 }
 
 // Unavailable reports whether no request is to be sent to a server now, for want of a permit.
-func (p *Permits) Unavailable(now time.Time, life state.Life) bool {
+func (p *Limiter) Unavailable(now time.Time, life state.Life) bool {
 	s, ok := p.servers[life]
 	if !ok || !s.limit.Named {
 		return false
@@ -120,13 +120,13 @@
 }
 
 // Limited reports whether a server names a limit.
-func (p *Permits) Limited(life state.Life) bool {
+func (p *Limiter) Limited(life state.Life) bool {
 	s, ok := p.servers[life]
 	return ok && s.limit.Named
 }
 
 // LimitOf is the limit that a server is known to name.
-func (p *Permits) LimitOf(life state.Life) fleet.RateLimit {
+func (p *Limiter) LimitOf(life state.Life) fleet.RateLimit {
 	if s, ok := p.servers[life]; ok {
 		return s.limit
 	}
@@ -135,7 +135,7 @@
 
 // Take spends a permit for a request to a server; false where there is none. One that names no
 // limit needs none. ask is true where a Tick is to follow at once.
-func (p *Permits) Take(now time.Time, life state.Life) (ok, ask bool) {
+func (p *Limiter) Take(now time.Time, life state.Life) (ok, ask bool) {
 	if !p.Limited(life) {
 		return true, false
 	}
@@ -151,7 +151,7 @@
 
 // Want notes that a request would have been sent to a server and has no permit; again for one
 // of which that is known. It returns true where a Tick is to follow at once.
-func (p *Permits) Want(now time.Time, life state.Life, again bool) bool {
+func (p *Limiter) RecordDemand(now time.Time, life state.Life, again bool) bool {
 	if !p.Limited(life) {
 		return false
 	}
@@ -164,7 +164,7 @@
 
 // Join adds a request that waits for a permit of a server, and returns how many wait before
 // it; Leave takes it off.
-func (p *Permits) Join(life state.Life) int {
+func (p *Limiter) Enqueue(life state.Life) int {
 	s, ok := p.servers[life]
 	if !ok {
 		return 0
@@ -174,26 +174,26 @@
 }
 
 // Leave takes off a request that Join has added.
-func (p *Permits) Leave(life state.Life) {
+func (p *Limiter) Dequeue(life state.Life) {
 	if s, ok := p.servers[life]; ok && s.holder.waiting > 0 {
 		s.holder.waiting--
 	}
 }
 
 // Answered reports whether the owner of a server's permits has answered since a moment.
-func (p *Permits) Answered(life state.Life, since time.Time) bool {
+func (p *Limiter) AnsweredSince(life state.Life, since time.Time) bool {
 	s, ok := p.servers[life]
 	return ok && !s.holder.answered.Before(since)
 }
 
 // Expect is how long it is likely to take until this daemon gets the next permit of a server; 0
 // where its owner has not answered yet.
-func (p *Permits) Expect(now time.Time, life state.Life) time.Duration {
-	return p.ExpectAfter(now, life, 0)
+func (p *Limiter) ExpectedWait(now time.Time, life state.Life) time.Duration {
+	return p.ExpectedWaitBehind(now, life, 0)
 }
 
 // ExpectAfter is the same for a request before which some others wait.
-func (p *Permits) ExpectAfter(now time.Time, life state.Life, before int) time.Duration {
+func (p *Limiter) ExpectedWaitBehind(now time.Time, life state.Life, before int) time.Duration {
 	s, ok := p.servers[life]
 	if !ok || s.holder.first.IsZero() {
 		return 0
--- a/coordination/permits/permits.go
+++ b/coordination/permits/permits.go
@@ -22,8 +22,8 @@
 )
 
 // Permits is one daemon's part: the permits that it holds, and those that it issues.
-type Permits struct {
-	view    View
+type Limiter struct {
+	view    Membership
 	steady  time.Time // since when the same daemons take part
 	servers map[state.Life]*server
 	out     []Action
@@ -45,23 +45,23 @@
 }
 
 // New returns a daemon's part, which knows no limit.
-func New() *Permits {
-	return &Permits{servers: make(map[state.Life]*server)}
+func New() *Limiter {
+	return &Limiter{servers: make(map[state.Life]*server)}
 }
 
 // Step takes what happened and returns what is to be done.
-func (p *Permits) Step(now time.Time, ev Event) []Action {
+func (p *Limiter) Step(now time.Time, ev Event) []Action {
 	p.now, p.out = now, nil
 	switch ev := ev.(type) {
-	case View:
+	case Membership:
 		p.viewed(ev)
-	case Heard:
+	case LimitObserved:
 		p.heard(ev)
-	case Learned:
+	case LimitReceived:
 		if _, known := p.servers[ev.Server]; known || ev.Limit.Named {
 			p.learn(p.server(ev.Server), ev.Limit, ev.At)
 		}
-	case Received:
+	case MessageReceived:
 		p.received(ev.From, ev.Msg)
 	case Tick:
 		p.tick()
@@ -70,7 +70,7 @@
 }
 
 // NextTick is when a Tick is due; zero for not at all.
-func (p *Permits) NextTick(now time.Time) time.Time {
+func (p *Limiter) NextTick(now time.Time) time.Time {
 	var next time.Time
 	for _, s := range p.servers {
 		due := s.touched.Add(forgetAfter)
@@ -88,7 +88,7 @@
 }
 
 // viewed takes up who takes part.
-func (p *Permits) viewed(v View) {
+func (p *Limiter) viewed(v Membership) {
 	slices.Sort(v.Daemons)
 	if !slices.Equal(v.Daemons, p.view.Daemons) {
 		p.steady = p.now
@@ -104,7 +104,7 @@
 	}
 }
 
-func (p *Permits) ownerOf(life state.Life) state.DaemonID {
+func (p *Limiter) ownerOf(life state.Life) state.DaemonID {
 	owner, _ := rendezvous.Owner(life.String(), p.view.Daemons)
 	return owner
 }
@@ -113,7 +113,7 @@
 //
 // Guard (two-owners): the former owner goes on until it has learned of the change. Were permits
 // issued at once, a server would get twice its limit whenever daemons come and go.
-func (p *Permits) setOwner(s *server, owner state.DaemonID) {
+func (p *Limiter) setOwner(s *server, owner state.DaemonID) {
 	s.owner = owner
 	s.issuer = issuer{at: p.now}
 	if since := p.steady.Add(settle); p.now.Before(since) {
@@ -124,7 +124,7 @@
 }
 
 // server finds or begins what is known of a server.
-func (p *Permits) server(life state.Life) *server {
+func (p *Limiter) server(life state.Life) *server {
 	s, ok := p.servers[life]
 	if !ok {
 		s = &server{life: life}
@@ -140,7 +140,7 @@
 // Guard (answer-from-before): answers that were on their way when a server named its limit name
 // none. Taken for its end, daemons would drop the limit and take it up again for some seconds.
 // So the answer to a request says that there was none when that was sent.
-func (p *Permits) heard(h Heard) {
+func (p *Limiter) heard(h LimitObserved) {
 	if _, known := p.servers[h.Server]; !known && !h.Limit.Named {
 		return
 	}
@@ -155,12 +155,12 @@
 	if s.owner == p.view.Self {
 		p.tell(s)
 	} else if s.owner != "" {
-		p.act(Send{To: s.owner, Msg: Ask{Server: s.life, Known: p.known(s)}})
+		p.act(Send{To: s.owner, Msg: PermitRequest{Server: s.life, Known: p.known(s)}})
 	}
 }
 
 // learn takes up a limit unless what is known is newer. It returns true if it is another one.
-func (p *Permits) learn(s *server, limit fleet.RateLimit, at time.Time) bool {
+func (p *Limiter) learn(s *server, limit fleet.RateLimit, at time.Time) bool {
 	if !at.After(s.at) {
 		return false
 	}
@@ -173,16 +173,16 @@
 	if !limit.Named {
 		s.holder, s.issuer = holder{waiting: s.holder.waiting}, issuer{at: p.now}
 	}
-	p.act(Changed{Told{Server: s.life, Limit: limit}})
+	p.act(LimitChanged{LimitNotice{Server: s.life, Limit: limit}})
 	return true
 }
 
 // received takes a message.
-func (p *Permits) received(from state.DaemonID, msg Message) {
+func (p *Limiter) received(from state.DaemonID, msg Message) {
 	switch m := msg.(type) {
-	case Ask:
+	case PermitRequest:
 		p.asked(from, m)
-	case Issue:
+	case PermitGrant:
 		s := p.server(m.Server)
 		p.learn(s, m.Known.Limit, p.now.Add(-m.Known.Age))
 		if s.limit.Named {
@@ -192,22 +192,22 @@
 }
 
 // asked takes a question of a daemon, or of this one.
-func (p *Permits) asked(from state.DaemonID, a Ask) {
+func (p *Limiter) asked(from state.DaemonID, a PermitRequest) {
 	s := p.server(a.Server)
 	if p.learn(s, a.Known.Limit, p.now.Add(-a.Known.Age)) && s.owner == p.view.Self {
 		p.tell(s)
 	}
-	if a.Want == 0 {
+	if a.Count == 0 {
 		return
 	}
 	if s.owner != p.view.Self || !s.limit.Named {
 		// Its view differs, or the limit has ended: it learns what is known here.
-		p.give(from, Issue{Server: s.life, Known: p.known(s), Again: askLeast})
+		p.give(from, PermitGrant{Server: s.life, Known: p.known(s), RetryAfter: askLeast})
 		return
 	}
-	s.issuer.ask(p.now, from, a.Want, p.rate(s))
+	s.issuer.ask(p.now, from, a.Count, p.rate(s))
 	p.issue(s)
-	if !a.Later {
+	if !a.AcceptLater {
 		s.issuer.leave(from)
 	}
 	if !s.issuer.answered(from) {
@@ -216,25 +216,25 @@
 }
 
 // issue gives out the permits that are due.
-func (p *Permits) issue(s *server) {
+func (p *Limiter) issue(s *server) {
 	for _, g := range s.issuer.issue(p.now, p.rate(s)) {
 		p.give(g.to, p.issueTo(s, g.to, g.permits))
 	}
 }
 
 // issueTo is the answer to a daemon that gets some permits now.
-func (p *Permits) issueTo(s *server, to state.DaemonID, n int) Issue {
+func (p *Limiter) issueTo(s *server, to state.DaemonID, n int) PermitGrant {
 	rate := p.rate(s)
-	m := Issue{Server: s.life, Permits: n, Known: p.known(s)}
-	m.First, m.Each = s.issuer.outlook(p.now, to, rate)
+	m := PermitGrant{Server: s.life, Permits: n, Known: p.known(s)}
+	m.NextIn, m.Interval = s.issuer.outlook(p.now, to, rate)
 	if n == 0 || s.issuer.waits(to) {
-		m.Again = s.issuer.again(rate)
+		m.RetryAfter = s.issuer.again(rate)
 	}
 	return m
 }
 
 // give answers a daemon, which may be this one.
-func (p *Permits) give(to state.DaemonID, m Issue) {
+func (p *Limiter) give(to state.DaemonID, m PermitGrant) {
 	if to == p.view.Self {
 		p.received(to, m)
 		return
@@ -243,7 +243,7 @@
 }
 
 // tick runs what is due.
-func (p *Permits) tick() {
+func (p *Limiter) tick() {
 	for life, s := range p.servers {
 		if p.now.Sub(s.touched) >= forgetAfter {
 			delete(p.servers, life)
@@ -261,13 +261,13 @@
 }
 
 // askFor asks for the permits that this daemon's requests need, if any are due.
-func (p *Permits) askFor(s *server) {
+func (p *Limiter) askFor(s *server) {
 	if !s.holder.due || !s.limit.Named || s.owner == "" {
 		return
 	}
 	s.holder.due = false
 	s.holder.again = p.now.Add(askUnanswered)
-	ask := Ask{Server: s.life, Want: s.holder.wants(p.now, p.life(s)), Later: s.holder.waiting > 0, Known: p.known(s)}
+	ask := PermitRequest{Server: s.life, Count: s.holder.wants(p.now, p.life(s)), AcceptLater: s.holder.waiting > 0, Known: p.known(s)}
 	if s.owner == p.view.Self {
 		p.asked(p.view.Self, ask)
 		return
@@ -275,16 +275,16 @@
 	p.act(Send{To: s.owner, Msg: ask})
 }
 
-func (p *Permits) tell(s *server) {
+func (p *Limiter) tell(s *server) {
 	s.toldAt = p.now
-	p.act(Tell{Told{Server: s.life, Limit: s.limit}})
+	p.act(Broadcast{LimitNotice{Server: s.life, Limit: s.limit}})
 }
 
-func (p *Permits) known(s *server) Known {
-	return Known{Limit: s.limit, Age: p.now.Sub(s.at)}
+func (p *Limiter) known(s *server) LimitReport {
+	return LimitReport{Limit: s.limit, Age: p.now.Sub(s.at)}
 }
 
-func (p *Permits) act(a Action) { p.out = append(p.out, a) }
+func (p *Limiter) act(a Action) { p.out = append(p.out, a) }
 
 // leastRate is the requests a second that are sent to a server which takes none: nobody would
 // learn otherwise that it takes some again.
@@ -295,17 +295,17 @@
 // Guard (cut-in-parts): each side of a cut has an owner of its own, and would issue the whole
 // limit. A side has the part of the limit that it is of the daemons, as long as those on other
 // sides may be alive.
-func (p *Permits) rate(s *server) float64 {
-	return max(s.limit.PerSecond, leastRate) * p.view.Part
+func (p *Limiter) rate(s *server) float64 {
+	return max(s.limit.PerSecond, leastRate) * p.view.Share
 }
 
 // life is how long a permit can be spent.
-func (p *Permits) life(s *server) time.Duration {
+func (p *Limiter) life(s *server) time.Duration {
 	return permitLife(max(s.limit.PerSecond, leastRate))
 }
 
 // Owns reports whether this daemon issues a server's permits.
-func (p *Permits) Owns(life state.Life) bool {
+func (p *Limiter) Owns(life state.Life) bool {
 	s, ok := p.servers[life]
 	return ok && s.limit.Named && s.owner == p.view.Self
 }
--- a/coordination/permits/world_test.go
+++ b/coordination/permits/world_test.go
@@ -152,8 +152,8 @@
 		switch a := a.(type) {
 		case permits.Send:
 			w.send(nd, a)
-		case permits.Tell:
-			w.tell(nd, a.Told)
+		case permits.Broadcast:
+			w.tell(nd, a.LimitNotice)
 		}
 	}
 	w.setTimer(nd)
@@ -177,20 +177,20 @@
 			continue
 		}
 		w.in(w.delay(), func() {
-			w.on(to, func() { w.step(to, permits.Received{From: from.id, Msg: s.Msg}) })
+			w.on(to, func() { w.step(to, permits.MessageReceived{From: from.id, Msg: s.Msg}) })
 		})
 	}
 }
 
 // tell has all daemons of a side learn something, within a second.
-func (w *world) tell(from *node, t permits.Told) {
+func (w *world) tell(from *node, t permits.LimitNotice) {
 	at := w.now
 	for _, to := range w.nodes {
 		if to == from || to.side != from.side {
 			continue
 		}
 		w.in(time.Duration(w.rng.Float64()*float64(time.Second)), func() {
-			w.on(to, func() { w.step(to, permits.Learned{Told: t, At: at}) })
+			w.on(to, func() { w.step(to, permits.LimitReceived{LimitNotice: t, At: at}) })
 		})
 	}
 }
@@ -207,7 +207,7 @@
 			ids = append(ids, other.id)
 		}
 	}
-	v := permits.View{Self: nd.id, Daemons: ids, Part: float64(len(ids)) / float64(len(w.nodes))}
+	v := permits.Membership{Self: nd.id, Daemons: ids, Share: float64(len(ids)) / float64(len(w.nodes))}
 	w.on(nd, func() { w.step(nd, v) })
 }
 
@@ -256,7 +256,7 @@
 			if limit.Named && nd.told.IsZero() {
 				nd.told = w.now
 			}
-			w.step(nd, permits.Heard{Server: engine, Limit: limit, Sent: sent})
+			w.step(nd, permits.LimitObserved{Server: engine, Limit: limit, Sent: sent})
 		})
 	})
 }
@@ -298,14 +298,14 @@
 }
 
 // issued is the way of the package.
-type issued struct{ p *permits.Permits }
+type issued struct{ p *permits.Limiter }
 
 func newIssued() way { return &issued{p: permits.New()} }
 
 func (i *issued) send(now time.Time, again bool) bool {
 	ok, _ := i.p.Take(now, engine)
 	if !ok {
-		i.p.Want(now, engine, again)
+		i.p.RecordDemand(now, engine, again)
 	}
 	return ok
 }
@@ -341,15 +341,15 @@
 
 func (s *split) step(now time.Time, ev permits.Event) []permits.Action {
 	switch ev := ev.(type) {
-	case permits.View:
-		s.part, s.live = ev.Part, len(ev.Daemons)
-	case permits.Heard:
+	case permits.Membership:
+		s.part, s.live = ev.Share, len(ev.Daemons)
+	case permits.LimitObserved:
 		if ev.Limit == s.limit {
 			return nil
 		}
 		s.limit, s.level, s.at = ev.Limit, 0, now
-		return []permits.Action{permits.Tell{Told: permits.Told{Server: engine, Limit: ev.Limit}}}
-	case permits.Learned:
+		return []permits.Action{permits.Broadcast{LimitNotice: permits.LimitNotice{Server: engine, Limit: ev.Limit}}}
+	case permits.LimitReceived:
 		if ev.Limit != s.limit {
 			s.limit, s.level, s.at = ev.Limit, 0, now
 		}
--- a/gateway/book.go
+++ b/gateway/book.go
@@ -27,7 +27,7 @@
 	pipes    pipes
 	waits    map[state.ServiceID]*waits
 	crashes  *crashes.Tracker
-	permits  *permits.Permits
+	permits  *permits.Limiter
 	states   []pathing.ServerState // of the roster's cards in a choice; kept for the next one
 }
 
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -58,9 +58,9 @@
 	peer.Register[suspect.Leaving](r, kindLeaving)
 	peer.Register[rowsAsked](r, kindRowsAsked)
 	peer.Register[rowsGiven](r, kindRowsGiven)
-	peer.Register[permits.Ask](r, kindPermitsAsk)
-	peer.Register[permits.Issue](r, kindPermits)
-	peer.Register[permits.Told](r, kindLimitTold)
+	peer.Register[permits.PermitRequest](r, kindPermitsAsk)
+	peer.Register[permits.PermitGrant](r, kindPermits)
+	peer.Register[permits.LimitNotice](r, kindLimitTold)
 	return r
 }
 
@@ -262,7 +262,7 @@
 	case membership.Message:
 		g.control.post(func() { g.control.members.step(membership.Received{From: from, Msg: m}) })
 	case permits.Message:
-		g.control.post(func() { g.control.permits.step(permits.Received{From: from.ID, Msg: m}) })
+		g.control.post(func() { g.control.permits.step(permits.MessageReceived{From: from.ID, Msg: m}) })
 	case following.Announcement:
 		g.control.post(func() { g.control.heard(m) })
 	}
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -81,8 +81,8 @@
 		g.book.refused(at, m.Address)
 	case suspect.Leaving:
 		g.book.leaves(at, m)
-	case permits.Told:
-		g.control.permits.step(permits.Learned{Told: m, At: at})
+	case permits.LimitNotice:
+		g.control.permits.step(permits.LimitReceived{LimitNotice: m, At: at})
 	case crashes.Implication:
 		g.book.implicate(at, m.Fingerprint, m.Servers...)
 	}
--- a/gateway/permitrequest.go
+++ b/gateway/permitrequest.go
@@ -37,13 +37,13 @@
 
 // elsewhere reports whether a request passes a server over: the owner of its permits has
 // answered and gave none, or takes too long.
-func (q *permitRequest) elsewhere(now time.Time, server state.Life, p *permits.Permits) bool {
+func (q *permitRequest) elsewhere(now time.Time, server state.Life, p *permits.Limiter) bool {
 	i := q.index(server)
 	if i < 0 || q.waits() {
 		return true
 	}
 	since := q.wants[i].since
-	return now.Sub(since) >= askTimeout || p.Answered(server, since)
+	return now.Sub(since) >= askTimeout || p.AnsweredSince(server, since)
 }
 
 // waits reports whether the request waits for a permit.
@@ -77,7 +77,7 @@
 		}
 		q.wants = append(q.wants, want{server: server, since: now})
 	}
-	q.ask = b.permits.Want(now, server, again) || q.ask
+	q.ask = b.permits.RecordDemand(now, server, again) || q.ask
 	return true
 }
 
@@ -100,18 +100,18 @@
 	defer b.mu.Unlock()
 	now := time.Now()
 	least := slices.MinFunc(q.wants, func(x, y want) int {
-		return cmp.Compare(b.permits.Expect(now, x.server), b.permits.Expect(now, y.server))
+		return cmp.Compare(b.permits.ExpectedWait(now, x.server), b.permits.ExpectedWait(now, y.server))
 	})
 	q.joined = least.server
-	q.before = b.permits.Join(q.joined)
-	q.ask = b.permits.Want(now, q.joined, true) || q.ask
+	q.before = b.permits.Enqueue(q.joined)
+	q.ask = b.permits.RecordDemand(now, q.joined, true) || q.ask
 }
 
 // expectPermit is how long a request that waits takes to get a permit.
 func (b *book) expectPermit(q *permitRequest) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.permits.ExpectAfter(time.Now(), q.joined, q.before)
+	return b.permits.ExpectedWaitBehind(time.Now(), q.joined, q.before)
 }
 
 // leavePermits ends an attempt's wait for a permit.
@@ -121,7 +121,7 @@
 	}
 	g.book.mu.Lock()
 	defer g.book.mu.Unlock()
-	g.book.permits.Leave(q.joined)
+	g.book.permits.Dequeue(q.joined)
 }
 
 // permitTooLate reports whether a request that only servers with a limit can take won't get a
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -45,7 +45,7 @@
 		return
 	}
 	p.part, p.members = part, p.c.view.members
-	p.step(permits.View{Self: p.c.g.self.ID, Daemons: p.owners(), Part: part})
+	p.step(permits.Membership{Self: p.c.g.self.ID, Daemons: p.owners(), Share: part})
 }
 
 // owners are the daemons that may issue permits: those that do not leave, if there are any.
@@ -80,9 +80,9 @@
 			if address, ok := p.c.members.addressOf(a.To); ok {
 				_ = p.c.g.node.Send(address, a.Msg) // a lost question is asked again
 			}
-		case permits.Tell:
-			p.c.members.notify(a.Told)
-		case permits.Changed:
+		case permits.Broadcast:
+			p.c.members.notify(a.LimitNotice)
+		case permits.LimitChanged:
 			p.c.g.log.Emit(telemetry.EventBackendLimited, telemetry.Backend(a.Server.ID),
 				telemetry.Address(p.c.listing.servers[a.Server.ID].Address), telemetry.Detail(a.Limit.String()))
 		}
@@ -106,7 +106,7 @@
 	if a.LimitUnreadable || !a.Limit.Named && (!a.Signed || a.NotRun) {
 		return
 	}
-	actions, counts := g.book.heardLimit(permits.Heard{Server: server, Limit: a.Limit, Sent: sent})
+	actions, counts := g.book.heardLimit(permits.LimitObserved{Server: server, Limit: a.Limit, Sent: sent})
 	if counts {
 		g.metrics.CountReason(telemetry.GatewayLimitedTotal, limitedSent)
 	}
@@ -137,7 +137,7 @@
 }
 
 // heardLimit takes up what an answer says. It also returns whether the server names a limit.
-func (b *book) heardLimit(h permits.Heard) ([]permits.Action, bool) {
+func (b *book) heardLimit(h permits.LimitObserved) ([]permits.Action, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	actions := b.permits.Step(time.Now(), h)
