--- a/coordination/placement/improve.go
+++ b/coordination/placement/improve.go
@@ -11,7 +11,7 @@
 // Improve rebuilds at most moves chains whose bottleneck under in.Links is more
 // than ratio times what free servers and their own would give, the worst first.
 // All other chains stay. The bottlenecks of the result are those under in.Links.
-func Improve(old Layout, in Input, ratio float64, moves int) Layout {
+func Rebalance(old Layout, in Input, ratio float64, moves int) Layout {
 	s := newSite(in)
 	l := Layout{Missing: old.Missing}
 	used := make(map[state.BackendID]bool)
@@ -74,9 +74,9 @@
 // that flaps must not set off loads that outlast the fault and then again loads
 // back. Its zero value has not seen anything yet.
 type Hysteresis struct {
-	Ratio float64       // how many times worse the present layout must be
-	Hold  time.Duration // for how long without a break
-	Pause time.Duration // least time between two moves
+	Ratio       float64       // how many times worse the present layout must be
+	MinDuration time.Duration // for how long without a break
+	Cooldown    time.Duration // least time between two moves
 
 	since time.Time
 	last  time.Time
@@ -92,10 +92,10 @@
 	if h.since.IsZero() {
 		h.since = now
 	}
-	if now.Sub(h.since) < h.Hold {
+	if now.Sub(h.since) < h.MinDuration {
 		return false
 	}
-	if !h.last.IsZero() && now.Sub(h.last) < h.Pause {
+	if !h.last.IsZero() && now.Sub(h.last) < h.Cooldown {
 		return false
 	}
 	h.last = now
--- a/coordination/placement/layout.go
+++ b/coordination/placement/layout.go
@@ -34,13 +34,13 @@
 
 // Links gives the time to move one token's activation between two servers of the
 // given failure domains, in layer steps.
-type Links func(from, to state.FailureDomain) float64
+type LinkCost func(from, to state.FailureDomain) float64
 
 // Input is a site. Servers that are leaving or dead are not in it.
 type Input struct {
 	Services []Service
 	Servers  []Server
-	Links    Links
+	LinkCost LinkCost
 }
 
 // Stage is one server's part of a chain.
@@ -111,7 +111,7 @@
 
 // site is an Input indexed for the search, with the servers still free.
 type site struct {
-	links    Links
+	links    LinkCost
 	servers  map[state.BackendID]*Server
 	services map[state.ServiceID]*Service
 	order    []*Service
@@ -143,7 +143,7 @@
 
 func newSite(in Input) *site {
 	s := &site{
-		links:    in.Links,
+		links:    in.LinkCost,
 		servers:  make(map[state.BackendID]*Server, len(in.Servers)),
 		services: make(map[state.ServiceID]*Service, len(in.Services)),
 		kinds:    make(map[kindKey]Kind),
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -135,7 +135,7 @@
 
 // site makes an input: servers of five kinds spread over domains of regions.
 func site(servers, services, domains, regions, layers, replicas int) placement.Input {
-	in := placement.Input{Links: links}
+	in := placement.Input{LinkCost: links}
 	kinds := []placement.Kind{
 		{Name: "k0", Speed: 1, MemoryLayers: 40}, {Name: "k1", Speed: 0.8, MemoryLayers: 30},
 		{Name: "k2", Speed: 0.5, MemoryLayers: 24}, {Name: "k3", Speed: 0.3, MemoryLayers: 16},
@@ -301,7 +301,7 @@
 	// it set off would outlast it. Only what lasts is worth a move, and a move is
 	// not taken back as soon as the link is well.
 	It("does not chase a link that flaps", Label("failure:link-degrades"), func() {
-		h := placement.Hysteresis{Ratio: 1.5, Hold: 30 * time.Second, Pause: 10 * time.Minute}
+		h := placement.Hysteresis{Ratio: 1.5, MinDuration: 30 * time.Second, Cooldown: 10 * time.Minute}
 		now, moves := time.Unix(0, 0), 0
 		see := func(seconds int, current, best float64) {
 			for range seconds {
@@ -331,11 +331,11 @@
 		at := slices.IndexFunc(in.Servers, func(s placement.Server) bool { return s.ID == st[0].Backend })
 		st[0].Backend = spare(in, old, in.Servers[at].Kind, in.Servers[at].Domain)
 		old.Chains[0].Stages = st
-		in.Links = func(a, b state.FailureDomain) float64 {
+		in.LinkCost = func(a, b state.FailureDomain) float64 {
 			return lo.Ternary(a == b, 0.1, 500)
 		}
-		Expect(placement.Improve(old, in, 1e6, 10).LayersToLoad(old)).To(Equal(0), "below the ratio")
-		l := placement.Improve(old, in, 1.5, 10)
+		Expect(placement.Rebalance(old, in, 1e6, 10).LayersToLoad(old)).To(Equal(0), "below the ratio")
+		l := placement.Rebalance(old, in, 1.5, 10)
 		Expect(fault(l, in)).To(BeEmpty())
 		for _, c := range l.Chains {
 			Expect(c.Bottleneck).To(BeNumerically("<", 500))
--- a/coordination/placement/split.go
+++ b/coordination/placement/split.go
@@ -15,7 +15,7 @@
 // out of a stage depends on the next candidate only, so the optimum of a longer
 // chain is made of optima of shorter ones. With k candidates, n layers and m
 // layers of memory it costs k*k*n*m steps.
-func Split(layers int, kinds []Kind, servers []*Server, links Links) ([]Stage, float64) {
+func Split(layers int, kinds []Kind, servers []*Server, links LinkCost) ([]Stage, float64) {
 	k := len(servers)
 	start := newTable(k, layers)
 	for j := range servers {
@@ -110,7 +110,7 @@
 // crosses no link. Where all candidates are of one failure domain no other
 // order matters, so the result is the optimum over all orders. The candidates
 // should stand grouped by domain.
-func SplitAnyOrder(layers int, kinds []Kind, servers []*Server, links Links) ([]Stage, float64) {
+func SplitAnyOrder(layers int, kinds []Kind, servers []*Server, links LinkCost) ([]Stage, float64) {
 	stages, best := Split(layers, kinds, servers, links)
 	ks, ss := make([]Kind, len(kinds)), make([]*Server, len(servers))
 	tried := map[string]bool{}
--- a/daemon/layout.go
+++ b/daemon/layout.go
@@ -144,7 +144,7 @@
 	job := layoutJob{
 		documents: make(map[state.ServiceID]*service.Versioned),
 		busy:      make(map[state.BackendID]bool),
-		input:     placement.Input{Links: links},
+		input:     placement.Input{LinkCost: links},
 	}
 	kept := make(map[state.BackendID]bool)
 	for _, id := range p.c.controllers.autoServices() {
