--- a/coordination/quarantine/event.go
+++ b/coordination/quarantine/event.go
@@ -19,7 +19,7 @@
 type Tick struct{}
 
 // Ask wants to run a content; Call names it in the answer, Allow or Refuse.
-type Ask struct {
+type RunRequested struct {
 	Call        uint64
 	Fingerprint Fingerprint
 }
@@ -31,20 +31,20 @@
 
 // Began tells that a run is about to be dispatched to a replica. Turn is
 // Allow.Turn.
-type Began struct {
+type RunStarted struct {
 	Run         RunID
 	Fingerprint Fingerprint
 	Replica     state.ReplicaID
-	Turn        uint64
+	Lock        uint64
 }
 
 // How is how a run ended.
-type How uint8
+type RunResult uint8
 
 // The values of How.
 const (
 	// RunCompleted: the answer was whole.
-	RunCompleted How = iota + 1
+	RunCompleted RunResult = iota + 1
 	// RunStopped: it ended without a whole answer, on a replica that lives.
 	RunStopped
 	// RunLost: it can't be told what became of it or of the replica.
@@ -53,20 +53,20 @@
 
 // Ended tells that a run is over. For a turn that never began a run, Run is 0
 // and Turn is set.
-type Ended struct {
-	Run  RunID
-	Turn uint64
-	How  How
+type RunEnded struct {
+	Run    RunID
+	Lock   uint64
+	Result RunResult
 }
 
 // Died tells that a backend server of a replica died.
-type Died struct {
+type BackendDied struct {
 	Replica state.ReplicaID
 	Domain  state.FailureDomain
 }
 
 // Members is the membership view.
-type Members struct {
+type ViewChanged struct {
 	Live []state.Member
 }
 
@@ -77,19 +77,19 @@
 }
 
 // Stored answers an action Store.
-type Stored struct {
+type StoreResult struct {
 	Result store.Result
 }
 
-func (Tick) event()     {}
-func (Ask) event()      {}
-func (Cancel) event()   {}
-func (Began) event()    {}
-func (Ended) event()    {}
-func (Died) event()     {}
-func (Members) event()  {}
-func (Received) event() {}
-func (Stored) event()   {}
+func (Tick) event()         {}
+func (RunRequested) event() {}
+func (Cancel) event()       {}
+func (RunStarted) event()   {}
+func (RunEnded) event()     {}
+func (BackendDied) event()  {}
+func (ViewChanged) event()  {}
+func (Received) event()     {}
+func (StoreResult) event()  {}
 
 // Action is what the caller is to do.
 type Action interface {
@@ -99,10 +99,10 @@
 // Allow permits one run. Alone demands a replica that runs nothing else until
 // the run has ended; the run is to begin and end before Until.
 type Allow struct {
-	Call  uint64
-	Alone bool
-	Turn  uint64 // 0 unless Alone
-	Until time.Time
+	Call      uint64
+	Exclusive bool
+	Lock      uint64 // 0 unless Alone
+	Until     time.Time
 }
 
 // Refuse says that the content is quarantined.
@@ -113,14 +113,14 @@
 
 // Spread says that the other daemons know of what this one saw die, or that
 // Config.SpreadWait has passed. Answers that fail because of it wait for this.
-type Spread struct {
+type DeathPropagated struct {
 	Replica state.ReplicaID
 }
 
 // Convicted reports a new conviction by this daemon.
-type Convicted struct {
+type Quarantined struct {
 	Fingerprint Fingerprint
-	Proved      bool
+	Confirmed   bool
 }
 
 // Send carries a message to another daemon; it may be lost.
@@ -130,13 +130,13 @@
 }
 
 // Store is one call to the table service.
-type Store struct {
+type CallStore struct {
 	Call store.Call
 }
 
-func (Allow) action()     {}
-func (Refuse) action()    {}
-func (Spread) action()    {}
-func (Convicted) action() {}
-func (Send) action()      {}
-func (Store) action()     {}
+func (Allow) action()           {}
+func (Refuse) action()          {}
+func (DeathPropagated) action() {}
+func (Quarantined) action()     {}
+func (Send) action()            {}
+func (CallStore) action()       {}
--- a/coordination/quarantine/facts.go
+++ b/coordination/quarantine/facts.go
@@ -56,8 +56,8 @@
 }
 
 // merge adds what is new in t and returns just that.
-func (f *facts) merge(now time.Time, t Tell) Tell {
-	var news Tell
+func (f *facts) merge(now time.Time, t FactUpdate) FactUpdate {
+	var news FactUpdate
 	for _, d := range t.Deaths {
 		if f.addDeath(now, d) {
 			news.Deaths = append(news.Deaths, d)
@@ -73,22 +73,22 @@
 			news.Cleared = append(news.Cleared, i)
 		}
 	}
-	for _, c := range t.Convicted {
+	for _, c := range t.Quarantined {
 		if f.convict(now, c.Fingerprint, time.Unix(c.Until, 0)) {
-			news.Convicted = append(news.Convicted, c)
+			news.Quarantined = append(news.Quarantined, c)
 		}
 	}
 	return news
 }
 
 // empty reports whether t says nothing.
-func (t Tell) empty() bool {
-	return len(t.Deaths)+len(t.Implicated)+len(t.Cleared)+len(t.Convicted) == 0
+func (t FactUpdate) empty() bool {
+	return len(t.Deaths)+len(t.Implicated)+len(t.Cleared)+len(t.Quarantined) == 0
 }
 
 func (f *facts) addDeath(now time.Time, d Death) bool {
 	age := time.Duration(d.AgeMillis) * time.Millisecond
-	if _, known := f.deaths[d.ID]; known || age >= f.cfg.FactLife {
+	if _, known := f.deaths[d.ID]; known || age >= f.cfg.FactTTL {
 		return false
 	}
 	f.deaths[d.ID] = death{Death: d, at: now.Add(-age)}
@@ -174,7 +174,7 @@
 	if !until.After(now) || known && !until.After(old) {
 		return false
 	}
-	if !known && len(f.convicted) >= f.cfg.MaxConvicted {
+	if !known && len(f.convicted) >= f.cfg.MaxQuarantined {
 		return false
 	}
 	f.convicted[fp] = until
@@ -183,10 +183,10 @@
 
 // expire forgets what is older than its life.
 func (f *facts) expire(now time.Time) {
-	for len(f.deathIDs) > 0 && now.Sub(f.deaths[f.deathIDs[0]].at) >= f.cfg.FactLife {
+	for len(f.deathIDs) > 0 && now.Sub(f.deaths[f.deathIDs[0]].at) >= f.cfg.FactTTL {
 		f.dropDeath()
 	}
-	for len(f.order) > 0 && now.Sub(f.suspects[f.order[0]].added) >= f.cfg.FactLife {
+	for len(f.order) > 0 && now.Sub(f.suspects[f.order[0]].added) >= f.cfg.FactTTL {
 		fp := f.order[0]
 		f.order = f.order[1:]
 		s := f.suspects[fp]
@@ -262,8 +262,8 @@
 }
 
 // all is every fact, with ages as of now.
-func (f *facts) all(now time.Time) Tell {
-	var t Tell
+func (f *facts) all(now time.Time) FactUpdate {
+	var t FactUpdate
 	for _, id := range f.deathIDs {
 		d := f.deaths[id].Death
 		d.AgeMillis = uint32(now.Sub(f.deaths[id].at).Milliseconds())
@@ -279,9 +279,9 @@
 		}
 	}
 	for fp, until := range f.convicted {
-		t.Convicted = append(t.Convicted, Conviction{Fingerprint: fp, Until: until.Unix()})
+		t.Quarantined = append(t.Quarantined, QuarantineEntry{Fingerprint: fp, Until: until.Unix()})
 	}
-	slices.SortFunc(t.Convicted, func(a, b Conviction) int {
+	slices.SortFunc(t.Quarantined, func(a, b QuarantineEntry) int {
 		return slices.Compare(a.Fingerprint[:], b.Fingerprint[:])
 	})
 	return t
--- a/coordination/quarantine/machine.go
+++ b/coordination/quarantine/machine.go
@@ -40,7 +40,7 @@
 	// that was just started would run what all others know to crash.
 	synced bool
 	syncBy time.Time
-	early  []Ask
+	early  []RunRequested
 
 	nextScan time.Time
 	nextSync time.Time
@@ -57,7 +57,7 @@
 		byNo:      make(map[uint64]*turn),
 		calls:     make(map[store.CallID]*turn),
 		spreading: make(map[uint64]*spreading),
-		syncBy:    start.Add(cfg.withDefaults().SpreadWait),
+		syncBy:    start.Add(cfg.withDefaults().PropagationTimeout),
 		nextScan:  start,
 		nextSync:  start,
 	}
@@ -71,21 +71,21 @@
 	switch ev := ev.(type) {
 	case Tick:
 		m.tick(now)
-	case Ask:
+	case RunRequested:
 		m.ask(now, ev)
 	case Cancel:
 		m.cancel(ev.Call)
-	case Began:
+	case RunStarted:
 		m.began(ev)
-	case Ended:
+	case RunEnded:
 		m.ended(now, ev)
-	case Died:
+	case BackendDied:
 		m.died(now, ev)
-	case Members:
+	case ViewChanged:
 		m.members(now, ev.Live)
 	case Received:
 		m.receive(now, ev.From, ev.Msg)
-	case Stored:
+	case StoreResult:
 		m.answered(now, ev.Result)
 	}
 	return m.out
@@ -119,7 +119,7 @@
 	return m.facts.suspected(fp)
 }
 
-func (m *Quarantine) ask(now time.Time, ev Ask) {
+func (m *Quarantine) ask(now time.Time, ev RunRequested) {
 	if !m.synced && len(m.early) < maxEarly {
 		m.early = append(m.early, ev)
 		return
@@ -143,7 +143,7 @@
 		return
 	}
 	if len(t.waiting) >= m.cfg.MaxWaiting {
-		m.out = append(m.out, Refuse{Call: ev.Call, Until: now.Add(m.cfg.PollEvery)})
+		m.out = append(m.out, Refuse{Call: ev.Call, Until: now.Add(m.cfg.PollInterval)})
 		return
 	}
 	t.waiting = append(t.waiting, ev.Call)
@@ -162,7 +162,7 @@
 }
 
 func (m *Quarantine) cancel(call uint64) {
-	m.early = slices.DeleteFunc(m.early, func(ev Ask) bool { return ev.Call == call })
+	m.early = slices.DeleteFunc(m.early, func(ev RunRequested) bool { return ev.Call == call })
 	for _, t := range m.turns {
 		t.waiting = slices.DeleteFunc(t.waiting, func(c uint64) bool { return c == call })
 	}
@@ -170,11 +170,11 @@
 
 // learnConvicted refuses fp until then, here and wherever the word comes.
 func (m *Quarantine) learnConvicted(now time.Time, fp Fingerprint, until time.Time, proved bool) {
-	news := m.facts.merge(now, Tell{Convicted: []Conviction{{Fingerprint: fp, Until: until.Unix()}}})
+	news := m.facts.merge(now, FactUpdate{Quarantined: []QuarantineEntry{{Fingerprint: fp, Until: until.Unix()}}})
 	if news.empty() {
 		return
 	}
-	m.out = append(m.out, Convicted{Fingerprint: fp, Proved: proved})
+	m.out = append(m.out, Quarantined{Fingerprint: fp, Confirmed: proved})
 	m.tell(now, news, "")
 }
 
@@ -185,7 +185,7 @@
 
 func (m *Quarantine) store(r store.Request, class store.Class) store.CallID {
 	m.lastCall++
-	m.out = append(m.out, Store{Call: store.Call{ID: m.lastCall, Class: class, Request: r}})
+	m.out = append(m.out, CallStore{Call: store.Call{ID: m.lastCall, Class: class, Request: r}})
 	return m.lastCall
 }
 
@@ -222,10 +222,10 @@
 		m.scanning = m.store(store.Scan{Table: Table}, store.ClassLazy)
 	}
 	if !now.Before(m.nextScan) {
-		m.nextScan = now.Add(m.cfg.ScanEvery)
+		m.nextScan = now.Add(m.cfg.ScanInterval)
 	}
 	if !now.Before(m.nextSync) {
-		m.nextSync = now.Add(m.cfg.SyncEvery)
+		m.nextSync = now.Add(m.cfg.SyncInterval)
 		m.compare(1)
 	}
 }
--- a/coordination/quarantine/message.go
+++ b/coordination/quarantine/message.go
@@ -8,12 +8,12 @@
 }
 
 // Tell carries facts. All of them may come twice, late and in any order.
-type Tell struct {
-	Seq        uint64        `msgpack:"q,omitempty"` // to be answered by an Ack; 0: not to be
-	Deaths     []Death       `msgpack:"d,omitempty"`
-	Implicated []Implication `msgpack:"i,omitempty"`
-	Cleared    []Implication `msgpack:"c,omitempty"`
-	Convicted  []Conviction  `msgpack:"v,omitempty"`
+type FactUpdate struct {
+	Seq         uint64            `msgpack:"q,omitempty"` // to be answered by an Ack; 0: not to be
+	Deaths      []Death           `msgpack:"d,omitempty"`
+	Implicated  []Implication     `msgpack:"i,omitempty"`
+	Cleared     []Implication     `msgpack:"c,omitempty"`
+	Quarantined []QuarantineEntry `msgpack:"v,omitempty"`
 }
 
 // Death is one daemon's observation of a backend server's death.
@@ -31,7 +31,7 @@
 }
 
 // Conviction says that Fingerprint is refused until then, in seconds since 1970.
-type Conviction struct {
+type QuarantineEntry struct {
 	Fingerprint Fingerprint `msgpack:"f"`
 	Until       int64       `msgpack:"u"`
 }
@@ -43,10 +43,10 @@
 
 // Compare carries a digest of the sender's facts; a receiver with another
 // digest tells all of its own, one with the same an empty Tell.
-type Compare struct {
+type FactDigest struct {
 	Digest uint64 `msgpack:"d"`
 }
 
-func (Tell) message()    {}
-func (Ack) message()     {}
-func (Compare) message() {}
+func (FactUpdate) message() {}
+func (Ack) message()        {}
+func (FactDigest) message() {}
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -264,7 +264,7 @@
 				w.seq++
 				j := &job{content: c, n: n, run: quarantine.RunID(w.seq), r: r}
 				r.runs[j.run] = j
-				w.step(n, quarantine.Began{Run: j.run, Fingerprint: fp(c), Replica: r.id})
+				w.step(n, quarantine.RunStarted{Run: j.run, Fingerprint: fp(c), Replica: r.id})
 			}
 		}
 		for _, r := range w.replicas {
@@ -302,7 +302,7 @@
 	m.Step(epoch.Add(2*time.Second), quarantine.Tick{})
 	b.ReportAllocs()
 	for i := range b.N {
-		m.Step(epoch, quarantine.Ask{Call: uint64(i), Fingerprint: quarantine.Fingerprint{1}})
+		m.Step(epoch, quarantine.RunRequested{Call: uint64(i), Fingerprint: quarantine.Fingerprint{1}})
 	}
 }
 
@@ -311,8 +311,8 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		id := quarantine.RunID(i + 1)
-		m.Step(epoch, quarantine.Began{Run: id, Fingerprint: quarantine.Fingerprint{1}, Replica: "r"})
-		m.Step(epoch, quarantine.Ended{Run: id, How: quarantine.RunCompleted})
+		m.Step(epoch, quarantine.RunStarted{Run: id, Fingerprint: quarantine.Fingerprint{1}, Replica: "r"})
+		m.Step(epoch, quarantine.RunEnded{Run: id, Result: quarantine.RunCompleted})
 	}
 }
 
--- a/coordination/quarantine/runs.go
+++ b/coordination/quarantine/runs.go
@@ -15,21 +15,21 @@
 	turn    uint64
 }
 
-func (m *Quarantine) began(ev Began) {
-	m.runs[ev.Run] = run{fp: ev.Fingerprint, replica: ev.Replica, turn: ev.Turn}
-	if t := m.byNo[ev.Turn]; t != nil {
+func (m *Quarantine) began(ev RunStarted) {
+	m.runs[ev.Run] = run{fp: ev.Fingerprint, replica: ev.Replica, turn: ev.Lock}
+	if t := m.byNo[ev.Lock]; t != nil {
 		t.began = true
 	}
 }
 
 // ended closes a run. A whole answer shows that the content does not crash
 // backend servers, whatever died beside it.
-func (m *Quarantine) ended(now time.Time, ev Ended) {
-	no := ev.Turn
+func (m *Quarantine) ended(now time.Time, ev RunEnded) {
+	no := ev.Lock
 	if r, ok := m.runs[ev.Run]; ok {
 		delete(m.runs, ev.Run)
 		no = r.turn
-		if ev.How == RunCompleted {
+		if ev.Result == RunCompleted {
 			m.clear(now, r.fp)
 		}
 	}
@@ -37,8 +37,8 @@
 	if t == nil || t.phase != phaseHeld {
 		return
 	}
-	if ev.How == RunLost {
-		m.convict(now, t, m.cfg.UnprovedFor, false)
+	if ev.Result == RunLost {
+		m.convict(now, t, m.cfg.UnconfirmedTTL, false)
 		return
 	}
 	m.end(now, t, record{State: stateFree})
@@ -46,7 +46,7 @@
 
 // clear ends the suspicion for all deaths known so far.
 func (m *Quarantine) clear(now time.Time, fp Fingerprint) {
-	var news Tell
+	var news FactUpdate
 	for _, id := range m.facts.open(fp) {
 		news.Cleared = append(news.Cleared, Implication{Fingerprint: fp, Death: id})
 	}
@@ -56,9 +56,9 @@
 }
 
 // died implicates what this daemon ran on the replica.
-func (m *Quarantine) died(now time.Time, ev Died) {
+func (m *Quarantine) died(now time.Time, ev BackendDied) {
 	d := Death{ID: m.rng.Uint64(), Replica: ev.Replica, Domain: ev.Domain}
-	news := Tell{Deaths: []Death{d}}
+	news := FactUpdate{Deaths: []Death{d}}
 	for _, id := range slices.Sorted(maps.Keys(m.runs)) {
 		r := m.runs[id]
 		if r.replica != ev.Replica {
--- a/coordination/quarantine/scan.go
+++ b/coordination/quarantine/scan.go
@@ -31,7 +31,7 @@
 	for _, row := range rows {
 		rec := decodeRecord(row)
 		idle := rec.State == stateFree || rec.expired(now)
-		if !idle || now.Sub(time.Unix(rec.At, 0)) < m.cfg.ConvictedFor || len(txn.Writes) == sweepRows {
+		if !idle || now.Sub(time.Unix(rec.At, 0)) < m.cfg.QuarantineTTL || len(txn.Writes) == sweepRows {
 			continue
 		}
 		txn.Conditions = append(txn.Conditions, store.Condition{Table: row.Table, Key: row.Key, Revision: row.Revision})
--- a/coordination/quarantine/spread.go
+++ b/coordination/quarantine/spread.go
@@ -14,7 +14,7 @@
 // spreading is a Tell that waits for its Acks.
 type spreading struct {
 	seq     uint64
-	tell    Tell
+	tell    FactUpdate
 	replica state.ReplicaID // empty: nobody waits for Spread
 	missing []state.DaemonID
 	again   time.Time
@@ -23,7 +23,7 @@
 
 // tell sends news to the others: to all while they are few, else to Direct of
 // them, who tell them on.
-func (m *Quarantine) tell(now time.Time, news Tell, replica state.ReplicaID) {
+func (m *Quarantine) tell(now time.Time, news FactUpdate, replica state.ReplicaID) {
 	if news.empty() {
 		return
 	}
@@ -33,9 +33,9 @@
 		seq:     m.lastSeq,
 		tell:    news,
 		replica: replica,
-		missing: m.some(m.cfg.Direct),
-		again:   now.Add(m.cfg.SpreadWait / resends),
-		until:   now.Add(m.cfg.SpreadWait),
+		missing: m.some(m.cfg.DirectFanout),
+		again:   now.Add(m.cfg.PropagationTimeout / resends),
+		until:   now.Add(m.cfg.PropagationTimeout),
 	}
 	m.spreading[s.seq] = s
 	for _, to := range s.missing {
@@ -65,7 +65,7 @@
 	if now.Before(s.again) {
 		return
 	}
-	s.again = now.Add(m.cfg.SpreadWait / resends)
+	s.again = now.Add(m.cfg.PropagationTimeout / resends)
 	if now.Before(s.until) {
 		for _, to := range s.missing {
 			m.send(to, s.tell)
@@ -80,21 +80,21 @@
 	}
 	delete(m.spreading, s.seq)
 	if s.replica != "" {
-		m.out = append(m.out, Spread{Replica: s.replica})
+		m.out = append(m.out, DeathPropagated{Replica: s.replica})
 	}
 }
 
 func (m *Quarantine) receive(now time.Time, from state.Member, msg Message) {
 	switch msg := msg.(type) {
-	case Tell:
+	case FactUpdate:
 		m.told(now, from, msg)
 	case Ack:
 		if s := m.spreading[msg.Seq]; s != nil {
 			s.missing = slices.DeleteFunc(s.missing, func(id state.DaemonID) bool { return id == from.ID })
 			m.spreadDone(now, s)
 		}
-	case Compare:
-		var t Tell
+	case FactDigest:
+		var t FactUpdate
 		if msg.Digest != m.facts.digest {
 			t = m.facts.all(now)
 		}
@@ -104,17 +104,17 @@
 
 // told takes in facts and, in a large fleet, tells on what was new. Each daemon
 // does so once for each fact, so that the telling ends.
-func (m *Quarantine) told(now time.Time, from state.Member, t Tell) {
+func (m *Quarantine) told(now time.Time, from state.Member, t FactUpdate) {
 	news := m.facts.merge(now, t)
 	if t.Seq != 0 {
 		m.send(from.ID, Ack{Seq: t.Seq})
 	} else {
 		m.sync(now)
 	}
-	if news.empty() || len(m.live) <= m.cfg.Direct {
+	if news.empty() || len(m.live) <= m.cfg.DirectFanout {
 		return
 	}
-	for _, to := range m.some(m.cfg.Forward) {
+	for _, to := range m.some(m.cfg.ForwardFanout) {
 		m.send(to, news)
 	}
 }
@@ -132,14 +132,14 @@
 	}
 	if first {
 		m.compare(2)
-		m.nextSync = now.Add(m.cfg.SyncEvery)
+		m.nextSync = now.Add(m.cfg.SyncInterval)
 	}
 }
 
 // compare lets n others send what they know and this daemon may not.
 func (m *Quarantine) compare(n int) {
 	for _, to := range m.some(n) {
-		m.send(to, Compare{Digest: m.facts.digest})
+		m.send(to, FactDigest{Digest: m.facts.digest})
 	}
 }
 
--- a/coordination/quarantine/turn.go
+++ b/coordination/quarantine/turn.go
@@ -82,7 +82,7 @@
 	default:
 		// Not known whether a write took effect: read it back, not at once,
 		// since the store seems to be down.
-		t.wakeAt = now.Add(m.cfg.PollEvery)
+		t.wakeAt = now.Add(m.cfg.PollInterval)
 	}
 }
 
@@ -155,12 +155,12 @@
 		t.seenAt = now
 	}
 	stood := now.Sub(t.seenAt)
-	gone := !m.alive(rec.Holder) && stood >= goneAfter*m.cfg.PollEvery
-	if stood >= m.cfg.TurnLife || gone {
-		m.write(now, t, record{State: stateConvicted, Until: now.Add(m.cfg.UnprovedFor).Unix()})
+	gone := !m.alive(rec.Holder) && stood >= goneAfter*m.cfg.PollInterval
+	if stood >= m.cfg.LockTTL || gone {
+		m.write(now, t, record{State: stateConvicted, Until: now.Add(m.cfg.UnconfirmedTTL).Unix()})
 		return
 	}
-	t.wakeAt = now.Add(m.cfg.PollEvery)
+	t.wakeAt = now.Add(m.cfg.PollInterval)
 }
 
 // hold lets the first waiting request run alone.
@@ -171,8 +171,8 @@
 	}
 	t.phase = phaseHeld
 	t.allowedAt = now
-	t.wakeAt = now.Add(m.cfg.TurnLife / 2)
-	m.out = append(m.out, Allow{Call: t.waiting[0], Alone: true, Turn: t.no, Until: t.wakeAt})
+	t.wakeAt = now.Add(m.cfg.LockTTL / 2)
+	m.out = append(m.out, Allow{Call: t.waiting[0], Exclusive: true, Lock: t.no, Until: t.wakeAt})
 	t.waiting = slices.Delete(t.waiting, 0, 1)
 }
 
@@ -187,7 +187,7 @@
 func (m *Quarantine) finish(now time.Time, t *turn) {
 	delete(m.turns, t.fp)
 	for _, call := range t.waiting {
-		m.ask(now, Ask{Call: call, Fingerprint: t.fp})
+		m.ask(now, RunRequested{Call: call, Fingerprint: t.fp})
 	}
 }
 
@@ -216,7 +216,7 @@
 		m.end(now, t, record{State: stateFree})
 		return
 	}
-	m.convict(now, t, m.cfg.ConvictedFor, true)
+	m.convict(now, t, m.cfg.QuarantineTTL, true)
 }
 
 // convict refuses the content from now on, here at once and elsewhere as fast
--- a/coordination/quarantine/world_test.go
+++ b/coordination/quarantine/world_test.go
@@ -148,7 +148,7 @@
 		live = append(live, n.member)
 	}
 	for _, n := range w.nodes {
-		w.on(w.now, n, func() { w.step(n, quarantine.Members{Live: live}) })
+		w.on(w.now, n, func() { w.step(n, quarantine.ViewChanged{Live: live}) })
 	}
 }
 
@@ -191,18 +191,18 @@
 		switch a := a.(type) {
 		case quarantine.Send:
 			w.send(n, a)
-		case quarantine.Store:
+		case quarantine.CallStore:
 			w.store(n, a.Call)
 		case quarantine.Allow:
 			j := n.asks[a.Call]
 			delete(n.asks, a.Call)
-			j.turn = a.Turn
-			w.dispatch(j, a.Alone)
+			j.turn = a.Lock
+			w.dispatch(j, a.Exclusive)
 		case quarantine.Refuse:
 			j := n.asks[a.Call]
 			delete(n.asks, a.Call)
 			j.finish("refused")
-		case quarantine.Spread:
+		case quarantine.DeathPropagated:
 			jobs := n.waiting
 			n.waiting = nil
 			for _, j := range jobs {
@@ -240,7 +240,7 @@
 func (w *world) store(n *node, c store.Call) {
 	answer := func(after time.Duration, res store.Result) {
 		res.Call = c.ID
-		w.on(w.now.Add(after), n, func() { w.step(n, quarantine.Stored{Result: res}) })
+		w.on(w.now.Add(after), n, func() { w.step(n, quarantine.StoreResult{Result: res}) })
 	}
 	if w.storeDown {
 		if w.rng.IntN(2) == 0 {
@@ -289,7 +289,7 @@
 	j := &job{content: content, crashes: crashes, n: n, run: quarantine.RunID(w.seq), done: done}
 	n.asks[uint64(w.seq)] = j
 	call := uint64(w.seq)
-	w.on(w.now, n, func() { w.step(n, quarantine.Ask{Call: call, Fingerprint: fp(content)}) })
+	w.on(w.now, n, func() { w.step(n, quarantine.RunRequested{Call: call, Fingerprint: fp(content)}) })
 }
 
 // dispatch runs j on a replica that is up, empty if alone.
@@ -307,7 +307,7 @@
 	j.r = free[w.rng.IntN(len(free))]
 	j.r.alone = alone
 	j.r.runs[j.run] = j
-	w.step(j.n, quarantine.Began{Run: j.run, Fingerprint: fp(j.content), Replica: j.r.id, Turn: j.turn})
+	w.step(j.n, quarantine.RunStarted{Run: j.run, Fingerprint: fp(j.content), Replica: j.r.id, Lock: j.turn})
 	w.at(w.now.Add(w.millis(50, 500)), func() { w.ran(j, alone) })
 }
 
@@ -330,7 +330,7 @@
 	delete(j.r.runs, j.run)
 	j.r.alone = false
 	w.on(w.now, j.n, func() {
-		w.step(j.n, quarantine.Ended{Run: j.run, How: quarantine.RunCompleted})
+		w.step(j.n, quarantine.RunEnded{Run: j.run, Result: quarantine.RunCompleted})
 		j.finish("completed")
 	})
 }
@@ -353,9 +353,9 @@
 		}
 		w.on(w.now.Add(time.Millisecond), n, func() {
 			n.waiting = append(n.waiting, mine...)
-			w.step(n, quarantine.Died{Replica: r.id, Domain: r.domain})
+			w.step(n, quarantine.BackendDied{Replica: r.id, Domain: r.domain})
 			for _, j := range mine {
-				w.step(n, quarantine.Ended{Run: j.run, How: quarantine.RunStopped})
+				w.step(n, quarantine.RunEnded{Run: j.run, Result: quarantine.RunStopped})
 			}
 		})
 	}
--- a/daemon/messages.go
+++ b/daemon/messages.go
@@ -75,9 +75,9 @@
 	peer.Register[platform.ListAsk](r, kindPlatform)
 	peer.Register[platform.ListTold](r, kindPlatform+1)
 
-	peer.Register[quarantine.Tell](r, kindQuarantine)
+	peer.Register[quarantine.FactUpdate](r, kindQuarantine)
 	peer.Register[quarantine.Ack](r, kindQuarantine+1)
-	peer.Register[quarantine.Compare](r, kindQuarantine+2)
+	peer.Register[quarantine.FactDigest](r, kindQuarantine+2)
 
 	peer.Register[limit.Report](r, kindLimits)
 	peer.Register[limit.Grant](r, kindLimits+1)
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -84,11 +84,11 @@
 		p.refused(a)
 	case quarantine.Send:
 		p.c.d.send(p.c.members.address(a.To), a.Msg)
-	case quarantine.Store:
-		p.c.store.do(a.Call, func(res store.Result) { p.step(quarantine.Stored{Result: res}) })
-	case quarantine.Convicted:
+	case quarantine.CallStore:
+		p.c.store.do(a.Call, func(res store.Result) { p.step(quarantine.StoreResult{Result: res}) })
+	case quarantine.Quarantined:
 		p.c.d.log.Emit(telemetry.EventRequestQuarantined, telemetry.Detail(a.Fingerprint.String()))
-	case quarantine.Spread:
+	case quarantine.DeathPropagated:
 		// Answers are not held back for it: a request that was given up gets
 		// its final answer at once. docs/design/quarantine.md has the bound.
 	}
@@ -107,22 +107,22 @@
 func (p *quarantinePart) ask(r *runner, a request.AskSlot) {
 	p.last++
 	p.waiting[p.last] = quarantineWait{r: r, ask: a}
-	p.step(quarantine.Ask{Call: p.last, Fingerprint: p.fingerprint(r)})
+	p.step(quarantine.RunRequested{Call: p.last, Fingerprint: p.fingerprint(r)})
 }
 
 func (p *quarantinePart) allowed(a quarantine.Allow) {
 	w, ok := p.waiting[a.Call]
 	if !ok {
-		p.step(quarantine.Ended{Turn: a.Turn, How: quarantine.RunStopped})
+		p.step(quarantine.RunEnded{Lock: a.Lock, Result: quarantine.RunStopped})
 		return
 	}
 	delete(p.waiting, a.Call)
-	if a.Alone {
+	if a.Exclusive {
 		p.c.d.log.Emit(telemetry.EventRequestImplicated, telemetry.Request(w.r.spec.ID))
 	}
-	p.runs[w.r] = quarantineRun{turn: a.Turn, attempt: w.ask.Attempt}
-	w.r.suspect.Store(a.Alone)
-	p.c.slots.ask(w.r, w.ask, a.Alone)
+	p.runs[w.r] = quarantineRun{turn: a.Lock, attempt: w.ask.Attempt}
+	w.r.suspect.Store(a.Exclusive)
+	p.c.slots.ask(w.r, w.ask, a.Exclusive)
 }
 
 func (p *quarantinePart) refused(a quarantine.Refuse) {
@@ -159,7 +159,7 @@
 	p.last++
 	run.run = quarantine.RunID(p.last)
 	p.runs[r] = run
-	p.step(quarantine.Began{Run: run.run, Fingerprint: p.fingerprint(r), Replica: replica, Turn: run.turn})
+	p.step(quarantine.RunStarted{Run: run.run, Fingerprint: p.fingerprint(r), Replica: replica, Lock: run.turn})
 }
 
 // stopped remembers how far a request was when a server of its died.
@@ -183,7 +183,7 @@
 }
 
 // ended notes that an attempt is over.
-func (p *quarantinePart) ended(r *runner, how quarantine.How) {
+func (p *quarantinePart) ended(r *runner, how quarantine.RunResult) {
 	run, ok := p.runs[r]
 	if !ok {
 		return
@@ -191,7 +191,7 @@
 	delete(p.runs, r)
 	r.suspect.Store(false)
 	if run.run != 0 || run.turn != 0 {
-		p.step(quarantine.Ended{Run: run.run, Turn: run.turn, How: how})
+		p.step(quarantine.RunEnded{Run: run.run, Lock: run.turn, Result: how})
 	}
 }
 
@@ -204,17 +204,17 @@
 	}
 	p.dead[s.Backend] = s.Life
 	p.c.d.log.Emit(telemetry.EventBackendDied, telemetry.Backend(s.Backend), telemetry.Replica(replica.ID))
-	p.step(quarantine.Died{Replica: replica.ID, Domain: replica.FailureDomain})
+	p.step(quarantine.BackendDied{Replica: replica.ID, Domain: replica.FailureDomain})
 }
 
 func (p *quarantinePart) membersChanged(live []membership.Info) {
-	p.step(quarantine.Members{Live: lo.Map(live, func(i membership.Info, _ int) state.Member { return i.Member })})
+	p.step(quarantine.ViewChanged{Live: lo.Map(live, func(i membership.Info, _ int) state.Member { return i.Member })})
 }
 
 // howEnded says how an attempt ended, for the quarantine. One that failed with the
 // replica's fate unknown counts as lost. Where the replica is known to have died,
 // that was reported before; where it lives, the content did it no harm.
-func howEnded(a request.ReleaseSlot, completed, fateUnknown bool) quarantine.How {
+func howEnded(a request.ReleaseSlot, completed, fateUnknown bool) quarantine.RunResult {
 	switch {
 	case completed:
 		return quarantine.RunCompleted
--- a/scenario/quarantine.go
+++ b/scenario/quarantine.go
@@ -58,7 +58,7 @@
 func (q *quarantined) ask(r *run, a request.AskSlot) {
 	q.calls++
 	q.asks[q.calls] = slotAsk{r: r, a: a}
-	q.step(quarantine.Ask{Call: q.calls, Fingerprint: fingerprint(r)})
+	q.step(quarantine.RunRequested{Call: q.calls, Fingerprint: fingerprint(r)})
 }
 
 // stop takes an ask back.
@@ -79,7 +79,7 @@
 	held.id = quarantine.RunID(q.calls)
 	held.replica = replica
 	q.runs[r] = held
-	q.step(quarantine.Began{Run: held.id, Fingerprint: fingerprint(r), Replica: replica.ID, Turn: held.turn})
+	q.step(quarantine.RunStarted{Run: held.id, Fingerprint: fingerprint(r), Replica: replica.ID, Lock: held.turn})
 }
 
 // looked tells of the engines of a run's replica that died under it.
@@ -90,7 +90,7 @@
 			continue
 		}
 		q.dead[e.name] = e.life
-		q.step(quarantine.Died{Replica: q.runs[r].replica.ID, Domain: state.FailureDomain(q.runs[r].replica.ID)})
+		q.step(quarantine.BackendDied{Replica: q.runs[r].replica.ID, Domain: state.FailureDomain(q.runs[r].replica.ID)})
 	}
 }
 
@@ -108,7 +108,7 @@
 	case len(r.tokens) >= r.spec.MaxTokens:
 		how = quarantine.RunCompleted
 	}
-	q.step(quarantine.Ended{Run: held.id, Turn: held.turn, How: how})
+	q.step(quarantine.RunEnded{Run: held.id, Lock: held.turn, Result: how})
 }
 
 func (q *quarantined) step(ev quarantine.Event) {
@@ -122,15 +122,15 @@
 				delete(q.asks, a.Call)
 				ask.r.later(0, request.SlotRefused{Reason: state.ReasonQuarantined})
 			}
-		case quarantine.Convicted:
+		case quarantine.Quarantined:
 			w.say("%s: the content is quarantined", q.n.name)
-		case quarantine.Store:
+		case quarantine.CallStore:
 			w.call(a.Call, func(res store.Result) {
-				q.n.do(func() { q.step(quarantine.Stored{Result: res}) })
+				q.n.do(func() { q.step(quarantine.StoreResult{Result: res}) })
 			})
 		case quarantine.Send:
 			q.send(a)
-		case quarantine.Spread:
+		case quarantine.DeathPropagated:
 			// Answers are not held back here.
 		}
 	}
@@ -142,11 +142,11 @@
 		return
 	}
 	delete(q.asks, a.Call)
-	if a.Alone {
+	if a.Exclusive {
 		ask.r.say("is to run alone")
 	}
-	q.runs[ask.r] = quarantinedRun{turn: a.Turn}
-	q.n.w.pool.ask(ask.r, ask.a, a.Alone)
+	q.runs[ask.r] = quarantinedRun{turn: a.Lock}
+	q.n.w.pool.ask(ask.r, ask.a, a.Exclusive)
 }
 
 func (q *quarantined) send(a quarantine.Send) {
@@ -165,6 +165,6 @@
 				live = append(live, o.member)
 			}
 		}
-		n.do(func() { n.quarantine.step(quarantine.Members{Live: live}) })
+		n.do(func() { n.quarantine.step(quarantine.ViewChanged{Live: live}) })
 	}
 }
