--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -17,13 +17,13 @@
 type Config struct {
 	MaxRecords int           // the oldest is dropped beyond it
 	MaxBytes   int           // of all records together, by the caller's measure
-	Keep       time.Duration // since the last Put of the request
+	TTL        time.Duration // since the last Put of the request
 }
 
 // DefaultConfig returns the bounds used by a daemon: one of 420 daemons at 11,000
 // requests a second is registrar of 52 a second.
 func DefaultConfig() Config {
-	return Config{MaxRecords: 20_000, MaxBytes: 64 << 20, Keep: 2 * time.Minute}
+	return Config{MaxRecords: 20_000, MaxBytes: 64 << 20, TTL: 2 * time.Minute}
 }
 
 // Registry holds values of type R by request. It belongs to one goroutine.
@@ -81,7 +81,7 @@
 func (r *Registry[R]) trim(now time.Time) {
 	for el := r.order.Front(); el != nil; el = r.order.Front() {
 		over := r.order.Len() > r.cfg.MaxRecords || r.bytes > r.cfg.MaxBytes
-		if !over && now.Sub(el.Value.(*entry[R]).at) <= r.cfg.Keep {
+		if !over && now.Sub(el.Value.(*entry[R]).at) <= r.cfg.TTL {
 			return
 		}
 		r.drop(el)
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -17,7 +17,7 @@
 // first, and nothing else is lost.
 func TestBoundsAndEpochs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := registry.Config{MaxRecords: 5, MaxBytes: 50, Keep: 10 * time.Second}
+		cfg := registry.Config{MaxRecords: 5, MaxBytes: 50, TTL: 10 * time.Second}
 		r := registry.New[int](cfg)
 		m := &model{cfg: cfg}
 		now := time.Unix(0, 0)
@@ -74,7 +74,7 @@
 		for _, rec := range m.records {
 			bytes += rec.size
 		}
-		if len(m.records) <= m.cfg.MaxRecords && bytes <= m.cfg.MaxBytes && now.Sub(m.records[0].at) <= m.cfg.Keep {
+		if len(m.records) <= m.cfg.MaxRecords && bytes <= m.cfg.MaxBytes && now.Sub(m.records[0].at) <= m.cfg.TTL {
 			return
 		}
 		m.records = m.records[1:]
@@ -97,7 +97,7 @@
 func BenchmarkPut(b *testing.B) {
 	for _, held := range []int{500, 5000, 20_000} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
-			cfg := registry.Config{MaxRecords: held, MaxBytes: 1 << 40, Keep: time.Hour}
+			cfg := registry.Config{MaxRecords: held, MaxBytes: 1 << 40, TTL: time.Hour}
 			ids := make([]state.RequestID, 2*held)
 			for i := range ids {
 				ids[i] = state.RequestID(fmt.Sprintf("entry-1-%08d", i))
