--- a/coordination/request/action.go
+++ b/coordination/request/action.go
@@ -9,13 +9,13 @@
 
 type (
 	// AskSlot asks the homes for a replica that is not in Exclude.
-	AskSlot struct {
+	RequestSlot struct {
 		Attempt state.Attempt // the one that the slot is for; names the slot
 		Exclude []state.ReplicaID
 	}
 
 	// StopAsking takes back AskSlot; a grant that crosses it is released.
-	StopAsking struct{ Attempt state.Attempt }
+	CancelSlotRequest struct{ Attempt state.Attempt }
 
 	// ReleaseSlot gives a slot back.
 	ReleaseSlot struct {
@@ -53,14 +53,14 @@
 		Step  StepRef
 		Stage state.Stage
 		// Prompt and Given are set for an attempt's first step.
-		Prompt string
-		Given  []int64
-		Input  []byte
-		Last   int64
+		Prompt      string
+		PriorTokens []int64
+		Input       []byte
+		LastToken   int64
 	}
 
 	// AskHeld asks one stage what it holds and bars lower epochs there.
-	AskHeld struct {
+	QueryStage struct {
 		Step  StepRef
 		Stage state.Stage
 	}
@@ -79,7 +79,7 @@
 	}
 
 	// AskRetry asks the retry budget for one more attempt.
-	AskRetry struct {
+	RequestRetry struct {
 		Reason    state.RetryReason
 		Attempt   state.Attempt // the one that failed
 		Replica   state.ReplicaID
@@ -89,7 +89,7 @@
 
 	// AttemptBegan tells that a replica surely runs the request. From here on
 	// another daemon may take the attempt over.
-	AttemptBegan struct {
+	AttemptStarted struct {
 		Attempt state.Attempt
 		Epoch   state.Epoch
 		Replica state.Replica
@@ -106,18 +106,18 @@
 	End struct{ Outcome state.Outcome }
 )
 
-func (AskSlot) action()        {}
-func (StopAsking) action()     {}
-func (ReleaseSlot) action()    {}
-func (PutClaim) action()       {}
-func (AbandonClaim) action()   {}
-func (VoidClaim) action()      {}
-func (SettleClaim) action()    {}
-func (RunStep) action()        {}
-func (AskHeld) action()        {}
-func (CancelAttempt) action()  {}
-func (ReleaseAttempt) action() {}
-func (AskRetry) action()       {}
-func (AttemptBegan) action()   {}
-func (Emit) action()           {}
-func (End) action()            {}
+func (RequestSlot) action()       {}
+func (CancelSlotRequest) action() {}
+func (ReleaseSlot) action()       {}
+func (PutClaim) action()          {}
+func (AbandonClaim) action()      {}
+func (VoidClaim) action()         {}
+func (SettleClaim) action()       {}
+func (RunStep) action()           {}
+func (QueryStage) action()        {}
+func (CancelAttempt) action()     {}
+func (ReleaseAttempt) action()    {}
+func (RequestRetry) action()      {}
+func (AttemptStarted) action()    {}
+func (Emit) action()              {}
+func (End) action()               {}
--- a/coordination/request/adopt.go
+++ b/coordination/request/adopt.go
@@ -37,14 +37,14 @@
 		return
 	}
 	r.phase = phaseAdopting
-	r.adopting = make([]*HeldAnswer, len(r.replica.Stages))
+	r.adopting = make([]*StageState, len(r.replica.Stages))
 	for i, s := range r.replica.Stages {
 		ref := StepRef{Attempt: r.attempt, Epoch: r.epoch, Stage: i}
-		r.do(AskHeld{Step: ref, Stage: s})
+		r.do(QueryStage{Step: ref, Stage: s})
 	}
 }
 
-func (r *Request) adoptAnswer(ev HeldAnswer) {
+func (r *Request) adoptAnswer(ev StageState) {
 	if ev.Step.Attempt != r.attempt || ev.Step.Epoch != r.epoch {
 		return
 	}
--- a/coordination/request/bench_test.go
+++ b/coordination/request/bench_test.go
@@ -43,14 +43,14 @@
 	for done < b.N {
 		r := request.New(request.Spec{
 			ID: "r", Service: "drafts", Customer: "bank", Class: "draft", Prompt: "p",
-			MaxTokens: tokens, Owner: 7, FirstTokenBy: now.Add(time.Hour),
+			MaxTokens: tokens, Owner: 7, FirstTokenDeadline: now.Add(time.Hour),
 		})
 		actions := r.Step(now, request.Start{})
 		for ended := false; !ended; {
 			var next request.Event
 			for _, a := range actions {
 				switch a := a.(type) {
-				case request.AskSlot:
+				case request.RequestSlot:
 					next = request.SlotGranted{Grant: a.Attempt, Replica: replica}
 				case request.RunStep:
 					last := a.Step.Stage == stages-1
--- a/coordination/request/event.go
+++ b/coordination/request/event.go
@@ -40,7 +40,7 @@
 		Replica state.ReplicaID
 		// Unknown: nothing is wrong with the replica; this daemon does not
 		// have the document yet that names it.
-		Unknown bool
+		UnknownReplica bool
 	}
 
 	// SlotRefused answers AskSlot: no replica will be had.
@@ -53,7 +53,7 @@
 	ClaimSettled struct {
 		Result   ClaimResult
 		Reason   state.Reason // why not, unless ClaimWon
-		Continue Takeover     // with ClaimContinue
+		Takeover Takeover     // with ClaimContinue
 	}
 
 	// VoidSettled answers VoidClaim. Unless Voided, another owner may have
@@ -73,7 +73,7 @@
 	StepNotRun struct {
 		Step StepRef
 		// Overtaken: another owner barred the step, and may have run it.
-		Overtaken bool
+		Superseded bool
 	}
 
 	// StepFailed answers RunStep: the stage's KV cache is not to be used.
@@ -87,7 +87,7 @@
 	}
 
 	// HeldAnswer answers AskHeld; steps of lower epochs are now barred there.
-	HeldAnswer struct {
+	StageState struct {
 		Step       StepRef
 		Life       string // of the stage's process
 		Known      bool
@@ -99,10 +99,10 @@
 	}
 
 	// HeldUnanswered answers AskHeld: nothing is known of the stage.
-	HeldUnanswered struct {
-		Step      StepRef
-		Overtaken bool // another daemon owns the stream now
-		NotSent   bool // not one byte left this daemon: nobody listens there
+	StageQueryFailed struct {
+		Step       StepRef
+		Superseded bool // another daemon owns the stream now
+		NotSent    bool // not one byte left this daemon: nobody listens there
 	}
 
 	// RetryDecided answers AskRetry.
@@ -124,27 +124,27 @@
 	// ClaimContinue: the row named an owner that is gone, and now names this
 	// one, written on the condition that it was still as it was read. The
 	// attempt that it names is to be continued, never begun anew.
-	ClaimContinue
+	ClaimTakenOver
 	// ClaimRefused: the row proves that this request never was dispatched by
 	// anyone and this daemon's claim is not in force.
 	ClaimRefused
 	// ClaimElsewhere: another request of the same key holds the row and may
 	// have run.
-	ClaimElsewhere
+	ClaimHeldElsewhere
 )
 
-func (Start) event()          {}
-func (Tick) event()           {}
-func (Cancel) event()         {}
-func (SlotGranted) event()    {}
-func (SlotUnusable) event()   {}
-func (SlotRefused) event()    {}
-func (ClaimSettled) event()   {}
-func (VoidSettled) event()    {}
-func (StepDone) event()       {}
-func (StepNotRun) event()     {}
-func (StepFailed) event()     {}
-func (StepUnanswered) event() {}
-func (HeldAnswer) event()     {}
-func (HeldUnanswered) event() {}
-func (RetryDecided) event()   {}
+func (Start) event()            {}
+func (Tick) event()             {}
+func (Cancel) event()           {}
+func (SlotGranted) event()      {}
+func (SlotUnusable) event()     {}
+func (SlotRefused) event()      {}
+func (ClaimSettled) event()     {}
+func (VoidSettled) event()      {}
+func (StepDone) event()         {}
+func (StepNotRun) event()       {}
+func (StepFailed) event()       {}
+func (StepUnanswered) event()   {}
+func (StageState) event()       {}
+func (StageQueryFailed) event() {}
+func (RetryDecided) event()     {}
--- a/coordination/request/property_test.go
+++ b/coordination/request/property_test.go
@@ -133,27 +133,27 @@
 // answer decides what becomes of one thing that o asked for. Fate 0 is success.
 func (d *driver) answer(o *owner, a request.Action, fate int) {
 	switch a := a.(type) {
-	case request.AskSlot:
+	case request.RequestSlot:
 		d.slot(o, a, fate)
 	case request.PutClaim:
 		d.put(o, a, fate)
 	case request.VoidClaim:
 		d.void(o, fate)
-	case request.AskRetry:
+	case request.RequestRetry:
 		allowed := fate < 8
 		d.feed(o, request.RetryDecided{Allowed: allowed, At: d.now, Reason: state.ReasonRetriesExhausted})
 	case request.RunStep:
 		d.step(o, a, fate)
-	case request.AskHeld:
+	case request.QueryStage:
 		answer := d.held(a)
 		if fate == 9 {
-			answer = request.HeldUnanswered{Step: a.Step, NotSent: rapid.Bool().Draw(d.t, "not sent")}
+			answer = request.StageQueryFailed{Step: a.Step, NotSent: rapid.Bool().Draw(d.t, "not sent")}
 		}
 		d.feed(o, answer)
 	}
 }
 
-func (d *driver) slot(o *owner, a request.AskSlot, fate int) {
+func (d *driver) slot(o *owner, a request.RequestSlot, fate int) {
 	free := replicas()
 	for _, ex := range a.Exclude {
 		if len(free) > 1 && free[0].ID == ex {
@@ -166,7 +166,7 @@
 	}
 	if fate == 8 {
 		o.slots++
-		d.feed(o, request.SlotUnusable{Grant: a.Attempt, Replica: free[0].ID, Unknown: rapid.Bool().Draw(d.t, "unknown")})
+		d.feed(o, request.SlotUnusable{Grant: a.Attempt, Replica: free[0].ID, UnknownReplica: rapid.Bool().Draw(d.t, "unknown")})
 		return
 	}
 	granted := free[rapid.IntRange(0, len(free)-1).Draw(d.t, "granted")]
@@ -180,7 +180,7 @@
 	case d.claim.revision != o.seen && o.seen == 0 && fate < 6:
 		d.continueClaim(o)
 	case d.claim.revision != o.seen:
-		d.feed(o, request.ClaimSettled{Result: request.ClaimElsewhere, Reason: state.ReasonDuplicate})
+		d.feed(o, request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate})
 	case fate == 9:
 		d.feed(o, request.ClaimSettled{Result: request.ClaimRefused, Reason: state.ReasonStoreUnavailable})
 	default:
@@ -199,8 +199,8 @@
 	d.claim.epoch = d.claim.epoch.TakeOver(tag)
 	o.seen = d.revisions
 	d.feed(o, request.ClaimSettled{
-		Result:   request.ClaimContinue,
-		Continue: request.Takeover{Replica: d.claim.replica, Attempt: d.claim.attempt, Epoch: d.claim.epoch},
+		Result:   request.ClaimTakenOver,
+		Takeover: request.Takeover{Replica: d.claim.replica, Attempt: d.claim.attempt, Epoch: d.claim.epoch},
 	})
 }
 
--- a/coordination/request/recover.go
+++ b/coordination/request/recover.go
@@ -17,7 +17,7 @@
 	if !r.current(ev.Step, phaseRunning) {
 		return
 	}
-	if ev.Overtaken {
+	if ev.Superseded {
 		r.overtaken()
 		return
 	}
@@ -59,11 +59,11 @@
 		r.asks++
 		r.epoch = r.epoch.Next(r.spec.Owner)
 		r.phase = phaseAsking
-		r.do(AskHeld{Step: r.ref(), Stage: r.replica.Stages[r.stage]})
+		r.do(QueryStage{Step: r.ref(), Stage: r.replica.Stages[r.stage]})
 	}
 }
 
-func (r *Request) heldAnswer(ev HeldAnswer) {
+func (r *Request) heldAnswer(ev StageState) {
 	if r.phase == phaseAdopting {
 		r.adoptAnswer(ev)
 		return
@@ -75,7 +75,7 @@
 }
 
 // resolve goes on from what the asked stage holds.
-func (r *Request) resolve(h HeldAnswer) {
+func (r *Request) resolve(h StageState) {
 	last := r.stage == len(r.replica.Stages)-1
 	switch {
 	case h.Canceled, h.Life != r.replica.Stages[r.stage].Life:
@@ -107,7 +107,7 @@
 	r.send()
 }
 
-func (r *Request) heldUnanswered(ev HeldUnanswered) {
+func (r *Request) heldUnanswered(ev StageQueryFailed) {
 	if r.phase == phaseAdopting && ev.Step.Attempt == r.attempt {
 		r.abandonAdoption()
 		return
@@ -115,7 +115,7 @@
 	if !r.current(ev.Step, phaseAsking) {
 		return
 	}
-	if ev.Overtaken {
+	if ev.Superseded {
 		r.overtaken()
 		return
 	}
@@ -124,7 +124,7 @@
 		// stage that only is slow to answer is asked again first.
 		r.asks++
 		r.epoch = r.epoch.Next(r.spec.Owner)
-		r.do(AskHeld{Step: r.ref(), Stage: r.replica.Stages[r.stage]})
+		r.do(QueryStage{Step: r.ref(), Stage: r.replica.Stages[r.stage]})
 		return
 	}
 	r.lost(state.RetryStageFailed)
@@ -150,7 +150,7 @@
 		return
 	}
 	r.phase = phaseRetryWait
-	r.do(AskRetry{
+	r.do(RequestRetry{
 		Reason:    reason,
 		Attempt:   r.attempt,
 		Replica:   failed,
--- a/coordination/request/request.go
+++ b/coordination/request/request.go
@@ -34,7 +34,7 @@
 	claimed  bool          // the claim row names this owner
 	ending   *ending       // set while an abandoned claim is settled
 	retryAt  time.Time     // in phaseBackoff and phaseLagging
-	adopting []*HeldAnswer // by stage, in phaseAdopting
+	adopting []*StageState // by stage, in phaseAdopting
 
 	out []Action
 }
@@ -102,9 +102,9 @@
 		r.stepFailed(ev)
 	case StepUnanswered:
 		r.stepUnanswered(ev)
-	case HeldAnswer:
+	case StageState:
 		r.heldAnswer(ev)
-	case HeldUnanswered:
+	case StageQueryFailed:
 		r.heldUnanswered(ev)
 	}
 }
@@ -117,10 +117,10 @@
 		return time.Time{}
 	case r.phase == phaseBackoff && len(r.tokens) > 0:
 		return r.retryAt
-	case r.waitsToAsk() && r.retryAt.Before(r.spec.FirstTokenBy):
+	case r.waitsToAsk() && r.retryAt.Before(r.spec.FirstTokenDeadline):
 		return r.retryAt
 	case len(r.tokens) == 0:
-		return r.spec.FirstTokenBy
+		return r.spec.FirstTokenDeadline
 	}
 	return time.Time{}
 }
@@ -162,11 +162,11 @@
 
 func (r *Request) askSlot() {
 	r.phase = phaseQueued
-	r.do(AskSlot{Attempt: r.attempt.Next(r.spec.Owner), Exclude: slices.Clone(r.exclude)})
+	r.do(RequestSlot{Attempt: r.attempt.Next(r.spec.Owner), Exclude: slices.Clone(r.exclude)})
 }
 
 func (r *Request) tick(now time.Time) {
-	if len(r.tokens) == 0 && !now.Before(r.spec.FirstTokenBy) {
+	if len(r.tokens) == 0 && !now.Before(r.spec.FirstTokenDeadline) {
 		r.giveUp(state.ReasonDeadline, 0)
 		return
 	}
@@ -213,7 +213,7 @@
 	if r.phase != phaseQueued {
 		return
 	}
-	if ev.Unknown {
+	if ev.UnknownReplica {
 		// Guard (replica-not-known-yet): the home has heard of the replica first. Asked
 		// again at once it grants it again, until the request has used up its tries and is
 		// refused within milliseconds, although nothing is wrong.
@@ -231,7 +231,7 @@
 }
 
 func releaseUnusable(ev SlotUnusable) ReleaseSlot {
-	return ReleaseSlot{Grant: ev.Grant, Replica: ev.Replica, Unused: ev.Unknown, Failed: !ev.Unknown}
+	return ReleaseSlot{Grant: ev.Grant, Replica: ev.Replica, Unused: ev.UnknownReplica, Failed: !ev.UnknownReplica}
 }
 
 func (r *Request) refused(ev SlotRefused) {
@@ -245,9 +245,9 @@
 		return
 	}
 	switch ev.Result {
-	case ClaimWon, ClaimContinue:
+	case ClaimWon, ClaimTakenOver:
 		r.claimed = true
-	case ClaimElsewhere:
+	case ClaimHeldElsewhere:
 		// The same key may have run under another request, so that this
 		// record alone can prove nothing any more.
 		r.sent.MayRunElsewhere()
@@ -257,12 +257,12 @@
 	}
 	switch {
 	case r.ending != nil:
-		if ev.Result == ClaimContinue {
+		if ev.Result == ClaimTakenOver {
 			r.sent.MayRunElsewhere()
 		}
 		r.end(r.ending.reason, r.ending.after)
-	case ev.Result == ClaimContinue:
-		r.continueClaimed(ev.Continue)
+	case ev.Result == ClaimTakenOver:
+		r.continueClaimed(ev.Takeover)
 	case ev.Result == ClaimWon:
 		r.begin()
 	default:
@@ -274,7 +274,7 @@
 func (r *Request) giveUp(reason state.Reason, after state.RetryAfter) {
 	switch r.phase {
 	case phaseQueued:
-		r.do(StopAsking{Attempt: r.attempt.Next(r.spec.Owner)})
+		r.do(CancelSlotRequest{Attempt: r.attempt.Next(r.spec.Owner)})
 	case phaseClaiming:
 		// Whether the claim was written is not known; until it is settled
 		// nothing can be said of the request.
--- a/coordination/request/run.go
+++ b/coordination/request/run.go
@@ -32,10 +32,10 @@
 	step := RunStep{Step: r.ref(), Stage: r.replica.Stages[r.stage], Input: r.input}
 	if r.stage == 0 && r.fresh {
 		step.Prompt = r.spec.Prompt
-		step.Given = r.tokens
+		step.PriorTokens = r.tokens
 	}
 	if n := len(r.tokens); n > 0 {
-		step.Last = r.tokens[n-1]
+		step.LastToken = r.tokens[n-1]
 	}
 	r.do(step)
 }
@@ -81,7 +81,7 @@
 	}
 	r.begun = true
 	r.sent.Began(r.attempt)
-	r.do(AttemptBegan{Attempt: r.attempt, Epoch: r.epoch, Replica: r.replica})
+	r.do(AttemptStarted{Attempt: r.attempt, Epoch: r.epoch, Replica: r.replica})
 }
 
 func (r *Request) emit(value int64, text string) {
--- a/coordination/request/spec.go
+++ b/coordination/request/spec.go
@@ -26,7 +26,7 @@
 	Owner uint32
 
 	// FirstTokenBy is the deadline of the first token.
-	FirstTokenBy time.Time
+	FirstTokenDeadline time.Time
 
 	// Takeover is set where another daemon owned the stream before. Requests
 	// that are never to be repeated are taken over by their claim row instead;
--- a/coordination/request/unknown_test.go
+++ b/coordination/request/unknown_test.go
@@ -21,7 +21,7 @@
 		start := time.Unix(0, 0)
 		r := request.New(request.Spec{
 			ID: "r", Service: "drafts", Customer: "bank", Class: "note", NeverRepeat: true, Prompt: "p",
-			MaxTokens: 1, Owner: 7, FirstTokenBy: start.Add(10 * time.Second),
+			MaxTokens: 1, Owner: 7, FirstTokenDeadline: start.Add(10 * time.Second),
 		})
 		asked, now := 0, start
 		actions := r.Step(now, request.Start{})
@@ -29,9 +29,9 @@
 			Expect(r.Ended()).To(BeFalse(), "after %v", now.Sub(start))
 			Expect(r.Queued()).To(BeTrue(), "nothing was sent")
 			now = now.Add(time.Millisecond) // of an answer by the home
-			if ask, ok := last[request.AskSlot](actions); ok {
+			if ask, ok := last[request.RequestSlot](actions); ok {
 				asked++
-				actions = r.Step(now, request.SlotUnusable{Grant: ask.Attempt, Replica: "new", Unknown: true})
+				actions = r.Step(now, request.SlotUnusable{Grant: ask.Attempt, Replica: "new", UnknownReplica: true})
 				continue
 			}
 			actions = nil
@@ -41,7 +41,7 @@
 		}
 		Expect(asked).To(And(BeNumerically(">", 5), BeNumerically("<", 30)), "it neither sleeps nor storms")
 		for {
-			if ask, ok := last[request.AskSlot](actions); ok {
+			if ask, ok := last[request.RequestSlot](actions); ok {
 				actions = r.Step(now, request.SlotGranted{Grant: ask.Attempt, Replica: chain(1)})
 				break
 			}
@@ -55,9 +55,9 @@
 	It("ends at its deadline, and when its caller leaves", func() {
 		start := time.Unix(0, 0)
 		for _, ev := range []request.Event{request.Tick{}, request.Cancel{}} {
-			r := request.New(request.Spec{ID: "r", Service: "drafts", MaxTokens: 1, Owner: 7, FirstTokenBy: start.Add(time.Second)})
-			ask, _ := last[request.AskSlot](r.Step(start, request.Start{}))
-			r.Step(start, request.SlotUnusable{Grant: ask.Attempt, Replica: "new", Unknown: true})
+			r := request.New(request.Spec{ID: "r", Service: "drafts", MaxTokens: 1, Owner: 7, FirstTokenDeadline: start.Add(time.Second)})
+			ask, _ := last[request.RequestSlot](r.Step(start, request.Start{}))
+			r.Step(start, request.SlotUnusable{Grant: ask.Attempt, Replica: "new", UnknownReplica: true})
 			end, ok := last[request.End](r.Step(start.Add(time.Second), ev))
 			Expect(ok).To(BeTrue())
 			Expect(end.Outcome).To(BeAssignableToTypeOf(state.Refused{}))
--- a/coordination/request/world_test.go
+++ b/coordination/request/world_test.go
@@ -80,7 +80,7 @@
 	tokens  []int64
 	outcome state.Outcome
 	drove   map[state.Attempt]bool // attempts that this owner sent steps of, or took over
-	attempt request.AttemptBegan
+	attempt request.AttemptStarted
 	slots   int
 	seen    int // revision of the claim row that this owner knows
 }
@@ -118,7 +118,7 @@
 func (w *world) spec(neverRepeat bool, ownerTag uint32) request.Spec {
 	s := request.Spec{
 		ID: "q", NeverRepeat: neverRepeat, Plain: w.plain, MaxTokens: answerTokens, Prompt: "p",
-		Owner: ownerTag, FirstTokenBy: w.now.Add(time.Second),
+		Owner: ownerTag, FirstTokenDeadline: w.now.Add(time.Second),
 	}
 	if w.plain {
 		s.MaxTokens = 1
@@ -160,24 +160,24 @@
 			w.faults = append(w.faults, "ended twice")
 		}
 		o.outcome = a.Outcome
-	case request.AttemptBegan:
+	case request.AttemptStarted:
 		o.attempt = a
 	case request.ReleaseSlot:
 		o.slots--
-	case request.StopAsking:
-		o.ops = slices.DeleteFunc(o.ops, func(a request.Action) bool { _, ask := a.(request.AskSlot); return ask })
+	case request.CancelSlotRequest:
+		o.ops = slices.DeleteFunc(o.ops, func(a request.Action) bool { _, ask := a.(request.RequestSlot); return ask })
 	case request.AbandonClaim:
 		o.ops = slices.DeleteFunc(o.ops, func(a request.Action) bool { _, put := a.(request.PutClaim); return put })
 		settled := request.ClaimSettled{Result: request.ClaimRefused, Reason: state.ReasonStoreUnavailable}
 		if w.claim.revision != o.seen {
-			settled = request.ClaimSettled{Result: request.ClaimElsewhere, Reason: state.ReasonDuplicate}
+			settled = request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate}
 		}
 		w.feed(o, settled)
 	case request.CancelAttempt, request.ReleaseAttempt, request.SettleClaim:
 	case request.RunStep:
 		o.drove[a.Step.Attempt] = true
 		o.ops = append(o.ops, a)
-	case request.AskHeld:
+	case request.QueryStage:
 		o.drove[a.Step.Attempt] = true
 		o.ops = append(o.ops, a)
 	default:
@@ -201,7 +201,7 @@
 		return request.StepNotRun{Step: a.Step}
 	}
 	if a.Step.Epoch < c.epoch {
-		return request.StepNotRun{Step: a.Step, Overtaken: true}
+		return request.StepNotRun{Step: a.Step, Superseded: true}
 	}
 	fresh := a.Prompt != "" || strings.HasSuffix(string(a.Input), "fresh")
 	if !c.known && !fresh {
@@ -240,17 +240,17 @@
 }
 
 // held lets a question reach its stage.
-func (w *world) held(a request.AskHeld) request.Event {
+func (w *world) held(a request.QueryStage) request.Event {
 	s := w.stages[a.Stage.Address]
 	if s.dead {
-		return request.HeldUnanswered{Step: a.Step, NotSent: true}
+		return request.StageQueryFailed{Step: a.Step, NotSent: true}
 	}
 	c := s.cache(a.Step.Attempt)
 	if a.Step.Epoch < c.epoch {
-		return request.HeldUnanswered{Step: a.Step, Overtaken: true}
+		return request.StageQueryFailed{Step: a.Step, Superseded: true}
 	}
 	c.epoch = a.Step.Epoch
-	return request.HeldAnswer{
+	return request.StageState{
 		Step: a.Step, Life: s.name(), Known: c.known, Canceled: c.canceled, NextToken: c.next,
 		LastOutput: c.last, Tokens: slices.Clone(c.tokens), Final: len(c.tokens) == answerTokens,
 	}
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -76,15 +76,15 @@
 		run.settled = false
 		run.step(claims.Redispatch{Slot: slot, Proof: a.Proof})
 	case run.m.Request().Content != r.content:
-		go r.post(request.ClaimSettled{Result: request.ClaimElsewhere, Reason: state.ReasonKeyReused})
+		go r.post(request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonKeyReused})
 	case run.r == nil && run.m.Reusable():
 		run.r = r
 		run.settled = false
-		run.step(claims.Reuse{Request: r.spec.ID, Slot: slot, Deadline: r.spec.FirstTokenBy})
+		run.step(claims.Reuse{Request: r.spec.ID, Slot: slot, Deadline: r.spec.FirstTokenDeadline})
 	default:
 		// Another request of the key is live or being settled at this daemon.
 		r.follow(run.m.Request().ID, p.c.d.self)
-		go r.post(request.ClaimSettled{Result: request.ClaimElsewhere, Reason: state.ReasonDuplicate})
+		go r.post(request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate})
 	}
 }
 
@@ -96,7 +96,7 @@
 		ID:          r.spec.ID,
 		Owner:       p.c.d.self,
 		Nonce:       state.Nonce(newLife()),
-		Deadline:    r.spec.FirstTokenBy,
+		Deadline:    r.spec.FirstTokenDeadline,
 		OwnerNumber: p.c.d.owner,
 	})
 	p.byKey[keyOf(r.spec)] = run
@@ -243,14 +243,14 @@
 	replica, ok := run.p.c.slots.recorded(rec.Slot)
 	if !ok || run.r == nil {
 		run.step(claims.Ended{Phase: claims.PhaseUnknown})
-		run.answer(request.ClaimSettled{Result: request.ClaimElsewhere, Reason: state.ReasonDuplicate})
+		run.answer(request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate})
 		return
 	}
 	run.p.c.d.log.Emit(telemetry.EventRequestTakenOver, telemetry.Request(rec.Request), telemetry.Peer(rec.Owner.ID))
 	run.r.setExecution(rec.Request)
 	run.answer(request.ClaimSettled{
-		Result:   request.ClaimContinue,
-		Continue: request.Takeover{Replica: replica, Attempt: rec.Slot.Attempt, Epoch: rec.Epoch},
+		Result:   request.ClaimTakenOver,
+		Takeover: request.Takeover{Replica: replica, Attempt: rec.Slot.Attempt, Epoch: rec.Epoch},
 	})
 }
 
@@ -270,7 +270,7 @@
 		go r.post(request.VoidSettled{Voided: v.Kind == claims.VerdictNotRun})
 		return
 	}
-	settled := request.ClaimSettled{Result: request.ClaimElsewhere, Reason: reasonOf(v)}
+	settled := request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: reasonOf(v)}
 	if v.Kind == claims.VerdictNotRun {
 		settled.Result = request.ClaimRefused
 	}
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -58,7 +58,7 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	began      request.AttemptBegan // the attempt that surely runs
+	began      request.AttemptStarted // the attempt that surely runs
 	arrived    time.Time
 	firstToken time.Time // of the attempt in hand, for the replica's speed
 	lastToken  time.Time
@@ -105,7 +105,7 @@
 	case request.SlotGranted:
 		r.release(request.ReleaseSlot{Grant: g.Grant, Replica: g.Replica.ID, Unused: true})
 	case request.SlotUnusable:
-		r.release(request.ReleaseSlot{Grant: g.Grant, Replica: g.Replica, Unused: g.Unknown, Failed: !g.Unknown})
+		r.release(request.ReleaseSlot{Grant: g.Grant, Replica: g.Replica, Unused: g.UnknownReplica, Failed: !g.UnknownReplica})
 	}
 }
 
@@ -181,7 +181,7 @@
 	switch a := a.(type) {
 	case request.RunStep:
 		go r.runStep(a)
-	case request.AskHeld:
+	case request.QueryStage:
 		go r.askHeld(a)
 	case request.CancelAttempt:
 		go r.d.cancelAttempt(*r.execution.Load(), r.spec.Plain, a.Attempt, a.Replica)
@@ -189,7 +189,7 @@
 		r.release(a)
 	case request.ReleaseAttempt:
 		r.releaseAttempt(a)
-	case request.AttemptBegan:
+	case request.AttemptStarted:
 		r.attemptBegan(a)
 	case request.Emit:
 		r.emit(a)
@@ -204,9 +204,9 @@
 // carryOut does the actions of a request that concern control state.
 func (c *control) carryOut(r *runner, a request.Action) {
 	switch a := a.(type) {
-	case request.AskSlot:
+	case request.RequestSlot:
 		c.quarantine.ask(r, a)
-	case request.StopAsking:
+	case request.CancelSlotRequest:
 		c.quarantine.stop(r, a.Attempt)
 	case request.PutClaim:
 		c.claims.put(r, a)
@@ -216,7 +216,7 @@
 		c.claims.void(r, a.Proof)
 	case request.SettleClaim:
 		c.claims.settle(r, a.Outcome)
-	case request.AskRetry:
+	case request.RequestRetry:
 		c.retries.decide(r, a)
 	}
 }
@@ -243,7 +243,7 @@
 	})
 }
 
-func (r *runner) attemptBegan(a request.AttemptBegan) {
+func (r *runner) attemptBegan(a request.AttemptStarted) {
 	r.began = a
 	r.answer.setRunning()
 	if r.spec.Plain {
--- a/daemon/slots.go
+++ b/daemon/slots.go
@@ -258,7 +258,7 @@
 
 // ask begins to get a slot for a request's next attempt.
 // Alone asks for a replica that runs nothing else meanwhile.
-func (p *slotsPart) ask(r *runner, a request.AskSlot, alone bool) {
+func (p *slotsPart) ask(r *runner, a request.RequestSlot, alone bool) {
 	ask := home.SlotRequestID{Request: r.spec.ID, Attempt: a.Attempt}
 	p.wants[ask] = r
 	prefixes := state.Prefixes(r.spec.Prompt)
@@ -268,7 +268,7 @@
 		Service:  r.spec.Service,
 		Class:    r.spec.Class,
 		Customer: r.spec.Customer,
-		Deadline: r.spec.FirstTokenBy,
+		Deadline: r.spec.FirstTokenDeadline,
 		Cost:     uint32(max(r.spec.MaxTokens, 1)),
 		Prefixes: prefixes,
 		Exclude:  a.Exclude,
@@ -317,7 +317,7 @@
 	case !known:
 		// The home has a newer document than this daemon. The request asks
 		// again for another replica; it would wait for ever otherwise.
-		go r.post(request.SlotUnusable{Grant: a.Ask.Attempt, Replica: a.Replica, Unknown: true})
+		go r.post(request.SlotUnusable{Grant: a.Ask.Attempt, Replica: a.Replica, UnknownReplica: true})
 	default:
 		p.c.d.metrics.ObserveClass(telemetry.QueueSeconds, r.spec.Service, r.spec.Class, p.c.now.Sub(r.arrived))
 		p.c.quarantine.began(r, replica.ID)
--- a/daemon/steps.go
+++ b/daemon/steps.go
@@ -45,7 +45,7 @@
 	case res.Status == engine.StepNotRun:
 		r.post(request.StepNotRun{Step: a.Step})
 	case res.Status == engine.StepOvertaken:
-		r.post(request.StepNotRun{Step: a.Step, Overtaken: true})
+		r.post(request.StepNotRun{Step: a.Step, Superseded: true})
 	default:
 		r.post(request.StepFailed{Step: a.Step})
 	}
@@ -61,9 +61,9 @@
 		Token:     a.Step.Token,
 		Layers:    a.Stage.Layers,
 		Prompt:    a.Prompt,
-		Given:     a.Given,
+		Given:     a.PriorTokens,
 		Input:     a.Input,
-		Last:      a.Last,
+		Last:      a.LastToken,
 		Priority:  spec.Priority,
 		Adapter:   spec.Adapter,
 		MaxTokens: spec.MaxTokens,
@@ -99,7 +99,7 @@
 
 // askHeld asks a stage what it holds, on a connection of its own if the last
 // one went silent.
-func (r *runner) askHeld(a request.AskHeld) {
+func (r *runner) askHeld(a request.QueryStage) {
 	ctx, cancel := context.WithTimeout(r.ctx, r.d.askTimeout)
 	defer cancel()
 	e := r.d.clients.engine(a.Stage.Address)
@@ -109,15 +109,15 @@
 			r.stageDied(a.Step.Stage)
 		}
 		r.fateUnknown.Store(!engine.NotSent(err))
-		r.post(request.HeldUnanswered{
-			Step: a.Step, Overtaken: errors.Is(err, engine.ErrEpoch), NotSent: engine.NotSent(err),
+		r.post(request.StageQueryFailed{
+			Step: a.Step, Superseded: errors.Is(err, engine.ErrEpoch), NotSent: engine.NotSent(err),
 		})
 		return
 	}
 	if a.Stage.Life != "" && held.Life != a.Stage.Life {
 		r.stageDied(a.Step.Stage) // and is back already
 	}
-	r.post(request.HeldAnswer{
+	r.post(request.StageState{
 		Step:       a.Step,
 		Life:       held.Life,
 		Known:      held.Known,
--- a/daemon/streams.go
+++ b/daemon/streams.go
@@ -60,7 +60,7 @@
 }
 
 // recordOf describes a runner's request as its attempt runs now.
-func recordOf(r *runner, a request.AttemptBegan) streams.Record {
+func recordOf(r *runner, a request.AttemptStarted) streams.Record {
 	return streams.Record{
 		Request:   r.spec.ID,
 		Owner:     r.d.self,
@@ -71,7 +71,7 @@
 		Prompt:    r.spec.Prompt,
 		Adapter:   r.spec.Adapter,
 		MaxTokens: r.spec.MaxTokens,
-		Deadline:  r.spec.FirstTokenBy.Sub(r.arrived),
+		Deadline:  r.spec.FirstTokenDeadline.Sub(r.arrived),
 		Replica:   a.Replica,
 		Attempt:   a.Attempt,
 		Epoch:     a.Epoch,
--- a/daemon/submit.go
+++ b/daemon/submit.go
@@ -92,19 +92,19 @@
 		maxTokens = 1
 	}
 	return request.Spec{
-		ID:           state.RequestID(string(d.set.ID) + "-" + newLife()),
-		Service:      s.Service,
-		Customer:     s.Customer,
-		Class:        s.Class,
-		Key:          s.Key,
-		Priority:     class.Priority,
-		Plain:        plain,
-		NeverRepeat:  class.NeverRepeat,
-		Prompt:       s.Prompt,
-		Adapter:      s.Adapter,
-		MaxTokens:    maxTokens,
-		Owner:        d.owner,
-		FirstTokenBy: time.Now().Add(deadline),
+		ID:                 state.RequestID(string(d.set.ID) + "-" + newLife()),
+		Service:            s.Service,
+		Customer:           s.Customer,
+		Class:              s.Class,
+		Key:                s.Key,
+		Priority:           class.Priority,
+		Plain:              plain,
+		NeverRepeat:        class.NeverRepeat,
+		Prompt:             s.Prompt,
+		Adapter:            s.Adapter,
+		MaxTokens:          maxTokens,
+		Owner:              d.owner,
+		FirstTokenDeadline: time.Now().Add(deadline),
 	}
 }
 
--- a/scenario/claim.go
+++ b/scenario/claim.go
@@ -69,10 +69,10 @@
 	case c.r == nil && c.m.Reusable():
 		c.r = r
 		c.settled = false
-		c.step(claims.Reuse{Request: r.spec.ID, Slot: slot, Deadline: r.spec.FirstTokenBy})
+		c.step(claims.Reuse{Request: r.spec.ID, Slot: slot, Deadline: r.spec.FirstTokenDeadline})
 	default:
 		r.follows = n.run(c.m.Request().ID)
-		r.later(0, request.ClaimSettled{Result: request.ClaimElsewhere, Reason: state.ReasonDuplicate})
+		r.later(0, request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate})
 	}
 }
 
@@ -85,7 +85,7 @@
 		ID:          r.spec.ID,
 		Owner:       n.member,
 		Nonce:       state.Nonce(fmt.Sprintf("%s/%d", n.name, n.w.seq)),
-		Deadline:    r.spec.FirstTokenBy,
+		Deadline:    r.spec.FirstTokenDeadline,
 		OwnerNumber: n.owner,
 	})
 	n.claims = append(n.claims, c)
@@ -170,7 +170,7 @@
 			return ev
 		}
 		ref := request.StepRef{Attempt: rec.Slot.Attempt, Epoch: rec.Epoch, Stage: i}
-		h, ok := e.held(rec.Request, ref, 0).(request.HeldAnswer)
+		h, ok := e.held(rec.Request, ref, 0).(request.StageState)
 		if !ok {
 			return ev
 		}
@@ -208,8 +208,8 @@
 	}
 	c.r.execution = rec.Request
 	c.answer(request.ClaimSettled{
-		Result:   request.ClaimContinue,
-		Continue: request.Takeover{Replica: replica, Attempt: rec.Slot.Attempt, Epoch: rec.Epoch},
+		Result:   request.ClaimTakenOver,
+		Takeover: request.Takeover{Replica: replica, Attempt: rec.Slot.Attempt, Epoch: rec.Epoch},
 	})
 }
 
@@ -228,7 +228,7 @@
 		r.say("claim: taken over by %s", v.Record.Owner.ID)
 		return
 	}
-	settled := request.ClaimSettled{Result: request.ClaimElsewhere, Reason: verdictReason(v)}
+	settled := request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: verdictReason(v)}
 	switch v.Kind {
 	case claims.VerdictNotRun:
 		settled.Result = request.ClaimRefused
--- a/scenario/command_requests.go
+++ b/scenario/command_requests.go
@@ -31,7 +31,7 @@
 	spec := request.Spec{
 		ID: state.RequestID(name), Service: serviceID, Customer: customerID, Class: class,
 		Key: state.IdempotencyKey(a.text("key", name)), NeverRepeat: class == classNote,
-		Prompt: a.text("prompt", "p"), MaxTokens: tokens, Owner: n.owner, FirstTokenBy: w.now.Add(deadline),
+		Prompt: a.text("prompt", "p"), MaxTokens: tokens, Owner: n.owner, FirstTokenDeadline: w.now.Add(deadline),
 	}
 	w.books.submitted(spec.ID, spec.Key, spec.NeverRepeat)
 	c := &caller{w: w, name: name}
--- a/scenario/engine.go
+++ b/scenario/engine.go
@@ -92,7 +92,7 @@
 		return request.StepNotRun{Step: a.Step}
 	case a.Step.Epoch < c.epoch:
 		e.w.say("%s bars a step of token %d: its sender was overtaken", e.name, a.Step.Token)
-		return request.StepNotRun{Step: a.Step, Overtaken: true}
+		return request.StepNotRun{Step: a.Step, Superseded: true}
 	case !c.known && !fresh(a):
 		return request.StepNotRun{Step: a.Step}
 	case c.known && c.next != a.Step.Token:
@@ -132,10 +132,10 @@
 func (e *engine) held(id state.RequestID, ref request.StepRef, maxTokens int) request.Event {
 	c := e.cache(work{request: id, attempt: ref.Attempt})
 	if ref.Epoch < c.epoch {
-		return request.HeldUnanswered{Step: ref, Overtaken: true}
+		return request.StageQueryFailed{Step: ref, Superseded: true}
 	}
 	c.epoch = ref.Epoch
-	return request.HeldAnswer{
+	return request.StageState{
 		Step: ref, Life: e.lifeName(), Known: c.known, Canceled: c.canceled, NextToken: c.next,
 		LastOutput: c.last, Tokens: slices.Clone(c.tokens), Final: len(c.tokens) > 0 && c.next >= maxTokens,
 	}
--- a/scenario/pool.go
+++ b/scenario/pool.go
@@ -97,12 +97,12 @@
 	return home.SlotRequestID{Request: state.RequestID(r.n.name + "/" + r.name()), Attempt: a}
 }
 
-func (p *pool) ask(r *run, a request.AskSlot, alone bool) {
+func (p *pool) ask(r *run, a request.RequestSlot, alone bool) {
 	ask := askOf(r, a.Attempt)
 	p.wants[ask] = r
 	p.received(r.n, home.SlotRequest{
 		ID: ask, Pool: poolID, Class: r.spec.Class, Customer: r.spec.Customer,
-		Budget: r.spec.FirstTokenBy.Sub(p.w.now), Cost: uint32(r.spec.MaxTokens), Exclude: a.Exclude,
+		Budget: r.spec.FirstTokenDeadline.Sub(p.w.now), Cost: uint32(r.spec.MaxTokens), Exclude: a.Exclude,
 		Exclusive: alone,
 	})
 }
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -23,7 +23,7 @@
 	// execution is the request id that engines know the work by.
 	execution state.RequestID
 	drove     map[work]bool
-	began     request.AttemptBegan // what other daemons know of it
+	began     request.AttemptStarted // what other daemons know of it
 }
 
 func (n *node) start(spec request.Spec, c *caller) {
@@ -84,25 +84,25 @@
 }
 
 var claimWords = map[request.ClaimResult]string{
-	request.ClaimWon:       "won",
-	request.ClaimContinue:  "taken over, the attempt in it goes on",
-	request.ClaimRefused:   "not in force",
-	request.ClaimElsewhere: "held or ended elsewhere",
+	request.ClaimWon:           "won",
+	request.ClaimTakenOver:     "taken over, the attempt in it goes on",
+	request.ClaimRefused:       "not in force",
+	request.ClaimHeldElsewhere: "held or ended elsewhere",
 }
 
 func (r *run) carryOut(a request.Action) {
 	switch a := a.(type) {
-	case request.AskSlot, request.StopAsking, request.ReleaseSlot:
+	case request.RequestSlot, request.CancelSlotRequest, request.ReleaseSlot:
 		r.slot(a)
 	case request.RunStep:
 		r.send(a)
-	case request.AskHeld:
+	case request.QueryStage:
 		r.ask(a)
 	case request.CancelAttempt:
 		r.cancel(a.Attempt, a.Replica)
-	case request.AskRetry:
+	case request.RequestRetry:
 		r.retry(a)
-	case request.AttemptBegan:
+	case request.AttemptStarted:
 		r.began = a
 	case request.Emit:
 		r.emit(a)
@@ -125,13 +125,13 @@
 func (r *run) slot(a request.Action) {
 	w, q := r.n.w, r.n.quarantine
 	switch a := a.(type) {
-	case request.AskSlot:
+	case request.RequestSlot:
 		if q != nil {
 			q.ask(r, a)
 			return
 		}
 		w.pool.ask(r, a, false)
-	case request.StopAsking:
+	case request.CancelSlotRequest:
 		if q != nil {
 			q.stop(r)
 		}
@@ -197,14 +197,14 @@
 	e.run(r.execution, a, r.spec.MaxTokens)
 }
 
-func (r *run) ask(a request.AskHeld) {
+func (r *run) ask(a request.QueryStage) {
 	w := r.n.w
 	e := w.engine(a.Stage.Address)
 	r.say("asks %s what it holds", e.name)
 	r.drove[work{request: r.execution, attempt: a.Step.Attempt}] = true
 	w.after(hop, func() {
 		if e.dead {
-			r.later(hop, request.HeldUnanswered{Step: a.Step, NotSent: true})
+			r.later(hop, request.StageQueryFailed{Step: a.Step, NotSent: true})
 			return
 		}
 		r.later(hop, e.held(r.execution, a.Step, r.spec.MaxTokens))
@@ -223,7 +223,7 @@
 // policy is the retry part of the service's document.
 var policy = service.Retry{MaxAttempts: 4, BudgetRatio: 0.5}
 
-func (r *run) retry(a request.AskRetry) {
+func (r *run) retry(a request.RequestRetry) {
 	r.say("gives %s up: %s", a.Replica, a.Reason)
 	decision := r.n.retries.Decide(r.n.w.now, retry.Failure{
 		Service: r.spec.Service, Customer: r.spec.Customer, Policy: policy, Cause: a.Reason, Attempts: len(a.Tried) + 1,
--- a/trace/action.go
+++ b/trace/action.go
@@ -18,22 +18,22 @@
 // action writes an action as its name and what decides its effect.
 func (m mask) action(a request.Action) string {
 	switch a := a.(type) {
-	case request.AskSlot:
+	case request.RequestSlot:
 		return fmt.Sprintf("ask_slot %s exclude=%s", owned(uint64(a.Attempt)), list(a.Exclude))
-	case request.StopAsking:
+	case request.CancelSlotRequest:
 		return "stop_asking " + owned(uint64(a.Attempt))
 	case request.ReleaseSlot:
 		return fmt.Sprintf("release_slot %s replica=%s unused=%t failed=%t", owned(uint64(a.Grant)), a.Replica, a.Unused, a.Failed)
 	case request.RunStep:
 		return fmt.Sprintf("run_step %s at=%s prompt=%s given=%v input=%s last=%d", stepRef(a.Step), a.Stage.Backend,
-			m.text(a.Prompt), m.values(a.Given), m.bytes(a.Input), m.value(a.Last))
-	case request.AskHeld:
+			m.text(a.Prompt), m.values(a.PriorTokens), m.bytes(a.Input), m.value(a.LastToken))
+	case request.QueryStage:
 		return fmt.Sprintf("ask_held %s at=%s", stepRef(a.Step), a.Stage.Backend)
 	case request.CancelAttempt:
 		return fmt.Sprintf("cancel_attempt %s replica=%s", owned(uint64(a.Attempt)), a.Replica.ID)
 	case request.ReleaseAttempt:
 		return fmt.Sprintf("release_attempt %s replica=%s", owned(uint64(a.Attempt)), a.Replica.ID)
-	case request.AttemptBegan:
+	case request.AttemptStarted:
 		return fmt.Sprintf("attempt_began %s epoch=%s replica=%s", owned(uint64(a.Attempt)), owned(uint64(a.Epoch)), a.Replica.ID)
 	case request.Emit:
 		return fmt.Sprintf("emit %d value=%d text=%s", a.Index, m.value(a.Value), m.text(a.Text))
@@ -55,7 +55,7 @@
 		return fmt.Sprintf("void_claim proof=%t", a.Proof.Valid())
 	case request.SettleClaim:
 		return "settle_claim " + outcome(a.Outcome)
-	case request.AskRetry:
+	case request.RequestRetry:
 		return fmt.Sprintf("ask_retry %s reason=%s replica=%s tried=%s execution=%s",
 			owned(uint64(a.Attempt)), a.Reason, a.Replica, list(a.Tried), a.Execution)
 	default:
--- a/trace/bench_test.go
+++ b/trace/bench_test.go
@@ -14,12 +14,12 @@
 func BenchmarkRecordStep(b *testing.B) {
 	out := &counted{}
 	r := trace.NewRecorder(out, "entry-1.5f0c11aa", func(error) { b.Error("recording stopped") })
-	run := r.Begin(request.Spec{ID: "q", FirstTokenBy: time.Now()})
+	run := r.Begin(request.Spec{ID: "q", FirstTokenDeadline: time.Now()})
 	ref := request.StepRef{Attempt: 1<<32 | 7, Epoch: 1<<32 | 7, Token: 12, Stage: 1}
 	ev := request.StepDone{Step: ref, Output: make([]byte, 8<<10), Value: 17}
 	actions := []request.Action{
 		request.Emit{Index: 12, Value: 17},
-		request.RunStep{Step: ref, Stage: state.Stage{Backend: "drafter-1-2"}, Last: 17},
+		request.RunStep{Step: ref, Stage: state.Stage{Backend: "drafter-1-2"}, LastToken: 17},
 	}
 	now := time.Now()
 	b.ReportAllocs()
--- a/trace/event.go
+++ b/trace/event.go
@@ -64,10 +64,10 @@
 }
 
 var claimResults = []string{
-	request.ClaimWon:       "won",
-	request.ClaimContinue:  "continue",
-	request.ClaimRefused:   "refused",
-	request.ClaimElsewhere: "elsewhere",
+	request.ClaimWon:           "won",
+	request.ClaimTakenOver:     "continue",
+	request.ClaimRefused:       "refused",
+	request.ClaimHeldElsewhere: "elsewhere",
 }
 
 // event writes an event of a machine whose recording began at began.
@@ -82,7 +82,7 @@
 	case request.SlotGranted:
 		return &Event{Kind: KindSlotGranted, Attempt: attempt(ev.Grant), Replica: replicaLine(ev.Replica)}
 	case request.SlotUnusable:
-		return &Event{Kind: KindSlotUnusable, Attempt: attempt(ev.Grant), Replica: &Replica{ID: ev.Replica}, Unknown: ev.Unknown}
+		return &Event{Kind: KindSlotUnusable, Attempt: attempt(ev.Grant), Replica: &Replica{ID: ev.Replica}, Unknown: ev.UnknownReplica}
 	case request.SlotRefused:
 		return &Event{Kind: KindSlotRefused, Reason: ev.Reason, RetryAfter: ev.RetryAfter}
 	case request.ClaimSettled:
@@ -109,18 +109,18 @@
 			Value: m.value(ev.Value), Text: m.text(ev.Text), Final: ev.Final,
 		}
 	case request.StepNotRun:
-		return &Event{Kind: KindStepNotRun, Step: stepRef(ev.Step), Overtaken: ev.Overtaken}
+		return &Event{Kind: KindStepNotRun, Step: stepRef(ev.Step), Overtaken: ev.Superseded}
 	case request.StepFailed:
 		return &Event{Kind: KindStepFailed, Step: stepRef(ev.Step)}
 	case request.StepUnanswered:
 		return &Event{Kind: KindStepUnanswered, Step: stepRef(ev.Step), NotSent: ev.NotSent, Silent: ev.Silent}
-	case request.HeldAnswer:
+	case request.StageState:
 		return &Event{
 			Kind: KindHeldAnswer, Step: stepRef(ev.Step), Life: ev.Life, Known: ev.Known, Canceled: ev.Canceled,
 			NextToken: ev.NextToken, Output: m.bytes(ev.LastOutput), Tokens: m.values(ev.Tokens), Final: ev.Final,
 		}
-	case request.HeldUnanswered:
-		return &Event{Kind: KindHeldUnanswered, Step: stepRef(ev.Step), Overtaken: ev.Overtaken, NotSent: ev.NotSent}
+	case request.StageQueryFailed:
+		return &Event{Kind: KindHeldUnanswered, Step: stepRef(ev.Step), Overtaken: ev.Superseded, NotSent: ev.NotSent}
 	default:
 		panic(fmt.Sprintf("trace: event %T has no line", ev))
 	}
@@ -128,8 +128,8 @@
 
 func claimLine(ev request.ClaimSettled) *Event {
 	e := &Event{Kind: KindClaimSettled, Result: claimResults[ev.Result], Reason: ev.Reason}
-	if ev.Result == request.ClaimContinue {
-		e.Continue = takeoverLine(ev.Continue)
+	if ev.Result == request.ClaimTakenOver {
+		e.Continue = takeoverLine(ev.Takeover)
 	}
 	return e
 }
@@ -148,7 +148,7 @@
 	q := &Request{
 		ID: s.ID, Service: s.Service, Customer: s.Customer, Class: s.Class, Key: m.text(string(s.Key)),
 		Priority: s.Priority, Plain: s.Plain, NeverRepeat: s.NeverRepeat, Prompt: m.text(s.Prompt),
-		MaxTokens: s.MaxTokens, Owner: s.Owner, Deadline: int64(s.FirstTokenBy.Sub(began)),
+		MaxTokens: s.MaxTokens, Owner: s.Owner, Deadline: int64(s.FirstTokenDeadline.Sub(began)),
 	}
 	if s.Takeover != nil {
 		q.Takeover = takeoverLine(*s.Takeover)
--- a/trace/property_test.go
+++ b/trace/property_test.go
@@ -56,12 +56,12 @@
 	fate := rapid.IntRange(0, 9).Draw(o.t, "fate")
 	o.now = o.now.Add(time.Duration(rapid.Int64Range(0, 5e7).Draw(o.t, "time")))
 	switch a := a.(type) {
-	case request.AskSlot:
+	case request.RequestSlot:
 		switch fate {
 		case 8:
 			o.feed(request.SlotRefused{Reason: state.ReasonQueueFull, RetryAfter: 2})
 		case 9:
-			o.feed(request.SlotUnusable{Grant: a.Attempt, Replica: "r1", Unknown: o.chance("unknown")})
+			o.feed(request.SlotUnusable{Grant: a.Attempt, Replica: "r1", UnknownReplica: o.chance("unknown")})
 		default:
 			o.feed(request.SlotGranted{Grant: a.Attempt, Replica: o.replica()})
 		}
@@ -72,13 +72,13 @@
 		o.feed(request.ClaimSettled{Result: request.ClaimRefused, Reason: state.ReasonStoreUnavailable})
 	case request.VoidClaim:
 		o.feed(request.VoidSettled{Voided: fate < 5})
-	case request.AskRetry:
+	case request.RequestRetry:
 		o.feed(request.RetryDecided{
 			Allowed: fate < 8, At: o.now.Add(time.Duration(fate)), Exclude: []state.ReplicaID{"r1"}, Reason: state.ReasonRetriesExhausted,
 		})
 	case request.RunStep:
 		o.step(a, fate)
-	case request.AskHeld:
+	case request.QueryStage:
 		o.held(a, fate)
 	}
 }
@@ -86,11 +86,11 @@
 func (o *owner) claim(fate int) {
 	switch fate {
 	case 7:
-		o.feed(request.ClaimSettled{Result: request.ClaimElsewhere, Reason: state.ReasonDuplicate})
+		o.feed(request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate})
 	case 8:
 		o.feed(request.ClaimSettled{Result: request.ClaimRefused, Reason: state.ReasonStoreUnavailable})
 	case 9:
-		o.feed(request.ClaimSettled{Result: request.ClaimContinue, Continue: request.Takeover{
+		o.feed(request.ClaimSettled{Result: request.ClaimTakenOver, Takeover: request.Takeover{
 			Replica: o.replica(), Attempt: o.last.Attempt.Next(9), Epoch: o.last.Epoch.TakeOver(1),
 		}})
 	default:
@@ -101,7 +101,7 @@
 func (o *owner) step(a request.RunStep, fate int) {
 	switch fate {
 	case 6:
-		o.feed(request.StepNotRun{Step: a.Step, Overtaken: o.chance("overtaken")})
+		o.feed(request.StepNotRun{Step: a.Step, Superseded: o.chance("overtaken")})
 	case 7:
 		o.feed(request.StepFailed{Step: a.Step})
 	case 8, 9:
@@ -111,12 +111,12 @@
 	}
 }
 
-func (o *owner) held(a request.AskHeld, fate int) {
+func (o *owner) held(a request.QueryStage, fate int) {
 	if fate == 9 {
-		o.feed(request.HeldUnanswered{Step: a.Step, Overtaken: o.chance("overtaken"), NotSent: o.chance("not sent")})
+		o.feed(request.StageQueryFailed{Step: a.Step, Superseded: o.chance("overtaken"), NotSent: o.chance("not sent")})
 		return
 	}
-	h := request.HeldAnswer{
+	h := request.StageState{
 		Step: a.Step, Life: "one", Known: fate > 2, Canceled: fate == 8, NextToken: a.Step.Token, Tokens: make([]int64, a.Step.Token),
 	}
 	if o.chance("ran") {
@@ -136,7 +136,7 @@
 	for i := range rapid.IntRange(1, 3).Draw(t, "requests") {
 		spec := request.Spec{
 			ID: state.RequestID(fmt.Sprintf("q%d", i)), Class: "note", Key: "secret key", Prompt: "secret prompt", MaxTokens: 3,
-			Owner: 1, NeverRepeat: rapid.Bool().Draw(t, "never repeat"), FirstTokenBy: began.Add(time.Second),
+			Owner: 1, NeverRepeat: rapid.Bool().Draw(t, "never repeat"), FirstTokenDeadline: began.Add(time.Second),
 		}
 		if !spec.NeverRepeat && rapid.Bool().Draw(t, "takeover") {
 			spec.Takeover = &request.Takeover{Replica: (&owner{t: t}).replica(), Attempt: 1 << 32, Epoch: 1 << 32}
--- a/trace/restore.go
+++ b/trace/restore.go
@@ -34,18 +34,18 @@
 	case KindStepDone:
 		return request.StepDone{Step: step, Output: unmasked(e.Output), Value: e.Value, Text: e.Text, Final: e.Final}, nil
 	case KindStepNotRun:
-		return request.StepNotRun{Step: step, Overtaken: e.Overtaken}, nil
+		return request.StepNotRun{Step: step, Superseded: e.Overtaken}, nil
 	case KindStepFailed:
 		return request.StepFailed{Step: step}, nil
 	case KindStepUnanswered:
 		return request.StepUnanswered{Step: step, NotSent: e.NotSent, Silent: e.Silent}, nil
 	case KindHeldAnswer:
-		return request.HeldAnswer{
+		return request.StageState{
 			Step: step, Life: e.Life, Known: e.Known, Canceled: e.Canceled, NextToken: e.NextToken,
 			LastOutput: unmasked(e.Output), Tokens: e.Tokens, Final: e.Final,
 		}, nil
 	case KindHeldUnanswered:
-		return request.HeldUnanswered{Step: step, Overtaken: e.Overtaken, NotSent: e.NotSent}, nil
+		return request.StageQueryFailed{Step: step, Superseded: e.Overtaken, NotSent: e.NotSent}, nil
 	case KindRetryDecided:
 		return request.RetryDecided{
 			Allowed: e.Allowed, At: began.Add(time.Duration(e.NotBefore)), Exclude: e.Exclude, Reason: e.Reason,
@@ -66,7 +66,7 @@
 	if e.Replica == nil {
 		return nil, fmt.Errorf("event %s: no replica", e.Kind)
 	}
-	return request.SlotUnusable{Grant: state.Attempt(e.Attempt), Replica: e.Replica.ID, Unknown: e.Unknown}, nil
+	return request.SlotUnusable{Grant: state.Attempt(e.Attempt), Replica: e.Replica.ID, UnknownReplica: e.Unknown}, nil
 }
 
 func (e *Event) restoreClaim() (request.Event, error) {
@@ -75,11 +75,11 @@
 		return nil, fmt.Errorf("event %s: unknown result %q", e.Kind, e.Result)
 	}
 	ev := request.ClaimSettled{Result: request.ClaimResult(result), Reason: e.Reason}
-	if ev.Result == request.ClaimContinue {
+	if ev.Result == request.ClaimTakenOver {
 		if e.Continue == nil || len(e.Continue.Replica.Stages) == 0 {
 			return nil, fmt.Errorf("event %s: nothing to continue", e.Kind)
 		}
-		ev.Continue = e.Continue.restore()
+		ev.Takeover = e.Continue.restore()
 	}
 	return ev, nil
 }
@@ -101,7 +101,7 @@
 	s := request.Spec{
 		ID: q.ID, Service: q.Service, Customer: q.Customer, Class: q.Class, Key: state.IdempotencyKey(q.Key),
 		Priority: q.Priority, Plain: q.Plain, NeverRepeat: q.NeverRepeat, Prompt: q.Prompt,
-		MaxTokens: q.MaxTokens, Owner: q.Owner, FirstTokenBy: began.Add(time.Duration(q.Deadline)),
+		MaxTokens: q.MaxTokens, Owner: q.Owner, FirstTokenDeadline: began.Add(time.Duration(q.Deadline)),
 	}
 	if q.Takeover == nil {
 		return s, nil
