--- a/coordination/retry/decision.go
+++ b/coordination/retry/decision.go
@@ -36,7 +36,7 @@
 
 	// Blameless reports that Replica works and only declined, so that other
 	// requests need not avoid it.
-	Blameless bool
+	ReplicaHealthy bool
 
 	// Deadline is when the caller no longer wants the answer; zero for never.
 	Deadline time.Time
@@ -48,7 +48,7 @@
 }
 
 // Again permits one more attempt.
-type Again struct {
+type Allow struct {
 	Reason state.RetryReason
 	After  time.Duration // wait from now, 0 or more
 
@@ -58,12 +58,12 @@
 }
 
 // Stop ends the request.
-type Stop struct {
+type Deny struct {
 	Denial Denial
 }
 
-func (Again) decision() {}
-func (Stop) decision()  {}
+func (Allow) decision() {}
+func (Deny) decision()  {}
 
 // Denial is the closed list of why a failed attempt is not repeated. Each has
 // a counter of the same name.
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -26,10 +26,10 @@
 
 	// FailingFor is how long a replica that failed is excluded from the
 	// retries of all requests. Default 2 s.
-	FailingFor time.Duration
+	FailureTTL time.Duration
 
 	// MaxFailing bounds the failed replicas remembered a service. Default 64.
-	MaxFailing int
+	MaxFailedReplicas int
 
 	// MaxCustomers bounds the customer budgets held. A customer beyond it has
 	// no retries until another falls idle. Default 8192.
@@ -84,23 +84,23 @@
 // correctness to those that protect capacity, and a refused retry uses no
 // budget.
 func (b *Budgets) Decide(now time.Time, f Failure) Decision {
-	if f.Replica != "" && !f.Blameless {
-		b.failingOf(f.Service).add(f.Replica, now.Add(b.cfg.FailingFor), b.cfg.MaxFailing)
+	if f.Replica != "" && !f.ReplicaHealthy {
+		b.failingOf(f.Service).add(f.Replica, now.Add(b.cfg.FailureTTL), b.cfg.MaxFailedReplicas)
 	}
 	if f.Execution != state.ExecutionNotRun && !f.Repeatable {
-		return Stop{Denial: DenialNotRepeatable}
+		return Deny{Denial: DenialNotRepeatable}
 	}
 	policy := withPolicyDefaults(f.Policy)
 	if f.Attempts >= policy.MaxAttempts {
-		return Stop{Denial: DenialAttempts}
+		return Deny{Denial: DenialAttempts}
 	}
 	if !f.Deadline.IsZero() && !now.Before(f.Deadline) {
-		return Stop{Denial: DenialDeadline}
+		return Deny{Denial: DenialDeadline}
 	}
 	if d, ok := b.spend(now, f, policy.BudgetRatio); !ok {
-		return Stop{Denial: d}
+		return Deny{Denial: d}
 	}
-	return Again{
+	return Allow{
 		Reason:  f.Cause,
 		After:   b.delay(now, f),
 		Exclude: b.exclude(now, f),
@@ -108,7 +108,7 @@
 }
 
 // Failing returns the replicas of a service that failed just before now.
-func (b *Budgets) Failing(now time.Time, svc state.ServiceID) []state.ReplicaID {
+func (b *Budgets) FailedReplicas(now time.Time, svc state.ServiceID) []state.ReplicaID {
 	return b.exclude(now, Failure{Service: svc})
 }
 
@@ -221,8 +221,8 @@
 	setDefault(&c.CustomerFloor, 3)
 	setDefault(&c.BaseDelay, 20*time.Millisecond)
 	setDefault(&c.MaxDelay, time.Second)
-	setDefault(&c.FailingFor, 2*time.Second)
-	setDefault(&c.MaxFailing, 64)
+	setDefault(&c.FailureTTL, 2*time.Second)
+	setDefault(&c.MaxFailedReplicas, 64)
 	setDefault(&c.MaxCustomers, 8192)
 	return c
 }
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -62,7 +62,7 @@
 				Replica:    state.ReplicaID(rapid.SampledFrom([]string{"r1", "r2", "r3"}).Draw(t, "replica")),
 				Deadline:   now.Add(time.Duration(rapid.IntRange(-5, 500).Draw(t, "left")) * time.Millisecond),
 			}
-			again, ok := b.Decide(now, f).(retry.Again)
+			again, ok := b.Decide(now, f).(retry.Allow)
 			if !ok {
 				continue
 			}
@@ -143,7 +143,7 @@
 			Cause: state.RetryStageFailed, Execution: state.ExecutionStarted, Repeatable: true,
 			Replica: state.ReplicaID(fmt.Sprint("r", rng.IntN(40))),
 		})
-		if again, ok := d.(retry.Again); ok {
+		if again, ok := d.(retry.Allow); ok {
 			heap.Push(&queue, attempt{a.end.Add(again.After + 50*time.Millisecond), a.n + 1})
 		}
 	}
@@ -180,23 +180,23 @@
 	It("is retried exactly when no attempt ran", func() {
 		b := newBudgets(retry.Config{})
 		f := retry.Failure{Service: "s", Customer: "c", Attempts: 1, Cause: state.RetryUnstarted, Execution: state.ExecutionNotRun}
-		Expect(b.Decide(epoch, f)).To(BeAssignableToTypeOf(retry.Again{}))
+		Expect(b.Decide(epoch, f)).To(BeAssignableToTypeOf(retry.Allow{}))
 		f.Execution = state.ExecutionUnknown
-		Expect(b.Decide(epoch, f)).To(Equal(retry.Stop{Denial: retry.DenialNotRepeatable}))
+		Expect(b.Decide(epoch, f)).To(Equal(retry.Deny{Denial: retry.DenialNotRepeatable}))
 	})
 })
 
 var _ = Describe("A replica that just failed", func() {
 	It("is excluded from all retries of the service for a while", func() {
-		b := newBudgets(retry.Config{FailingFor: time.Second, MaxFailing: 2})
+		b := newBudgets(retry.Config{FailureTTL: time.Second, MaxFailedReplicas: 2})
 		fail := func(at time.Duration, id state.ReplicaID) []state.ReplicaID {
 			d := b.Decide(epoch.Add(at), retry.Failure{Service: "s", Customer: "c", Attempts: 1, Repeatable: true, Replica: id})
-			return d.(retry.Again).Exclude
+			return d.(retry.Allow).Exclude
 		}
 		Expect(fail(0, "r1")).To(ConsistOf(state.ReplicaID("r1")))
 		Expect(fail(500*time.Millisecond, "r2")).To(ConsistOf(state.ReplicaID("r1"), state.ReplicaID("r2")))
-		Expect(b.Failing(epoch.Add(1200*time.Millisecond), "s")).To(ConsistOf(state.ReplicaID("r2")))
-		Expect(b.Failing(epoch.Add(1500*time.Millisecond), "s")).To(BeEmpty())
+		Expect(b.FailedReplicas(epoch.Add(1200*time.Millisecond), "s")).To(ConsistOf(state.ReplicaID("r2")))
+		Expect(b.FailedReplicas(epoch.Add(1500*time.Millisecond), "s")).To(BeEmpty())
 	})
 })
 
--- a/daemon/retries.go
+++ b/daemon/retries.go
@@ -38,13 +38,13 @@
 		Replica:    a.Replica,
 	}
 	switch d := p.budgets.Decide(p.c.now, failure).(type) {
-	case retry.Again:
+	case retry.Allow:
 		p.c.d.metrics.Retried(d.Reason)
 		p.c.d.log.Emit(telemetry.EventRequestRetried, telemetry.Request(r.spec.ID),
 			telemetry.RetryReason(d.Reason), telemetry.Replica(a.Replica))
 		at := p.c.now.Add(d.After)
 		go r.post(request.RetryDecided{Allowed: true, At: at, Exclude: d.Exclude})
-	case retry.Stop:
+	case retry.Deny:
 		p.denied(r, d.Denial)
 		go r.post(request.RetryDecided{Reason: d.Denial.Reason()})
 	}
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -230,9 +230,9 @@
 		Execution: a.Execution, Repeatable: !r.spec.NeverRepeat, Tried: a.Tried, Replica: a.Replica,
 	})
 	switch d := decision.(type) {
-	case retry.Again:
+	case retry.Allow:
 		r.later(0, request.RetryDecided{Allowed: true, At: r.n.w.now.Add(d.After), Exclude: d.Exclude})
-	case retry.Stop:
+	case retry.Deny:
 		r.later(0, request.RetryDecided{Reason: d.Denial.Reason()})
 	}
 }
