--- a/coordination/retrybudget/budget.go
+++ b/coordination/retrybudget/budget.go
@@ -17,16 +17,16 @@
 const reserve = 0.35
 
 // Sharers are the daemons that share the slack.
-type Sharers struct {
+type SlackShare struct {
 	Daemons int // 0 where that is not known
 	// Anew is set for a daemon that started within the last window, as many others
 	// did. Where few did, their parts spent twice are within the reserve.
-	Anew bool
+	Restarted bool
 }
 
 // AnewShare is the part of the daemons from which on they are many: 0.65 of the slack
 // and a quarter of that are 0.81 of it.
-const AnewShare = 0.25
+const RestartedFraction = 0.25
 
 // Config is what the site allows.
 type Config struct {
@@ -71,7 +71,7 @@
 }
 
 // Spend takes one retry from the budget of a service, if there is one left.
-func (b *Budget) Spend(now time.Time, svc state.ServiceID, by Sharers) bool {
+func (b *Budget) Spend(now time.Time, svc state.ServiceID, by SlackShare) bool {
 	if b.Left(now, svc, by) < 1 {
 		return false
 	}
@@ -82,7 +82,7 @@
 
 // Left is how many retries Spend would still give now. There is no slack where it is
 // not known who shares it.
-func (b *Budget) Left(now time.Time, svc state.ServiceID, by Sharers) int {
+func (b *Budget) Left(now time.Time, svc state.ServiceID, by SlackShare) int {
 	w := b.window(now, svc)
 	requests, retries := 0, 0
 	oldest := (w.slice + 1) % int64(len(w.requests))
@@ -100,8 +100,8 @@
 }
 
 // share is the part of the slack that all daemons like this one may spend together.
-func (s Sharers) share() float64 {
-	if s.Anew {
+func (s SlackShare) share() float64 {
+	if s.Restarted {
 		return reserve
 	}
 	return 1 - reserve
--- a/coordination/retrybudget/budget_test.go
+++ b/coordination/retrybudget/budget_test.go
@@ -17,7 +17,7 @@
 	It("shares the slack among the daemons", func() {
 		now, n := time.Unix(1000, 0), 0
 		b := retrybudget.New(cfg, now)
-		for b.Spend(now, "s", retrybudget.Sharers{Daemons: 7}) {
+		for b.Spend(now, "s", retrybudget.SlackShare{Daemons: 7}) {
 			n++
 		}
 		Expect(7 * n).To(BeNumerically("<=", 200))
@@ -27,10 +27,10 @@
 	It("has room again once a window has passed", func() {
 		now := time.Unix(1000, 0)
 		b := retrybudget.New(cfg, now)
-		for b.Spend(now, "s", retrybudget.Sharers{Daemons: 7}) {
+		for b.Spend(now, "s", retrybudget.SlackShare{Daemons: 7}) {
 		}
-		Expect(b.Spend(now.Add(9*time.Second), "s", retrybudget.Sharers{Daemons: 7})).To(BeFalse())
-		Expect(b.Spend(now.Add(11*time.Second), "s", retrybudget.Sharers{Daemons: 7})).To(BeTrue())
+		Expect(b.Spend(now.Add(9*time.Second), "s", retrybudget.SlackShare{Daemons: 7})).To(BeFalse())
+		Expect(b.Spend(now.Add(11*time.Second), "s", retrybudget.SlackShare{Daemons: 7})).To(BeTrue())
 	})
 
 	// All daemons lose power at once and start again. Backend servers get more repeats
@@ -42,7 +42,7 @@
 		spend := func(anew bool) {
 			for range daemons {
 				b := retrybudget.New(cfg, now)
-				for b.Spend(now, "s", retrybudget.Sharers{Daemons: daemons, Anew: anew}) {
+				for b.Spend(now, "s", retrybudget.SlackShare{Daemons: daemons, Restarted: anew}) {
 					n++
 				}
 			}
@@ -59,19 +59,19 @@
 	It("has no slack where it is not known who shares it", Label("failure:all-lose-power"), func() {
 		now := time.Unix(1000, 0)
 		b := retrybudget.New(cfg, now)
-		Expect(b.Spend(now, "s", retrybudget.Sharers{Daemons: 0})).To(BeFalse())
+		Expect(b.Spend(now, "s", retrybudget.SlackShare{Daemons: 0})).To(BeFalse())
 		for range 10 {
 			b.Request(now, "s")
 		}
-		Expect(b.Spend(now, "s", retrybudget.Sharers{Daemons: 0})).To(BeTrue(), "a share of its own requests is its own")
+		Expect(b.Spend(now, "s", retrybudget.SlackShare{Daemons: 0})).To(BeTrue(), "a share of its own requests is its own")
 	})
 
 	It("counts services apart", func() {
 		now := time.Unix(1000, 0)
 		b := retrybudget.New(cfg, now)
-		for b.Spend(now, "s", retrybudget.Sharers{Daemons: 7}) {
+		for b.Spend(now, "s", retrybudget.SlackShare{Daemons: 7}) {
 		}
-		Expect(b.Spend(now, "t", retrybudget.Sharers{Daemons: 7})).To(BeTrue())
+		Expect(b.Spend(now, "t", retrybudget.SlackShare{Daemons: 7})).To(BeTrue())
 	})
 })
 
@@ -87,7 +87,7 @@
 			if rapid.Bool().Draw(t, "request") {
 				b.Request(now, "s")
 				requests = append(requests, now)
-			} else if b.Spend(now, "s", retrybudget.Sharers{Daemons: 4}) {
+			} else if b.Spend(now, "s", retrybudget.SlackShare{Daemons: 4}) {
 				retries = append(retries, now)
 			}
 		}
--- a/gateway/book.go
+++ b/gateway/book.go
@@ -186,7 +186,7 @@
 	w.early = min(w.early+earlyShare, earlyMost)
 }
 
-func (b *book) spend(now time.Time, svc state.ServiceID, by retrybudget.Sharers) bool {
+func (b *book) spend(now time.Time, svc state.ServiceID, by retrybudget.SlackShare) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget.Spend(now, svc, by)
--- a/gateway/sharers.go
+++ b/gateway/sharers.go
@@ -12,12 +12,12 @@
 
 // sharers are the daemons that share the retry budget. One that sees no other has
 // lost them or has not found them yet: it goes by the table, where gone ones are too.
-func (p *membersPart) sharers() retrybudget.Sharers {
+func (p *membersPart) sharers() retrybudget.SlackShare {
 	live := p.c.view.live
 	if live >= p.most || p.c.now.Sub(p.mostAt) > mostMemory {
 		p.most, p.mostAt = live, p.c.now
 	}
-	out := retrybudget.Sharers{Daemons: p.rows, Anew: p.anew()}
+	out := retrybudget.SlackShare{Daemons: p.rows, Restarted: p.anew()}
 	if p.most > 1 {
 		out.Daemons = p.most
 	}
@@ -39,5 +39,5 @@
 			young++
 		}
 	}
-	return float64(young) > retrybudget.AnewShare*float64(max(p.most, p.rows))
+	return float64(young) > retrybudget.RestartedFraction*float64(max(p.most, p.rows))
 }
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -23,7 +23,7 @@
 	live     int // daemons that take part, this one included
 	near     int // of those, in this one's failure domain
 	found    int // daemons in the table of members when it was read; 0 for never
-	sharers  retrybudget.Sharers
+	sharers  retrybudget.SlackShare
 	draining bool
 }
 
