--- a/coordination/route/asks.go
+++ b/coordination/route/asks.go
@@ -8,18 +8,18 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-func (r *Router) want(now time.Time, w Want) {
-	if r.asks[w.Ask] != nil {
+func (r *Router) want(now time.Time, w AcquireSlot) {
+	if r.asks[w.ID] != nil {
 		panic("route: a slot is wanted twice for one attempt")
 	}
 	s := r.layout.services[w.Service]
 	if s == nil || len(s.pools) == 0 {
-		r.out = append(r.out, Refused{Ask: w.Ask, Reason: state.ReasonNoReplica, RetryAfter: 1})
+		r.out = append(r.out, Refused{ID: w.ID, Reason: state.ReasonNoReplica, RetryAfter: 1})
 		return
 	}
 	a := &ask{want: w}
-	r.asks[w.Ask] = a
-	r.wake(w.Deadline.Add(r.cfg.Grace), w.Ask, false)
+	r.asks[w.ID] = a
+	r.wake(w.Deadline.Add(r.cfg.RefusalGrace), w.ID, false)
 	r.enter(now, a, r.pick.pick(now, s, a))
 }
 
@@ -27,7 +27,7 @@
 func (r *Router) enter(now time.Time, a *ask, p *poolInfo) {
 	a.tried = append(a.tried, p.spec.ID)
 	a.pool, a.misses = p.spec.ID, 0
-	p.mine.wait(a.want.Ask)
+	p.mine.wait(a.want.ID)
 	r.request(now, a, p)
 }
 
@@ -37,9 +37,9 @@
 	p.load.sent++
 	w := a.want
 	r.send(p.home, home.SlotRequest{
-		ID: w.Ask, Pool: p.spec.ID, Class: w.Class, Customer: w.Customer,
-		Budget: max(w.Deadline.Sub(now)-r.cfg.Margin, 0), FirstTokenLatency: w.Lead, Cost: w.Cost, Prefixes: w.Prefixes,
-		Exclude: w.Exclude, Exclusive: w.Alone, Staggered: w.Apart,
+		ID: w.ID, Pool: p.spec.ID, Class: w.Class, Customer: w.Customer,
+		Budget: max(w.Deadline.Sub(now)-r.cfg.TransitMargin, 0), FirstTokenLatency: w.FirstTokenLatency, Cost: w.Cost, Prefixes: w.Prefixes,
+		Exclude: w.Exclude, Exclusive: w.Exclusive, Staggered: w.Staggered,
 	})
 }
 
@@ -72,7 +72,7 @@
 		r.giveUp(a, reason, after)
 		return
 	}
-	wait := time.Duration((p.load.score(now, r.cfg.SummaryAge) - 1) * float64(time.Second))
+	wait := time.Duration((p.load.score(now, r.cfg.SummaryTTL) - 1) * float64(time.Second))
 	if now.Add(wait).After(a.want.Deadline) {
 		r.giveUp(a, reason, after)
 		return
@@ -84,15 +84,15 @@
 // leavePool takes a waiting ask out of its pool's books.
 func (r *Router) leavePool(a *ask) {
 	if p := r.layout.pools[a.pool]; p != nil {
-		p.mine.unwait(a.want.Ask)
+		p.mine.unwait(a.want.ID)
 	}
 }
 
 // giveUp ends a waiting ask with a refusal.
 func (r *Router) giveUp(a *ask, reason state.Reason, after state.RetryAfter) {
 	r.leavePool(a)
-	delete(r.asks, a.want.Ask)
-	r.out = append(r.out, Refused{Ask: a.want.Ask, Reason: reason, RetryAfter: after})
+	delete(r.asks, a.want.ID)
+	r.out = append(r.out, Refused{ID: a.want.ID, Reason: reason, RetryAfter: after})
 }
 
 func (r *Router) cancel(k home.SlotRequestID) {
@@ -107,19 +107,19 @@
 
 // done releases a grant, to the pool's home of now and, if that is another
 // one, to the home that gave it.
-func (r *Router) done(e Done) {
-	a := r.asks[e.Ask]
+func (r *Router) done(e ReleaseSlot) {
+	a := r.asks[e.ID]
 	if a == nil || !a.held {
 		return
 	}
-	delete(r.asks, e.Ask)
+	delete(r.asks, e.ID)
 	m := home.SlotRelease{
-		ID: e.Ask, Pool: a.pool, Replica: a.replica,
-		Outcome: e.Use, Tokens: e.Tokens, DecodeTime: e.Busy,
+		ID: e.ID, Pool: a.pool, Replica: a.replica,
+		Outcome: e.Outcome, Tokens: e.Tokens, DecodeTime: e.DecodeTime,
 	}
 	p := r.layout.pools[a.pool]
 	if p != nil {
-		p.mine.unhold(e.Ask)
+		p.mine.unhold(e.ID)
 		r.send(p.home, m)
 	}
 	if (p == nil || p.home != a.home) && r.isLive(a.home) {
@@ -193,7 +193,7 @@
 		p.mine.unwait(m.ID)
 		p.mine.hold(m.ID)
 		a.held, a.replica, a.home = true, m.Replica, from.ID
-		r.out = append(r.out, Granted{Ask: m.ID, Replica: m.Replica})
+		r.out = append(r.out, Granted{ID: m.ID, Replica: m.Replica})
 	}
 }
 
@@ -218,5 +218,5 @@
 		r.askAgain(now, a)
 		return
 	}
-	r.wake(now.Add(r.cfg.RetryMiss), a.want.Ask, true)
+	r.wake(now.Add(r.cfg.NotHomeRetryDelay), a.want.ID, true)
 }
--- a/coordination/route/bench_test.go
+++ b/coordination/route/bench_test.go
@@ -32,10 +32,10 @@
 	for i := 0; b.Loop(); i++ {
 		k := home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-0-%08x", i)), Attempt: 1}
 		now = now.Add(time.Millisecond)
-		send := r.Step(now, route.Want{Ask: k, Service: "drafting", Class: "draft", Customer: "a", Deadline: now.Add(time.Second)})[0].(route.Send)
+		send := r.Step(now, route.AcquireSlot{ID: k, Service: "drafting", Class: "draft", Customer: "a", Deadline: now.Add(time.Second)})[0].(route.Send)
 		pool := send.Msg.(home.SlotRequest).Pool
 		r.Step(now, route.Received{From: state.Member{ID: send.To, Incarnation: 1}, Msg: home.SlotGrant{ID: k, Pool: pool, Replica: "r00001"}})
-		r.Step(now, route.Done{Ask: k})
+		r.Step(now, route.ReleaseSlot{ID: k})
 		if i%1000 == 999 {
 			r.Step(now, route.Tick{})
 		}
--- a/coordination/route/books.go
+++ b/coordination/route/books.go
@@ -13,7 +13,7 @@
 
 // ask is one Want from its beginning to its Done.
 type ask struct {
-	want    Want
+	want    AcquireSlot
 	pool    home.PoolID
 	home    state.DaemonID // that was asked, or gave the grant
 	tried   []home.PoolID
@@ -73,9 +73,9 @@
 			continue
 		}
 		if a.held {
-			m.Held = append(m.Held, home.HeldGrant{ID: a.want.Ask, Replica: a.replica, Class: a.want.Class})
+			m.Held = append(m.Held, home.HeldGrant{ID: a.want.ID, Replica: a.replica, Class: a.want.Class})
 		} else if a.home == to {
-			m.Waiting = append(m.Waiting, a.want.Ask)
+			m.Waiting = append(m.Waiting, a.want.ID)
 		}
 	}
 	r.send(to, m)
@@ -85,7 +85,7 @@
 // order.
 func (r *Router) inOrder() []*ask {
 	return slices.SortedFunc(maps.Values(r.asks), func(a, b *ask) int {
-		return cmp.Or(cmp.Compare(a.want.Ask.Request, b.want.Ask.Request), cmp.Compare(a.want.Ask.Attempt, b.want.Ask.Attempt))
+		return cmp.Or(cmp.Compare(a.want.ID.Request, b.want.ID.Request), cmp.Compare(a.want.ID.Attempt, b.want.ID.Attempt))
 	})
 }
 
--- a/coordination/route/compare/compare_test.go
+++ b/coordination/route/compare/compare_test.go
@@ -19,11 +19,11 @@
 		t.Skip("only with -compare")
 	}
 	for _, load := range []float64{0.7, 0.9, 0.98, 2} {
-		s := compare.Today(load)
+		s := compare.LargeSetup(load)
 		fmt.Printf("\n40 drafting replicas, load %.2f of %.1f requests/s\n", load, s.Bound())
 		table(s)
 	}
-	s := compare.Counter(0.9)
+	s := compare.SmallSetup(0.9)
 	fmt.Printf("\n3 counter replicas, load 0.90 of %.1f requests/s\n", s.Bound())
 	table(s)
 }
@@ -34,18 +34,18 @@
 		t.Skip("only with -compare")
 	}
 	for _, load := range []float64{0.7, 0.9} {
-		s := compare.Today(load)
+		s := compare.LargeSetup(load)
 		s.Prefixes, s.DraftPrefill = 400, 2*time.Second
 		fmt.Printf("\nload %.2f, 400 prefixes: not told; told with events at once; 5 s late; 5 s late and 30%% lost; all lost\n", load)
-		table(s, compare.HomePerPool)
+		table(s, compare.HomePerPoolOf64)
 		s.Affinity = true
-		table(s, compare.HomePerPool)
+		table(s, compare.HomePerPoolOf64)
 		s.CacheLag = 5 * time.Second
-		table(s, compare.HomePerPool)
+		table(s, compare.HomePerPoolOf64)
 		s.CacheLoss = 0.3
-		table(s, compare.HomePerPool)
+		table(s, compare.HomePerPoolOf64)
 		s.CacheLoss = 1
-		table(s, compare.HomePerPool)
+		table(s, compare.HomePerPoolOf64)
 	}
 }
 
@@ -55,14 +55,14 @@
 	if !*full {
 		t.Skip("only with -compare")
 	}
-	s := compare.Today(0.9)
-	s.Daemons, s.For = 32, 3*time.Minute
+	s := compare.LargeSetup(0.9)
+	s.Daemons, s.Duration = 32, 3*time.Minute
 	one := s.Speeds
 	for len(s.Speeds) < 640 {
 		s.Speeds = append(s.Speeds, one...)
 	}
 	fmt.Printf("\n640 replicas, 32 daemons, load 0.9 of %.0f requests/s\n", s.Bound())
-	table(s, compare.TwoCounting, compare.HomePerOne, compare.HomePerEight, compare.HomePerPool, compare.OnePool)
+	table(s, compare.TwoChoicesCounted, compare.HomePerReplica, compare.HomePerPoolOf8, compare.HomePerPoolOf64, compare.OnePool)
 }
 
 func table(s compare.Setup, policies ...compare.Policy) {
--- a/coordination/route/compare/engine.go
+++ b/coordination/route/compare/engine.go
@@ -30,7 +30,7 @@
 
 // Job is one request.
 type Job struct {
-	Ask      home.SlotRequestID
+	ID       home.SlotRequestID
 	Class    Class
 	Customer state.CustomerID
 	Prefill  time.Duration // at speed 1
@@ -39,7 +39,7 @@
 	Arrived  time.Time
 	Deadline time.Time // for the first token to be worth anything
 
-	Began   time.Time // left the queue for a replica's slot
+	Started time.Time // left the queue for a replica's slot
 	First   time.Time // first token
 	Done    time.Time
 	Refused state.Reason
@@ -66,8 +66,8 @@
 	Failed int
 
 	// Peak is the most jobs that ran at one time; Began counts all.
-	Peak  int
-	Began int
+	Peak    int
+	Started int
 
 	loop    *Loop
 	running int
@@ -110,12 +110,12 @@
 // Start runs j at once; the caller holds a slot for it.
 func (e *Engine) Start(j *Job) {
 	e.running++
-	e.Began++
+	e.Started++
 	e.Peak = max(e.Peak, e.running)
 	if j.Class == Draft {
 		e.drafts++
 	}
-	j.Began, j.Replica = e.loop.Now(), e.Spec.ID
+	j.Started, j.Replica = e.loop.Now(), e.Spec.ID
 	if e.Dead {
 		e.loop.After(time.Millisecond, func() { e.fail(j) })
 		return
--- a/coordination/route/compare/failure_test.go
+++ b/coordination/route/compare/failure_test.go
@@ -20,10 +20,10 @@
 	// idle. Order: all daemons read the same load reports, 0.5 to 1.5 s old,
 	// and send to the same replicas until the next ones. Cause: the lag.
 	It("keeps checks fast where lagging load reports do not", Label("failure:lagging-load"), func() {
-		s := compare.Today(0.9)
-		s.For = 4 * time.Minute
-		lagging := compare.Run(s, compare.TwoCounting)
-		homes := compare.Run(s, compare.HomePerPool)
+		s := compare.LargeSetup(0.9)
+		s.Duration = 4 * time.Minute
+		lagging := compare.Run(s, compare.TwoChoicesCounted)
+		homes := compare.Run(s, compare.HomePerPoolOf64)
 		ms := func(r compare.Result, q float64) int64 { return r.First[compare.Check].ValueAtQuantile(q) / 1000 }
 		Expect(ms(homes, 99)).To(BeNumerically("<", 550))
 		Expect(ms(lagging, 99)).To(BeNumerically(">", 2*ms(homes, 99)))
@@ -36,11 +36,11 @@
 	// steering requests by beliefs that are wrong. Cause: events come late
 	// and with gaps.
 	It("loses nothing by beliefs about caches that are all wrong", Label("failure:late-cache-events"), func() {
-		s := compare.Today(0.9)
-		s.For, s.Prefixes = 4*time.Minute, 5000 // far more than the engines keep
-		untold := compare.Run(s, compare.HomePerPool)
+		s := compare.LargeSetup(0.9)
+		s.Duration, s.Prefixes = 4*time.Minute, 5000 // far more than the engines keep
+		untold := compare.Run(s, compare.HomePerPoolOf64)
 		s.Affinity, s.CacheLoss = true, 1
-		wrong := compare.Run(s, compare.HomePerPool)
+		wrong := compare.Run(s, compare.HomePerPoolOf64)
 		Expect(wrong.Throughput).To(BeNumerically(">", 0.99*untold.Throughput))
 		for _, c := range []compare.Class{compare.Check, compare.Draft} {
 			late := wrong.First[c].ValueAtQuantile(95) - untold.First[c].ValueAtQuantile(95)
--- a/coordination/route/compare/fleet.go
+++ b/coordination/route/compare/fleet.go
@@ -38,12 +38,12 @@
 
 // Daemon is one process.
 type Daemon struct {
-	Member  state.Member
-	Router  *route.Router
-	Home    *home.Home
-	Dead    bool
-	Drains  bool
-	Learned []home.GrantsRecovered
+	Member          state.Member
+	Router          *route.Router
+	Home            *home.Home
+	Dead            bool
+	Draining        bool
+	GrantsRecovered []home.GrantsRecovered
 
 	// Retry asks again for a job whose engine failed.
 	Retry bool
@@ -90,7 +90,7 @@
 	var live []route.Peer
 	for _, d := range f.Daemons {
 		if !d.Dead {
-			live = append(live, route.Peer{Member: d.Member, Draining: d.Drains})
+			live = append(live, route.Peer{Member: d.Member, Draining: d.Draining})
 		}
 	}
 	return live
@@ -100,18 +100,18 @@
 // rest of the fleet learns of the death after detect.
 func (f *Fleet) Kill(d *Daemon, detect time.Duration) {
 	d.Dead = true
-	f.loop.After(detect, f.Spread)
+	f.loop.After(detect, f.SyncViews)
 }
 
 // Spread gives all daemons the true view.
-func (f *Fleet) Spread() {
+func (f *Fleet) SyncViews() {
 	for _, o := range f.Daemons {
-		o.View(f.Peers())
+		o.SetView(f.Peers())
 	}
 }
 
 // View gives the daemon its view of the members.
-func (d *Daemon) View(live []route.Peer) {
+func (d *Daemon) SetView(live []route.Peer) {
 	if !d.Dead {
 		d.view(live)
 	}
@@ -127,7 +127,7 @@
 }
 
 // Leaving tells the daemon that a replica is leaving.
-func (d *Daemon) Leaving(id state.ReplicaID) {
+func (d *Daemon) NotifyLeaving(id state.ReplicaID) {
 	d.home(home.ReplicaLeaving{Replica: id})
 	d.route(route.ReplicaLeaving{Replica: id})
 }
@@ -139,14 +139,14 @@
 
 // Submit starts a job at this daemon.
 func (d *Daemon) Submit(j *Job) {
-	d.jobs[j.Ask] = j
+	d.jobs[j.ID] = j
 	d.want(j, nil)
 }
 
 func (d *Daemon) want(j *Job, exclude []state.ReplicaID) {
-	w := route.Want{
-		Ask: j.Ask, Service: "drafting", Class: classNames[j.Class], Customer: j.Customer,
-		Deadline: j.Deadline, Lead: j.Prefill, Cost: uint32(j.Tokens), Exclude: exclude,
+	w := route.AcquireSlot{
+		ID: j.ID, Service: "drafting", Class: classNames[j.Class], Customer: j.Customer,
+		Deadline: j.Deadline, FirstTokenLatency: j.Prefill, Cost: uint32(j.Tokens), Exclude: exclude,
 	}
 	if j.Prefix != 0 && d.fleet.Affinity {
 		w.Prefixes = []uint64{j.Prefix}
@@ -164,7 +164,7 @@
 		case home.Send:
 			d.fleet.send(d, a.To, a.Msg)
 		case home.GrantsRecovered:
-			d.Learned = append(d.Learned, a)
+			d.GrantsRecovered = append(d.GrantsRecovered, a)
 		}
 	}
 	d.schedule()
@@ -179,7 +179,7 @@
 		switch a := a.(type) {
 		case route.Send:
 			d.fleet.send(d, a.To, a.Msg)
-		case route.Assigned:
+		case route.PoolsAssigned:
 			d.home(home.PoolsAssigned{Pools: a.Pools})
 		case route.Granted:
 			d.start(a)
@@ -191,7 +191,7 @@
 }
 
 func (d *Daemon) start(a route.Granted) {
-	j := d.jobs[a.Ask]
+	j := d.jobs[a.ID]
 	engine := d.fleet.Engines[a.Replica]
 	report := j.Ended
 	j.Ended = func(j *Job) {
@@ -207,26 +207,26 @@
 		return
 	}
 	if !j.Done.IsZero() {
-		d.route(route.Done{Ask: j.Ask, Use: home.OutcomeServed, Tokens: uint32(j.Tokens), Busy: j.Done.Sub(j.First)})
-		delete(d.jobs, j.Ask)
+		d.route(route.ReleaseSlot{ID: j.ID, Outcome: home.OutcomeServed, Tokens: uint32(j.Tokens), DecodeTime: j.Done.Sub(j.First)})
+		delete(d.jobs, j.ID)
 		j.Ended(j)
 		return
 	}
-	d.route(route.Done{Ask: j.Ask, Use: home.OutcomeFailed})
-	delete(d.jobs, j.Ask)
+	d.route(route.ReleaseSlot{ID: j.ID, Outcome: home.OutcomeFailed})
+	delete(d.jobs, j.ID)
 	if !d.Retry {
 		j.Refused = state.ReasonBackendFailed
 		j.Ended(j)
 		return
 	}
-	j.Ask.Attempt++
-	d.jobs[j.Ask] = j
+	j.ID.Attempt++
+	d.jobs[j.ID] = j
 	d.want(j, []state.ReplicaID{e.Spec.ID})
 }
 
 func (d *Daemon) refused(a route.Refused) {
-	j := d.jobs[a.Ask]
-	delete(d.jobs, a.Ask)
+	j := d.jobs[a.ID]
+	delete(d.jobs, a.ID)
 	j.Refused = a.Reason
 	j.Ended(j)
 }
--- a/coordination/route/compare/run.go
+++ b/coordination/route/compare/run.go
@@ -17,35 +17,35 @@
 
 // The policies.
 const (
-	Random       Policy = "random by capacity"
-	TwoChoices   Policy = "two choices, lagging load"
-	TwoCounting  Policy = "two choices, lagging load, own sends counted"
-	HomePerOne   Policy = "home per replica"
-	HomePerEight Policy = "home per pool of 8"
-	HomePerPool  Policy = "home per pool of 64"
-	Unreserved   Policy = "home per pool of 64, no reserved slots"
-	OnePool      Policy = "one home for all"
+	Random            Policy = "random by capacity"
+	TwoChoices        Policy = "two choices, lagging load"
+	TwoChoicesCounted Policy = "two choices, lagging load, own sends counted"
+	HomePerReplica    Policy = "home per replica"
+	HomePerPoolOf8    Policy = "home per pool of 8"
+	HomePerPoolOf64   Policy = "home per pool of 64"
+	Unreserved        Policy = "home per pool of 64, no reserved slots"
+	OnePool           Policy = "one home for all"
 )
 
 // Policies lists those that are compared at today's size, where one home serves
 // a whole service.
 func Policies() []Policy {
-	return []Policy{Random, TwoChoices, TwoCounting, HomePerOne, HomePerEight, HomePerPool, Unreserved}
+	return []Policy{Random, TwoChoices, TwoChoicesCounted, HomePerReplica, HomePerPoolOf8, HomePerPoolOf64, Unreserved}
 }
 
 // Setup is what a run is made of. The workload is Poisson; a share Checks of
 // the requests are checks of fixed size, the others drafts whose length is
 // exponential, cut at MaxTokens.
 type Setup struct {
-	Daemons  int
-	Speeds   []float64 // by replica
-	Slots    int
-	Checks   float64
-	Load     float64 // of the bound
-	For      time.Duration
-	Seed     uint64
-	Prefixes int  // conversations that share a prefix; 0 for none
-	Affinity bool // requests tell their prefix
+	Daemons    int
+	Speeds     []float64 // by replica
+	Slots      int
+	CheckShare float64
+	Load       float64 // of the bound
+	Duration   time.Duration
+	Seed       uint64
+	Prefixes   int  // conversations that share a prefix; 0 for none
+	Affinity   bool // requests tell their prefix
 
 	// Cache events reach homes after CacheLag, a share CacheLoss never.
 	CacheLag  time.Duration
@@ -65,9 +65,9 @@
 )
 
 // Today is the larger user's size: 40 drafting replicas of five kinds.
-func Today(load float64) Setup {
+func LargeSetup(load float64) Setup {
 	s := Setup{
-		Daemons: 9, Slots: 8, Checks: 0.7, Load: load, For: 10 * time.Minute, Seed: 1,
+		Daemons: 9, Slots: 8, CheckShare: 0.7, Load: load, Duration: 10 * time.Minute, Seed: 1,
 		CheckDeadline: 2 * time.Second, DraftDeadline: 10 * time.Second,
 		DraftPrefill: 400 * time.Millisecond,
 	}
@@ -80,9 +80,9 @@
 }
 
 // Counter is 3 replicas of one kind that serve short checks alone.
-func Counter(load float64) Setup {
-	s := Today(load)
-	s.Speeds, s.Checks = []float64{1, 1, 1}, 1
+func SmallSetup(load float64) Setup {
+	s := LargeSetup(load)
+	s.Speeds, s.CheckShare = []float64{1, 1, 1}, 1
 	return s
 }
 
@@ -144,7 +144,7 @@
 	r.build(policy)
 	r.loop.Run(time.Second)
 	r.arrive()
-	r.loop.Run(s.For)
+	r.loop.Run(s.Duration)
 	return r.result()
 }
 
@@ -167,12 +167,12 @@
 	check := checkPrefill + checkTokens*tokenTime
 	tokens := draftTokens * (1 - math.Exp(-maxTokens/draftTokens)) // the mean of the cut distribution
 	draft := s.DraftPrefill + time.Duration(tokens*float64(tokenTime))
-	return time.Duration(s.Checks*float64(check) + (1-s.Checks)*float64(draft))
+	return time.Duration(s.CheckShare*float64(check) + (1-s.CheckShare)*float64(draft))
 }
 
 // build makes the engines and the policy over them.
 func (r *run) build(policy Policy) {
-	size := map[Policy]int{HomePerOne: 1, HomePerEight: 8, OnePool: 1 << 20}[policy]
+	size := map[Policy]int{HomePerReplica: 1, HomePerPoolOf8: 8, OnePool: 1 << 20}[policy]
 	r.specs = specs(r.Speeds, r.Slots, size == 1)
 	doc := Document(len(r.specs))
 	if policy == Unreserved {
@@ -194,11 +194,11 @@
 		r.cacheEvents(engines)
 	}
 	switch policy {
-	case Random, TwoChoices, TwoCounting:
+	case Random, TwoChoices, TwoChoicesCounted:
 		p := newDirect(r.loop, engines, r.Daemons, rand.New(rand.NewPCG(r.Seed, 8)))
 		p.choose = p.random
 		if policy != Random {
-			p.choose = p.twoChoices(policy == TwoCounting)
+			p.choose = p.twoChoices(policy == TwoChoicesCounted)
 		}
 		r.submit = p.submit
 	default:
@@ -238,7 +238,7 @@
 	}
 	r.res.Completed++
 	r.done += j.work()
-	_ = r.res.Wait[j.Class].RecordValue(j.Began.Sub(j.Arrived).Microseconds())
+	_ = r.res.Wait[j.Class].RecordValue(j.Started.Sub(j.Arrived).Microseconds())
 	_ = r.res.First[j.Class].RecordValue(j.First.Sub(j.Arrived).Microseconds())
 	_ = r.res.Total[j.Class].RecordValue(j.Done.Sub(j.Arrived).Microseconds())
 	if j.First.After(j.Deadline) {
--- a/coordination/route/compare/workload.go
+++ b/coordination/route/compare/workload.go
@@ -64,13 +64,13 @@
 	now := r.loop.Now()
 	r.serial++
 	j := &Job{
-		Ask:      home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-0-%012x", r.serial)), Attempt: 1},
+		ID:       home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-0-%012x", r.serial)), Attempt: 1},
 		Customer: customerName(min(int(r.rng.ExpFloat64()*2), customers-1)),
 		Class:    Draft, Prefill: r.DraftPrefill, Arrived: now, Deadline: now.Add(r.DraftDeadline),
 		Tokens: min(int(r.rng.ExpFloat64()*draftTokens)+1, maxTokens),
 		Ended:  r.ended,
 	}
-	if r.rng.Float64() < r.Checks {
+	if r.rng.Float64() < r.CheckShare {
 		j.Class, j.Prefill, j.Tokens = Check, checkPrefill, checkTokens
 		j.Deadline = now.Add(r.CheckDeadline)
 	}
--- a/coordination/route/event.go
+++ b/coordination/route/event.go
@@ -65,36 +65,36 @@
 }
 
 // Want asks for a slot.
-type Want struct {
-	Ask      home.SlotRequestID
-	Service  state.ServiceID
-	Class    state.ClassID
-	Customer state.CustomerID
-	Deadline time.Time     // for the first token
-	Lead     time.Duration // from slot to first token at speed 1; 0 not known
-	Cost     uint32        // expected tokens; 0 not known
-	Prefixes []uint64      // hashes of the prompt's prefix blocks, longest first
-	Exclude  []state.ReplicaID
-	Alone    bool
-	Apart    bool // see home.SlotRequest
+type AcquireSlot struct {
+	ID                home.SlotRequestID
+	Service           state.ServiceID
+	Class             state.ClassID
+	Customer          state.CustomerID
+	Deadline          time.Time     // for the first token
+	FirstTokenLatency time.Duration // from slot to first token at speed 1; 0 not known
+	Cost              uint32        // expected tokens; 0 not known
+	Prefixes          []uint64      // hashes of the prompt's prefix blocks, longest first
+	Exclude           []state.ReplicaID
+	Exclusive         bool
+	Staggered         bool // see home.SlotRequest
 }
 
 // Done ends a grant.
-type Done struct {
-	Ask    home.SlotRequestID
-	Use    home.SlotOutcome
-	Tokens uint32        // made in Busy
-	Busy   time.Duration // from the first token to the last
+type ReleaseSlot struct {
+	ID         home.SlotRequestID
+	Outcome    home.SlotOutcome
+	Tokens     uint32        // made in Busy
+	DecodeTime time.Duration // from the first token to the last
 }
 
 // Passed says that a request that is apart has done what may end its replica.
-type Passed struct {
-	Ask home.SlotRequestID
+type ExclusiveEnded struct {
+	ID home.SlotRequestID
 }
 
 // Cancel ends a Want that was not granted yet.
-type Cancel struct {
-	Ask home.SlotRequestID
+type CancelAcquire struct {
+	ID home.SlotRequestID
 }
 
 func (Tick) event()            {}
@@ -105,10 +105,10 @@
 func (ReplicaLeaving) event()  {}
 func (ReplicaReturned) event() {}
 func (RegionsChanged) event()  {}
-func (Passed) event()          {}
-func (Want) event()            {}
-func (Done) event()            {}
-func (Cancel) event()          {}
+func (ExclusiveEnded) event()  {}
+func (AcquireSlot) event()     {}
+func (ReleaseSlot) event()     {}
+func (CancelAcquire) event()   {}
 
 // Action is what a Router wants done.
 type Action interface {
@@ -123,26 +123,26 @@
 
 // Granted gives the slot that was wanted.
 type Granted struct {
-	Ask     home.SlotRequestID
+	ID      home.SlotRequestID
 	Replica state.ReplicaID
 }
 
 // Refused ends a Want without a slot.
 type Refused struct {
-	Ask        home.SlotRequestID
+	ID         home.SlotRequestID
 	Reason     state.Reason
 	RetryAfter state.RetryAfter
 }
 
 // Assigned lists all pools that this daemon is home of from now on.
-type Assigned struct {
+type PoolsAssigned struct {
 	Pools []home.PoolSpec
 }
 
-func (Send) action()     {}
-func (Granted) action()  {}
-func (Refused) action()  {}
-func (Assigned) action() {}
+func (Send) action()          {}
+func (Granted) action()       {}
+func (Refused) action()       {}
+func (PoolsAssigned) action() {}
 
 // Config holds the settings of a Router. Zero durations and counts take the
 // defaults of DefaultConfig.
@@ -159,19 +159,19 @@
 	PoolSize int
 
 	// RenewEvery is the time between renewals.
-	RenewEvery time.Duration
+	RenewInterval time.Duration
 
 	// RetryMiss is the wait before a daemon that was not home is asked again.
-	RetryMiss time.Duration
+	NotHomeRetryDelay time.Duration
 
 	// Margin is taken off each budget for the way to the home and the replica.
-	Margin time.Duration
+	TransitMargin time.Duration
 
 	// Grace is how long past a deadline a home may take to refuse.
-	Grace time.Duration
+	RefusalGrace time.Duration
 
 	// SummaryAge is how long a pool's summary is believed.
-	SummaryAge time.Duration
+	SummaryTTL time.Duration
 
 	// MaxPools bounds the pools that one ask tries.
 	MaxPools int
@@ -180,24 +180,24 @@
 // DefaultConfig returns the settings used where Config has zero fields.
 func DefaultConfig() Config {
 	return Config{
-		PoolSize:   64,
-		RenewEvery: time.Second,
-		RetryMiss:  100 * time.Millisecond,
-		Margin:     10 * time.Millisecond,
-		Grace:      50 * time.Millisecond,
-		SummaryAge: 5 * time.Second,
-		MaxPools:   2,
+		PoolSize:          64,
+		RenewInterval:     time.Second,
+		NotHomeRetryDelay: 100 * time.Millisecond,
+		TransitMargin:     10 * time.Millisecond,
+		RefusalGrace:      50 * time.Millisecond,
+		SummaryTTL:        5 * time.Second,
+		MaxPools:          2,
 	}
 }
 
 func (c Config) withDefaults() Config {
 	d := DefaultConfig()
 	c.PoolSize = orDefault(c.PoolSize, d.PoolSize)
-	c.RenewEvery = orDefault(c.RenewEvery, d.RenewEvery)
-	c.RetryMiss = orDefault(c.RetryMiss, d.RetryMiss)
-	c.Margin = orDefault(c.Margin, d.Margin)
-	c.Grace = orDefault(c.Grace, d.Grace)
-	c.SummaryAge = orDefault(c.SummaryAge, d.SummaryAge)
+	c.RenewInterval = orDefault(c.RenewInterval, d.RenewInterval)
+	c.NotHomeRetryDelay = orDefault(c.NotHomeRetryDelay, d.NotHomeRetryDelay)
+	c.TransitMargin = orDefault(c.TransitMargin, d.TransitMargin)
+	c.RefusalGrace = orDefault(c.RefusalGrace, d.RefusalGrace)
+	c.SummaryTTL = orDefault(c.SummaryTTL, d.SummaryTTL)
 	c.MaxPools = orDefault(c.MaxPools, d.MaxPools)
 	return c
 }
--- a/coordination/route/fleet_test.go
+++ b/coordination/route/fleet_test.go
@@ -63,7 +63,7 @@
 	}
 	now := s.loop.Now()
 	j := &compare.Job{
-		Ask:     home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-%d-%06d", i, len(s.jobs))), Attempt: 1},
+		ID:      home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-%d-%06d", i, len(s.jobs))), Attempt: 1},
 		Class:   compare.Draft,
 		Prefill: 200 * time.Millisecond, Tokens: 1 + int(s.rng.ExpFloat64()*100),
 		Customer: state.CustomerID(fmt.Sprintf("customer-%d", s.rng.IntN(10))),
@@ -121,7 +121,7 @@
 func (s *site) wrong() string {
 	for _, j := range s.jobs {
 		if n := s.ended[j]; n > 1 || n == 0 && !s.entryDied(j) {
-			return fmt.Sprintf("%v ended %d times", j.Ask, n)
+			return fmt.Sprintf("%v ended %d times", j.ID, n)
 		}
 	}
 	for _, d := range s.Daemons {
@@ -135,7 +135,7 @@
 
 func (s *site) entryDied(j *compare.Job) bool {
 	return slices.ContainsFunc(s.Daemons, func(d *compare.Daemon) bool {
-		return d.Dead && strings.HasPrefix(string(j.Ask.Request), string(d.Member.ID))
+		return d.Dead && strings.HasPrefix(string(j.ID.Request), string(d.Member.ID))
 	})
 }
 
@@ -143,8 +143,8 @@
 func (s *site) longestGap(from, to time.Time) time.Duration {
 	var began []time.Time
 	for _, j := range s.jobs {
-		if !j.Began.IsZero() && j.Began.After(from) && j.Began.Before(to) {
-			began = append(began, j.Began)
+		if !j.Started.IsZero() && j.Started.After(from) && j.Started.Before(to) {
+			began = append(began, j.Started)
 		}
 	}
 	began = append(began, to)
@@ -202,14 +202,14 @@
 		blind := 0
 		for _, d := range s.Daemons {
 			if d != first && blind < 4 {
-				d.View(rest)
+				d.SetView(rest)
 				blind++
 			}
 		}
 		s.loop.Run(30 * time.Second)
 		AddReportEntry("most requests on 8 slots under two homes", fmt.Sprint(s.peak()))
 		Expect(s.peak()).To(BeNumerically("<=", 16))
-		s.Spread()
+		s.SyncViews()
 		s.loop.Run(30 * time.Second)
 		s.resetPeaks()
 		s.loop.Run(30 * time.Second)
@@ -227,11 +227,11 @@
 		s.loop.Run(20 * time.Second)
 		id := s.specs[1].ID
 		told := s.other(s.homeOf(0))
-		s.Daemons[told].Leaving(id)
+		s.Daemons[told].NotifyLeaving(id)
 		s.loop.Run(2 * time.Second)
-		began := s.Engines[id].Began
+		began := s.Engines[id].Started
 		s.loop.Run(30 * time.Second)
-		Expect(s.Engines[id].Began).To(Equal(began))
+		Expect(s.Engines[id].Started).To(Equal(began))
 		s.settle()
 		Expect(s.wrong()).To(BeEmpty())
 	})
@@ -242,9 +242,9 @@
 		s := newSite(9, 20, 8, 80)
 		s.loop.Run(20 * time.Second)
 		first := s.homeOf(0)
-		first.Drains = true
+		first.Draining = true
 		at := s.loop.Now()
-		s.Spread()
+		s.SyncViews()
 		s.loop.Run(30 * time.Second)
 		Expect(s.homeOf(0)).NotTo(Equal(first))
 		AddReportEntry("longest time without a grant in the second after", s.longestGap(at, at.Add(time.Second)).String())
@@ -273,12 +273,12 @@
 		}
 		for _, d := range s.Daemons {
 			if d != cut {
-				d.View(rest)
+				d.SetView(rest)
 			}
 		}
 		s.loop.Run(500 * time.Millisecond)
 		s.Drop = nil
-		s.Spread()
+		s.SyncViews()
 		s.loop.Run(5 * time.Millisecond)
 		s.resetPeaks()
 		s.loop.Run(10 * time.Second)
@@ -316,9 +316,9 @@
 		AddReportEntry("calls that failed in 60 s", fmt.Sprint(dead.Failed))
 		Expect(dead.Failed).To(BeNumerically("<", 20))
 		dead.Dead = false
-		began := dead.Began
+		began := dead.Started
 		s.loop.Run(time.Minute)
-		Expect(dead.Began - began).To(BeNumerically(">", 50))
+		Expect(dead.Started - began).To(BeNumerically(">", 50))
 		s.settle()
 		Expect(s.wrong()).To(BeEmpty())
 	})
@@ -335,12 +335,12 @@
 		s.loop.Run(30 * time.Second)
 		before := map[state.ReplicaID]int{}
 		for id, e := range s.Engines {
-			before[id] = e.Began
+			before[id] = e.Started
 		}
 		s.loop.Run(2 * time.Minute)
-		got, all := slow.Began-before[slow.Spec.ID], 0
+		got, all := slow.Started-before[slow.Spec.ID], 0
 		for id, e := range s.Engines {
-			all += e.Began - before[id]
+			all += e.Started - before[id]
 		}
 		AddReportEntry("share of requests on the slow one of 10 replicas", fmt.Sprintf("%.1f%%", 100*float64(got)/float64(all)))
 		Expect(float64(got) / float64(all)).To(BeNumerically("<", 0.005))
--- a/coordination/route/layout_test.go
+++ b/coordination/route/layout_test.go
@@ -101,7 +101,7 @@
 				s.loop.Run(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
 			}
 			s.Drop = nil
-			s.Spread()
+			s.SyncViews()
 			s.settle()
 			if w := s.wrong(); w != "" {
 				t.Fatal(w)
@@ -132,16 +132,16 @@
 				rest = append(rest, p)
 			}
 		}
-		d.View(rest)
+		d.SetView(rest)
 	case "seeing":
-		s.Spread()
+		s.SyncViews()
 	case "leaving":
 		if len(s.specs) > 1 {
-			d.Leaving(s.specs[0].ID)
+			d.NotifyLeaving(s.specs[0].ID)
 		}
 	case "drain":
-		d.Drains = i > 0
-		s.Spread()
+		d.Draining = i > 0
+		s.SyncViews()
 	case "engine":
 		e := s.Engines[s.specs[len(s.specs)-1].ID]
 		e.Dead = !e.Dead
--- a/coordination/route/router.go
+++ b/coordination/route/router.go
@@ -33,7 +33,7 @@
 	cfg = cfg.withDefaults()
 	return &Router{
 		cfg:     cfg,
-		pick:    picker{rng: rng, maxAge: cfg.SummaryAge},
+		pick:    picker{rng: rng, maxAge: cfg.SummaryTTL},
 		layout:  newLayout(),
 		asks:    make(map[home.SlotRequestID]*ask),
 		leaving: make(map[state.ReplicaID]bool),
@@ -45,7 +45,7 @@
 	r.out = r.out[:0]
 	if r.renewAt.IsZero() {
 		// Spread the renewals of daemons that start together.
-		r.renewAt = now.Add(time.Duration(r.pick.rng.Int64N(int64(r.cfg.RenewEvery))))
+		r.renewAt = now.Add(time.Duration(r.pick.rng.Int64N(int64(r.cfg.RenewInterval))))
 	}
 	switch e := ev.(type) {
 	case Tick:
@@ -65,14 +65,14 @@
 		r.cfg.Regions = e.Regions
 	case ReplicaReturned:
 		delete(r.leaving, e.Replica)
-	case Want:
+	case AcquireSlot:
 		r.want(now, e)
-	case Passed:
-		r.passed(e.Ask)
-	case Done:
+	case ExclusiveEnded:
+		r.passed(e.ID)
+	case ReleaseSlot:
 		r.done(e)
-	case Cancel:
-		r.cancel(e.Ask)
+	case CancelAcquire:
+		r.cancel(e.ID)
 	}
 	return r.out
 }
@@ -120,7 +120,7 @@
 		}
 	}
 	if !now.Before(r.renewAt) {
-		r.renewAt = now.Add(r.cfg.RenewEvery)
+		r.renewAt = now.Add(r.cfg.RenewInterval)
 		r.renew()
 	}
 }
@@ -197,7 +197,7 @@
 	own := r.layout.owned(r.cfg.Self.ID)
 	if !slices.EqualFunc(own, r.own, sameSpec) {
 		r.own = own
-		r.out = append(r.out, Assigned{Pools: own})
+		r.out = append(r.out, PoolsAssigned{Pools: own})
 	}
 }
 
--- a/coordination/route/site_test.go
+++ b/coordination/route/site_test.go
@@ -15,7 +15,7 @@
 func (s *site) runs() int {
 	n := 0
 	for _, e := range s.Engines {
-		n += e.Began
+		n += e.Started
 	}
 	return n
 }
--- a/daemon/slots.go
+++ b/daemon/slots.go
@@ -97,7 +97,7 @@
 			p.granted(a)
 		case route.Refused:
 			p.refused(a)
-		case route.Assigned:
+		case route.PoolsAssigned:
 			p.assigned(a.Pools)
 		}
 	}
@@ -263,23 +263,23 @@
 	p.wants[ask] = r
 	prefixes := state.Prefixes(r.spec.Prompt)
 	slices.Reverse(prefixes)
-	p.route(route.Want{
-		Ask:      ask,
-		Service:  r.spec.Service,
-		Class:    r.spec.Class,
-		Customer: r.spec.Customer,
-		Deadline: r.spec.FirstTokenDeadline,
-		Cost:     uint32(max(r.spec.MaxTokens, 1)),
-		Prefixes: prefixes,
-		Exclude:  a.Exclude,
-		Alone:    alone,
-		Apart:    alone,
+	p.route(route.AcquireSlot{
+		ID:        ask,
+		Service:   r.spec.Service,
+		Class:     r.spec.Class,
+		Customer:  r.spec.Customer,
+		Deadline:  r.spec.FirstTokenDeadline,
+		Cost:      uint32(max(r.spec.MaxTokens, 1)),
+		Prefixes:  prefixes,
+		Exclude:   a.Exclude,
+		Exclusive: alone,
+		Staggered: alone,
 	})
 }
 
 // passed lets others begin on the replica of a request that was alone.
 func (p *slotsPart) passed(r *runner, attempt state.Attempt) {
-	p.route(route.Passed{Ask: home.SlotRequestID{Request: r.spec.ID, Attempt: attempt}})
+	p.route(route.ExclusiveEnded{ID: home.SlotRequestID{Request: r.spec.ID, Attempt: attempt}})
 }
 
 func (p *slotsPart) stop(r *runner, attempt state.Attempt) {
@@ -288,7 +288,7 @@
 		return
 	}
 	delete(p.wants, ask)
-	p.route(route.Cancel{Ask: ask})
+	p.route(route.CancelAcquire{ID: ask})
 }
 
 func (p *slotsPart) release(id state.RequestID, a request.ReleaseSlot, tokens int, busy time.Duration) {
@@ -299,35 +299,35 @@
 	case a.Failed:
 		use = home.OutcomeFailed
 	}
-	p.route(route.Done{
-		Ask:    home.SlotRequestID{Request: id, Attempt: a.Grant},
-		Use:    use,
-		Tokens: uint32(tokens),
-		Busy:   busy,
+	p.route(route.ReleaseSlot{
+		ID:         home.SlotRequestID{Request: id, Attempt: a.Grant},
+		Outcome:    use,
+		Tokens:     uint32(tokens),
+		DecodeTime: busy,
 	})
 }
 
 func (p *slotsPart) granted(a route.Granted) {
-	r, ok := p.wants[a.Ask]
+	r, ok := p.wants[a.ID]
 	replica, known := p.replicas[a.Replica]
-	delete(p.wants, a.Ask)
+	delete(p.wants, a.ID)
 	switch {
 	case !ok:
-		p.c.later(func() { p.route(route.Done{Ask: a.Ask, Use: home.OutcomeUnused}) })
+		p.c.later(func() { p.route(route.ReleaseSlot{ID: a.ID, Outcome: home.OutcomeUnused}) })
 	case !known:
 		// The home has a newer document than this daemon. The request asks
 		// again for another replica; it would wait for ever otherwise.
-		go r.post(request.SlotUnusable{Grant: a.Ask.Attempt, Replica: a.Replica, UnknownReplica: true})
+		go r.post(request.SlotUnusable{Grant: a.ID.Attempt, Replica: a.Replica, UnknownReplica: true})
 	default:
 		p.c.d.metrics.ObserveClass(telemetry.QueueSeconds, r.spec.Service, r.spec.Class, p.c.now.Sub(r.arrived))
 		p.c.quarantine.began(r, replica.ID)
-		go r.grant(a.Ask.Attempt, replica)
+		go r.grant(a.ID.Attempt, replica)
 	}
 }
 
 func (p *slotsPart) refused(a route.Refused) {
-	r, ok := p.wants[a.Ask]
-	delete(p.wants, a.Ask)
+	r, ok := p.wants[a.ID]
+	delete(p.wants, a.ID)
 	if ok {
 		if a.Reason == state.ReasonQueueFull {
 			p.c.d.log.Emit(telemetry.EventQueueFull, telemetry.Service(r.spec.Service), telemetry.Class(r.spec.Class))
