--- a/coordination/claims/message.go
+++ b/coordination/claims/message.go
@@ -36,7 +36,7 @@
 		Key:   w.Key,
 		Base:  commit.Txn.Conditions[0].Revision,
 		Value: w.Value,
-		Lazy:  a.Call.Class == store.ClassLazy,
+		Lazy:  a.Call.Class == store.ClassBackground,
 	}, true
 }
 
--- a/coordination/claims/sweep.go
+++ b/coordination/claims/sweep.go
@@ -125,7 +125,7 @@
 func (s *Sweeper) send(req store.Request) store.Call {
 	s.last++
 	s.call = s.last
-	return store.Call{ID: s.call, Class: store.ClassLazy, Request: req}
+	return store.Call{ID: s.call, Class: store.ClassBackground, Request: req}
 }
 
 // old picks the rows whose last write is past the retention.
--- a/coordination/claims/sweep_test.go
+++ b/coordination/claims/sweep_test.go
@@ -34,7 +34,7 @@
 			for at.Sub(now) < 13*time.Hour {
 				call, ok := sw.Tick(at)
 				for ok {
-					Expect(call.Class).To(Equal(store.ClassLazy))
+					Expect(call.Class).To(Equal(store.ClassBackground))
 					res := s.serve(call.Request, fateOK)
 					res.Call = call.ID
 					call, ok = sw.Answered(at, res)
--- a/coordination/claims/write.go
+++ b/coordination/claims/write.go
@@ -43,7 +43,7 @@
 	key := c.req.Key.Row()
 	class := store.ClassClaim
 	if c.intent == intentEnd {
-		class = store.ClassLazy
+		class = store.ClassBackground
 	}
 	c.send(class, store.Commit{Txn: store.Txn{
 		Conditions: []store.Condition{{Table: Table, Key: key, Revision: c.base}},
--- a/coordination/quarantine/machine.go
+++ b/coordination/quarantine/machine.go
@@ -219,7 +219,7 @@
 		m.spreadAgain(now, m.spreading[seq])
 	}
 	if !now.Before(m.nextScan) && m.scanning == 0 {
-		m.scanning = m.store(store.Scan{Table: Table}, store.ClassLazy)
+		m.scanning = m.store(store.Scan{Table: Table}, store.ClassBackground)
 	}
 	if !now.Before(m.nextScan) {
 		m.nextScan = now.Add(m.cfg.ScanInterval)
--- a/coordination/quarantine/scan.go
+++ b/coordination/quarantine/scan.go
@@ -38,6 +38,6 @@
 		txn.Writes = append(txn.Writes, store.Write{Table: row.Table, Key: row.Key, Delete: true})
 	}
 	if len(txn.Writes) > 0 {
-		m.store(store.Commit{Txn: txn}, store.ClassLazy)
+		m.store(store.Commit{Txn: txn}, store.ClassBackground)
 	}
 }
--- a/coordination/store/store.go
+++ b/coordination/store/store.go
@@ -42,12 +42,12 @@
 
 // The values of Class, most urgent first.
 const (
-	ClassClaim    Class = iota // claims of never-repeat requests
-	ClassLease                 // controllers' leases
-	ClassDocument              // edits and polls of service documents
-	ClassPresence              // daemons' presence rows
-	ClassLazy                  // terminal outcomes, sweeps: may wait
-	Classes       = 5          // how many there are
+	ClassClaim      Class = iota // claims of never-repeat requests
+	ClassLease                   // controllers' leases
+	ClassDocument                // edits and polls of service documents
+	ClassPresence                // daemons' presence rows
+	ClassBackground              // terminal outcomes, sweeps: may wait
+	NumClasses      = 5          // how many there are
 )
 
 // Request is what a call asks: Commit, Get or Scan.
--- a/coordination/storebudget/budget.go
+++ b/coordination/storebudget/budget.go
@@ -35,9 +35,9 @@
 	cfg     Config
 	rng     *rand.Rand
 	roles   Roles
-	buckets [kinds][store.Classes]bucket
+	buckets [kinds][store.NumClasses]bucket
 	spare   [kinds]float64 // what full buckets left over, for any class
-	queues  [kinds][store.Classes][]waiting
+	queues  [kinds][store.NumClasses][]waiting
 	usage   Usage
 
 	last       time.Time // of the last refill
@@ -215,7 +215,7 @@
 
 // grant lets calls go, most urgent class first.
 func (b *Budget) grant() {
-	for c := range store.Classes {
+	for c := range store.NumClasses {
 		for k := range kinds {
 			for len(b.queues[k][c]) > 0 && b.take(Kind(k), store.Class(c)) {
 				w := b.queues[k][c][0].want
--- a/coordination/storebudget/budget_test.go
+++ b/coordination/storebudget/budget_test.go
@@ -117,7 +117,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 				for range rapid.IntRange(0, 30).Draw(t, "wants") {
 					wanted++
-					class := store.Class(rapid.IntRange(0, store.Classes-1).Draw(t, "class"))
+					class := store.Class(rapid.IntRange(0, store.NumClasses-1).Draw(t, "class"))
 					for _, a := range b.Step(now, storebudget.Want{ID: uint64(wanted), Class: class, Kind: storebudget.Write}) {
 						switch a := a.(type) {
 						case storebudget.Grant:
@@ -129,7 +129,7 @@
 					}
 				}
 				rate, burst := 0.0, 0.0
-				for c := range store.Classes {
+				for c := range store.NumClasses {
 					r := cfg.Rate(roles, storebudget.Write, store.Class(c))
 					rate += r
 					burst += max(r, 1)
@@ -141,7 +141,7 @@
 			}
 			counted := b.Usage()
 			total := 0
-			for c := range store.Classes {
+			for c := range store.NumClasses {
 				total += counted.Granted[storebudget.Write][c]
 			}
 			if total+b.Waiting() > wanted {
@@ -159,7 +159,7 @@
 				if i < 5 {
 					roles.Leases = 1
 				}
-				for c := range store.Classes {
+				for c := range store.NumClasses {
 					sum += cfg.Rate(roles, storebudget.Write, store.Class(c))
 				}
 			}
--- a/coordination/storebudget/config.go
+++ b/coordination/storebudget/config.go
@@ -22,8 +22,8 @@
 	ReadsPerSecond  float64
 
 	// Shares of the site's rate by class; they add up to 1.
-	WriteShares [store.Classes]float64
-	ReadShares  [store.Classes]float64
+	WriteShares [store.NumClasses]float64
+	ReadShares  [store.NumClasses]float64
 
 	// SpreadShare is the part of the claim and lease shares that all daemons
 	// have alike, for claims written without a key home and for taking leases
@@ -45,8 +45,8 @@
 	return Config{
 		WritesPerSecond: 300,
 		ReadsPerSecond:  2000,
-		WriteShares:     [store.Classes]float64{0.55, 0.15, 0.10, 0.10, 0.10},
-		ReadShares:      [store.Classes]float64{0.40, 0.25, 0.25, 0.05, 0.05},
+		WriteShares:     [store.NumClasses]float64{0.55, 0.15, 0.10, 0.10, 0.10},
+		ReadShares:      [store.NumClasses]float64{0.40, 0.25, 0.25, 0.05, 0.05},
 		SpreadShare:     0.2,
 		MaxQueue:        1024,
 		MaxWait:         5 * time.Second,
--- a/coordination/storebudget/events.go
+++ b/coordination/storebudget/events.go
@@ -70,8 +70,8 @@
 // Usage is what was granted and refused since the Budget was made, by kind and
 // class, and how the store is doing.
 type Usage struct {
-	Granted   [kinds][store.Classes]int
-	Shed      [kinds][store.Classes]int
+	Granted   [kinds][store.NumClasses]int
+	Shed      [kinds][store.NumClasses]int
 	Throttled int     // calls that the store refused or was slow to answer
 	Factor    float64 // of this daemon's share now in use, 1 for all
 	Down      bool
