--- a/coordination/storebudget/budget.go
+++ b/coordination/storebudget/budget.go
@@ -20,7 +20,7 @@
 const spareSeconds = 0.5
 
 type waiting struct {
-	want Want
+	want Request
 	at   time.Time
 }
 
@@ -82,9 +82,9 @@
 	b.out = nil
 	b.refill()
 	switch ev := ev.(type) {
-	case Want:
+	case Request:
 		b.want(ev)
-	case Withdraw:
+	case Cancel:
 		b.withdraw(ev.ID)
 	case Finished:
 		b.finished(ev)
@@ -126,7 +126,7 @@
 
 // delay is how long a class's own tokens take to pay for w; spare ones may make
 // it shorter.
-func (b *Budget) delay(bk *bucket, w Want) time.Duration {
+func (b *Budget) delay(bk *bucket, w Request) time.Duration {
 	const shortest, longest = time.Millisecond, time.Second
 	if bk.rate <= 0 {
 		return longest
@@ -172,7 +172,7 @@
 	}
 }
 
-func (b *Budget) want(w Want) {
+func (b *Budget) want(w Request) {
 	w.Cost = max(w.Cost, 1)
 	q := &b.queues[w.Kind][w.Class]
 	if len(*q) >= b.cfg.MaxQueue {
@@ -195,7 +195,7 @@
 	}
 }
 
-func (b *Budget) shed(w Want) {
+func (b *Budget) shed(w Request) {
 	b.usage.Shed[w.Kind][w.Class]++
 	b.out = append(b.out, Shed{ID: w.ID})
 }
--- a/coordination/storebudget/budget_test.go
+++ b/coordination/storebudget/budget_test.go
@@ -74,7 +74,7 @@
 
 func (f *fleet) want(i int, class store.Class, kind storebudget.Kind) {
 	f.next++
-	f.step(i, storebudget.Want{ID: f.next, Class: class, Kind: kind})
+	f.step(i, storebudget.Request{ID: f.next, Class: class, Kind: kind})
 }
 
 // run lets time pass by steps of 5 ms, and calls load in each.
@@ -118,7 +118,7 @@
 				for range rapid.IntRange(0, 30).Draw(t, "wants") {
 					wanted++
 					class := store.Class(rapid.IntRange(0, store.NumClasses-1).Draw(t, "class"))
-					for _, a := range b.Step(now, storebudget.Want{ID: uint64(wanted), Class: class, Kind: storebudget.Write}) {
+					for _, a := range b.Step(now, storebudget.Request{ID: uint64(wanted), Class: class, Kind: storebudget.Write}) {
 						switch a := a.(type) {
 						case storebudget.Grant:
 							granted++
@@ -248,7 +248,7 @@
 	now := start
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(10 * time.Millisecond)
-		m.Step(now, storebudget.Want{ID: uint64(i), Kind: storebudget.Write})
+		m.Step(now, storebudget.Request{ID: uint64(i), Kind: storebudget.Write})
 		m.Step(now, storebudget.Finished{ID: uint64(i), Status: store.Done})
 	}
 }
--- a/coordination/storebudget/events.go
+++ b/coordination/storebudget/events.go
@@ -13,7 +13,7 @@
 
 // Want asks to send a store call. ID is the caller's own number; Cost counts
 // against the rate, 0 taken as 1.
-type Want struct {
+type Request struct {
 	ID    uint64
 	Class store.Class
 	Kind  Kind
@@ -21,7 +21,7 @@
 }
 
 // Withdraw takes back a Want that was not granted yet.
-type Withdraw struct {
+type Cancel struct {
 	ID uint64
 }
 
@@ -42,8 +42,8 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Want) event()         {}
-func (Withdraw) event()     {}
+func (Request) event()      {}
+func (Cancel) event()       {}
 func (Finished) event()     {}
 func (RolesChanged) event() {}
 func (Tick) event()         {}
--- a/daemon/store.go
+++ b/daemon/store.go
@@ -69,7 +69,7 @@
 	if call.Writes() {
 		kind = storebudget.Write
 	}
-	s.step(storebudget.Want{ID: s.last, Class: call.Class, Kind: kind})
+	s.step(storebudget.Request{ID: s.last, Class: call.Class, Kind: kind})
 }
 
 func (s *storePart) step(ev storebudget.Event) {
