--- a/coordination/suspect/delay.go
+++ b/coordination/suspect/delay.go
@@ -24,7 +24,7 @@
 // Began notes how long an answer took to begin along a path. Which hop was slow
 // does not show: each takes an equal part, and those that other paths cross faster
 // lose it again.
-func (b *Book) Began(now time.Time, path fleet.Path, took time.Duration) {
+func (b *Tracker) AnswerStarted(now time.Time, path fleet.Path, took time.Duration) {
 	part := float64(took) / float64(time.Millisecond) / float64(len(path))
 	for _, h := range path {
 		r := b.record(now, h.Address)
--- a/coordination/suspect/leaving.go
+++ b/coordination/suspect/leaving.go
@@ -21,13 +21,13 @@
 
 // Leaving is a server that refuses requests although it has room for them: it is about
 // to end, or gives its layers up. Daemons tell each other.
-type Leaving struct {
+type LeavingNotice struct {
 	Server state.Life `msgpack:"server"`
 }
 
 // Refusal is one request that a server refused although it has room for it. Daemons tell
 // each other of the first one.
-type Refusal struct {
+type RefusalNotice struct {
 	Address string `msgpack:"address"`
 }
 
@@ -38,7 +38,7 @@
 }
 
 // Refused notes that a server refused a request, here or at another daemon.
-func (b *Book) Refused(now time.Time, address string) {
+func (b *Tracker) RecordRefusal(now time.Time, address string) {
 	r := &b.record(now, address).refusals
 	if r.count == 0 || now.Sub(r.last) >= refusalsApart {
 		r.count++
@@ -48,13 +48,13 @@
 
 // RefusesAll reports whether a server has refused requests time and again, with no
 // answer across it in between.
-func (b *Book) RefusesAll(address string) bool {
+func (b *Tracker) RefusesRepeatedly(address string) bool {
 	r, ok := b.servers[address]
 	return ok && r.refusals.count >= refusalsMost
 }
 
 // Leaves notes that a server is leaving. It returns false if that was known.
-func (b *Book) Leaves(now time.Time, l Leaving) bool {
+func (b *Tracker) MarkLeaving(now time.Time, l LeavingNotice) bool {
 	for old, until := range b.leaving {
 		if !now.Before(until) {
 			delete(b.leaving, old)
@@ -68,12 +68,12 @@
 }
 
 // IsLeaving reports whether a server is better not used, since it is leaving.
-func (b *Book) IsLeaving(now time.Time, server state.Life) bool {
+func (b *Tracker) IsLeaving(now time.Time, server state.Life) bool {
 	return now.Before(b.leaving[server])
 }
 
 // EachLeaving calls f for each server that is better not used, since it is leaving.
-func (b *Book) EachLeaving(now time.Time, f func(state.Life)) {
+func (b *Tracker) EachLeaving(now time.Time, f func(state.Life)) {
 	for server, until := range b.leaving {
 		if now.Before(until) {
 			f(server)
--- a/coordination/suspect/outdated.go
+++ b/coordination/suspect/outdated.go
@@ -14,13 +14,13 @@
 
 // Outdated is an entry of the list that its server has contradicted: another life is
 // at its address, or it does not hold these layers. Daemons tell each other.
-type Outdated struct {
+type OutdatedNotice struct {
 	Server state.Life  `msgpack:"server"`
 	Layers fleet.Range `msgpack:"layers"`
 }
 
 // Contradicted notes such an entry. It returns false if that was known.
-func (b *Book) Contradicted(now time.Time, o Outdated) bool {
+func (b *Tracker) MarkOutdated(now time.Time, o OutdatedNotice) bool {
 	for old, until := range b.outdated {
 		if !now.Before(until) {
 			delete(b.outdated, old)
@@ -34,13 +34,13 @@
 }
 
 // Outdated reports whether a server's entry, as it is listed, has been contradicted.
-func (b *Book) Outdated(now time.Time, s *fleet.Server) bool {
-	until, ok := b.outdated[Outdated{Server: s.Life(), Layers: s.Layers}]
+func (b *Tracker) IsOutdated(now time.Time, s *fleet.Server) bool {
+	until, ok := b.outdated[OutdatedNotice{Server: s.Life(), Layers: s.Layers}]
 	return ok && now.Before(until)
 }
 
 // EachOutdated calls f for each entry that is not to be gone by.
-func (b *Book) EachOutdated(now time.Time, f func(Outdated)) {
+func (b *Tracker) EachOutdated(now time.Time, f func(OutdatedNotice)) {
 	for o, until := range b.outdated {
 		if now.Before(until) {
 			f(o)
--- a/coordination/suspect/suspect.go
+++ b/coordination/suspect/suspect.go
@@ -20,10 +20,10 @@
 )
 
 // Book is what one daemon knows. It is not safe for use by several goroutines.
-type Book struct {
+type Tracker struct {
 	servers map[string]*record // by address
 	// outdated are entries that are not gone by, and until when.
-	outdated map[Outdated]time.Time
+	outdated map[OutdatedNotice]time.Time
 	// leaving are servers that refuse requests, and until when that counts.
 	leaving map[state.Life]time.Time
 }
@@ -31,7 +31,7 @@
 // record is what is known of one server.
 type record struct {
 	alive    time.Time // when it was last shown alive
-	quiet    Usual     // times in which nothing showed it alive
+	quiet    RecentMax // times in which nothing showed it alive
 	delay    delay
 	refusals refusals
 	failures int       // in a row
@@ -46,11 +46,11 @@
 }
 
 // NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{servers: make(map[string]*record), outdated: make(map[Outdated]time.Time), leaving: make(map[state.Life]time.Time)}
+func NewTracker() *Tracker {
+	return &Tracker{servers: make(map[string]*record), outdated: make(map[OutdatedNotice]time.Time), leaving: make(map[state.Life]time.Time)}
 }
 
-func (b *Book) record(now time.Time, address string) *record {
+func (b *Tracker) record(now time.Time, address string) *record {
 	r, ok := b.servers[address]
 	if !ok {
 		r = &record{}
@@ -61,7 +61,7 @@
 }
 
 // Failed notes that a server failed a request, and has it avoided.
-func (b *Book) Failed(now time.Time, address string) {
+func (b *Tracker) RecordFailure(now time.Time, address string) {
 	r := b.record(now, address)
 	r.failures++
 	wait := avoidFirst
@@ -72,7 +72,7 @@
 }
 
 // Answered notes a whole answer of a server.
-func (b *Book) Answered(now time.Time, address string) {
+func (b *Tracker) RecordAnswer(now time.Time, address string) {
 	r := b.record(now, address)
 	r.alive = now
 	r.failures = 0
@@ -80,10 +80,10 @@
 }
 
 // Forget drops what is known of the server at an address: another one is there now.
-func (b *Book) Forget(address string) { delete(b.servers, address) }
+func (b *Tracker) Forget(address string) { delete(b.servers, address) }
 
 // Avoided returns the addresses that are better not used now.
-func (b *Book) Avoided(now time.Time) map[string]bool {
+func (b *Tracker) Avoided(now time.Time) map[string]bool {
 	var out map[string]bool
 	for address, r := range b.servers {
 		if now.Before(r.avoid) {
@@ -101,7 +101,7 @@
 
 // Each calls f for each address of which something is known: whether it is better not used
 // now, and its part of what answers took to begin of late, in ms.
-func (b *Book) Each(now time.Time, f func(address string, avoided bool, delayMS float64)) {
+func (b *Tracker) Each(now time.Time, f func(address string, avoided bool, delayMS float64)) {
 	for address, r := range b.servers {
 		if now.Sub(r.touched) > forgetAfter {
 			delete(b.servers, address)
@@ -112,7 +112,7 @@
 }
 
 // Follow begins to follow an answer along a path.
-func (b *Book) Follow(now time.Time, path fleet.Path) *Stream {
+func (b *Tracker) TrackStream(now time.Time, path fleet.Path) *Stream {
 	s := &Stream{path: path, records: make([]*record, len(path))}
 	for i, h := range path {
 		s.records[i] = b.record(now, h.Address)
@@ -121,7 +121,7 @@
 }
 
 // Progress notes that an event came: every server of the path works.
-func (b *Book) Progress(now time.Time, s *Stream) {
+func (b *Tracker) RecordProgress(now time.Time, s *Stream) {
 	for _, r := range s.records {
 		r.show(now)
 	}
@@ -139,10 +139,10 @@
 // Silent returns the hops of a stream that nothing has shown alive for longer than
 // is usual for them: twice their longest quiet time of late, but no less than least
 // and no more than most.
-func (b *Book) Silent(now time.Time, s *Stream, least, most time.Duration) []fleet.Hop {
+func (b *Tracker) SilentHops(now time.Time, s *Stream, least, most time.Duration) []fleet.Hop {
 	var out []fleet.Hop
 	for i, r := range s.records {
-		if now.Sub(r.alive) >= min(max(2*r.quiet.Longest(now), least), most) {
+		if now.Sub(r.alive) >= min(max(2*r.quiet.Value(now), least), most) {
 			out = append(out, s.path[i])
 		}
 	}
--- a/coordination/suspect/usual.go
+++ b/coordination/suspect/usual.go
@@ -8,20 +8,20 @@
 const usualMemory = 2 * time.Second
 
 // Usual is about the longest that something took of late.
-type Usual struct {
+type RecentMax struct {
 	longest time.Duration
 	at      time.Time
 }
 
 // Add notes how long it took once.
-func (u *Usual) Add(now time.Time, d time.Duration) {
-	if d >= u.Longest(now) {
+func (u *RecentMax) Add(now time.Time, d time.Duration) {
+	if d >= u.Value(now) {
 		u.longest, u.at = d, now
 	}
 }
 
 // Longest is about the longest of late; it fades over usualMemory.
-func (u *Usual) Longest(now time.Time) time.Duration {
+func (u *RecentMax) Value(now time.Time) time.Duration {
 	age := now.Sub(u.at)
 	if age >= usualMemory {
 		return 0
--- a/gateway/book.go
+++ b/gateway/book.go
@@ -19,7 +19,7 @@
 type book struct {
 	mu       sync.Mutex
 	loads    map[state.Life]*pathing.Load // own requests by server
-	suspects *suspect.Book
+	suspects *suspect.Tracker
 	buried   map[string]bool // addresses of servers that answer no probe
 	doubted  map[string]bool // addresses of servers whose refusal is looked into
 	budget   *retrybudget.Budget
@@ -34,7 +34,7 @@
 func newBook(set Settings) *book {
 	return &book{
 		loads:    make(map[state.Life]*pathing.Load),
-		suspects: suspect.NewBook(),
+		suspects: suspect.NewTracker(),
 		buried:   make(map[string]bool),
 		doubted:  make(map[string]bool),
 		streams:  make(map[*stream]struct{}),
@@ -129,7 +129,7 @@
 	best, bestCost := -1, 0.0
 	for i := range servers {
 		s := &servers[i]
-		if s.Draining || avoid[s.Address] || b.buried[s.Address] || b.suspects.Outdated(now, s) {
+		if s.Draining || avoid[s.Address] || b.buried[s.Address] || b.suspects.IsOutdated(now, s) {
 			continue
 		}
 		if slices.Contains(but, s.Life()) {
@@ -169,13 +169,13 @@
 func (b *book) failed(now time.Time, address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.suspects.Failed(now, address)
+	b.suspects.RecordFailure(now, address)
 }
 
 func (b *book) answered(now time.Time, address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.suspects.Answered(now, address)
+	b.suspects.RecordAnswer(now, address)
 }
 
 func (b *book) request(now time.Time, svc state.ServiceID) {
@@ -195,20 +195,20 @@
 func (b *book) follow(now time.Time, path fleet.Path) *suspect.Stream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.suspects.Follow(now, path)
+	return b.suspects.TrackStream(now, path)
 }
 
 func (b *book) progress(now time.Time, s *stream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.suspects.Progress(now, s.watch)
+	b.suspects.RecordProgress(now, s.watch)
 }
 
 // silent returns the hops of a stream that nothing has shown alive of late.
 func (b *book) silent(now time.Time, s *suspect.Stream, least, most time.Duration) []fleet.Hop {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.suspects.Silent(now, s, least, most)
+	return b.suspects.SilentHops(now, s, least, most)
 }
 
 // join lists a stream among those to be told of a dead server; leave takes it off.
--- a/gateway/choice.go
+++ b/gateway/choice.go
@@ -107,7 +107,7 @@
 			states[i].Suspect, found = true, true
 		}
 	})
-	b.suspects.EachOutdated(now, func(o suspect.Outdated) {
+	b.suspects.EachOutdated(now, func(o suspect.OutdatedNotice) {
 		if i, ok := roster.IndexOf(o.Server); ok && roster.Server(i).Layers == o.Layers {
 			states[i].Excluded = true
 		}
--- a/gateway/lives.go
+++ b/gateway/lives.go
@@ -29,7 +29,7 @@
 	if p.former[state.Life{ID: meant.ID, Born: born}] {
 		return
 	}
-	o := suspect.Outdated{Server: meant, Layers: listed.Layers}
+	o := suspect.OutdatedNotice{Server: meant, Layers: listed.Layers}
 	if p.c.g.book.contradicted(p.c.now, o) {
 		p.c.members.notify(o)
 	}
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -75,11 +75,11 @@
 	}
 	at := now.Add(-time.Duration(f.AgeMS) * time.Millisecond)
 	switch m := msg.(type) {
-	case suspect.Outdated:
+	case suspect.OutdatedNotice:
 		g.book.contradicted(at, m)
-	case suspect.Refusal:
+	case suspect.RefusalNotice:
 		g.book.refused(at, m.Address)
-	case suspect.Leaving:
+	case suspect.LeavingNotice:
 		g.book.leaves(at, m)
 	case permits.LimitNotice:
 		g.control.permits.step(permits.LimitReceived{LimitNotice: m, At: at})
--- a/gateway/outdated.go
+++ b/gateway/outdated.go
@@ -18,7 +18,7 @@
 	if !ok {
 		return
 	}
-	o := suspect.Outdated{Server: s.Life(), Layers: s.Layers}
+	o := suspect.OutdatedNotice{Server: s.Life(), Layers: s.Layers}
 	if !r.g.book.contradicted(time.Now(), o) {
 		return
 	}
@@ -27,10 +27,10 @@
 	r.g.tell(o)
 }
 
-func (b *book) contradicted(now time.Time, o suspect.Outdated) bool {
+func (b *book) contradicted(now time.Time, o suspect.OutdatedNotice) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.suspects.Contradicted(now, o)
+	return b.suspects.MarkOutdated(now, o)
 }
 
 // at finds the server of a service at an address, as it is listed.
--- a/gateway/patience.go
+++ b/gateway/patience.go
@@ -10,8 +10,8 @@
 
 // waits are how long one service's answers take of late.
 type waits struct {
-	first suspect.Usual // until the first event, or the whole of a plain answer
-	gap   suspect.Usual // between two events
+	first suspect.RecentMax // until the first event, or the whole of a plain answer
+	gap   suspect.RecentMax // between two events
 	// early is how many answers may yet be given up as lost.
 	early float64
 }
@@ -36,7 +36,7 @@
 func (b *book) began(now time.Time, path fleet.Path, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.suspects.Began(now, path, d)
+	b.suspects.AnswerStarted(now, path, d)
 }
 
 func (b *book) tookGap(now time.Time, svc state.ServiceID, d time.Duration) {
@@ -68,10 +68,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.waitsOf(svc)
-	if usual := w.first.Longest(now); usual > 0 {
+	if usual := w.first.Value(now); usual > 0 {
 		first = max(time.Duration(patienceFirst*float64(usual)), time.Duration(targetShare*float64(route.Target)))
 	}
-	if usual := w.gap.Longest(now); usual > 0 {
+	if usual := w.gap.Value(now); usual > 0 {
 		gap = max(time.Duration(patienceGap*float64(usual)), route.Gap)
 	}
 	return first, gap
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -62,10 +62,10 @@
 		return false
 	}
 	if !g.book.refusesAll(s.Address) {
-		g.tell(suspect.Refusal{Address: s.Address})
+		g.tell(suspect.RefusalNotice{Address: s.Address})
 		return true
 	}
-	l := suspect.Leaving{Server: s.Life()}
+	l := suspect.LeavingNotice{Server: s.Life()}
 	if g.book.leaves(time.Now(), l) {
 		g.log.Emit(telemetry.EventBackendRefusing, telemetry.Request(r.req.ID), telemetry.Backend(s.ID),
 			telemetry.Address(s.Address), telemetry.Layers(s.Layers))
@@ -97,7 +97,7 @@
 func (b *book) doubt(now time.Time, address string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.suspects.Refused(now, address)
+	b.suspects.RecordRefusal(now, address)
 	if b.doubted[address] {
 		return false
 	}
@@ -116,17 +116,17 @@
 func (b *book) refused(now time.Time, address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.suspects.Refused(now, address)
+	b.suspects.RecordRefusal(now, address)
 }
 
 func (b *book) refusesAll(address string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.suspects.RefusesAll(address)
+	return b.suspects.RefusesRepeatedly(address)
 }
 
-func (b *book) leaves(now time.Time, l suspect.Leaving) bool {
+func (b *book) leaves(now time.Time, l suspect.LeavingNotice) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.suspects.Leaves(now, l)
+	return b.suspects.MarkLeaving(now, l)
 }
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -179,7 +179,7 @@
 	load := b.load(s.Life())
 	out := ServerStatus{
 		ID: s.ID, Address: s.Address, Domain: s.Domain, Kind: s.Kind, Draining: s.Draining,
-		Dead: b.buried[s.Address], Avoided: avoided[s.Address], Outdated: b.suspects.Outdated(now, s),
+		Dead: b.buried[s.Address], Avoided: avoided[s.Address], Outdated: b.suspects.IsOutdated(now, s),
 		Refusing: b.suspects.IsLeaving(now, s.Life()),
 		Requests: load.Requests, Tokens: load.Tokens,
 	}
