--- a/coordination/weights/weights.go
+++ b/coordination/weights/weights.go
@@ -13,32 +13,32 @@
 
 // Service is the name under which the allocator's lease stands among the leases
 // of services.
-const Service state.ServiceID = "~weights"
+const LeaseService state.ServiceID = "~weights"
 
 // Config must be the same on all daemons.
 type Config struct {
-	Pool  int           // loads at one time beyond those that need no share
-	Span  time.Duration // how long a share is good for
-	Drift float64       // bound of a clock's rate error, as a share
-	Renew time.Duration // time between an asker's requests
+	PoolSize      int           // loads at one time beyond those that need no share
+	ShareTTL      time.Duration // how long a share is good for
+	MaxClockDrift float64       // bound of a clock's rate error, as a share
+	RenewInterval time.Duration // time between an asker's requests
 }
 
 // DefaultConfig returns a pool of that size.
 func DefaultConfig(pool int) Config {
-	return Config{Pool: pool, Span: 9 * time.Second, Drift: 0.01, Renew: 3 * time.Second}
+	return Config{PoolSize: pool, ShareTTL: 9 * time.Second, MaxClockDrift: 0.01, RenewInterval: 3 * time.Second}
 }
 
 // userSpan is what a user may rely on, counted from its request.
 func (c Config) userSpan() time.Duration {
-	return time.Duration(float64(c.Span) * (1 - c.Drift) / (1 + c.Drift))
+	return time.Duration(float64(c.ShareTTL) * (1 - c.MaxClockDrift) / (1 + c.MaxClockDrift))
 }
 
 // Ask asks for a share for one service.
-type Ask struct {
+type ShareRequest struct {
 	Service state.ServiceID `msgpack:"service"`
 	Seq     uint64          `msgpack:"seq"`   // returned in the Grant
-	Want    int             `msgpack:"want"`  // loads that run or wait
-	Using   int             `msgpack:"using"` // loads that run on a share now
+	Wanted  int             `msgpack:"want"`  // loads that run or wait
+	InUse   int             `msgpack:"using"` // loads that run on a share now
 }
 
 // Grant answers an Ask.
@@ -69,16 +69,16 @@
 }
 
 // Lease takes in the status of the lease named Service.
-func (a *Allocator) Lease(now time.Time, s lease.Status) {
+func (a *Allocator) SetLeaseStatus(now time.Time, s lease.Status) {
 	if s.State != lease.None && s.TermID != a.status.TermID {
 		a.shares = make(map[state.ServiceID]*share)
-		a.opens = now.Add(a.cfg.Span)
+		a.opens = now.Add(a.cfg.ShareTTL)
 	}
 	a.status = s
 }
 
 // Ask answers one request; false means that this daemon can't grant now.
-func (a *Allocator) Ask(now time.Time, q Ask) (Grant, bool) {
+func (a *Allocator) HandleRequest(now time.Time, q ShareRequest) (Grant, bool) {
 	if a.status.State != lease.Held || !now.Before(a.status.Until) {
 		return Grant{}, false
 	}
@@ -87,10 +87,10 @@
 		sh = &share{}
 		a.shares[q.Service] = sh
 	}
-	sh.want = q.Want
+	sh.want = q.Wanted
 	if now.Before(a.opens) {
 		// Loads that run on a former share are counted, not granted.
-		sh.slots, sh.until = q.Using, now.Add(a.cfg.Span)
+		sh.slots, sh.until = q.InUse, now.Add(a.cfg.ShareTTL)
 		return Grant{Service: q.Service, Seq: q.Seq}, true
 	}
 	others := 0
@@ -103,9 +103,9 @@
 			delete(a.shares, id)
 		}
 	}
-	fair := max(q.Using, a.fair(q.Service))
-	sh.slots = max(0, min(q.Want, fair, a.cfg.Pool-others))
-	sh.until = now.Add(a.cfg.Span)
+	fair := max(q.InUse, a.fair(q.Service))
+	sh.slots = max(0, min(q.Wanted, fair, a.cfg.PoolSize-others))
+	sh.until = now.Add(a.cfg.ShareTTL)
 	return Grant{Service: q.Service, Seq: q.Seq, Slots: sh.slots}, true
 }
 
@@ -116,7 +116,7 @@
 	slices.SortFunc(ids, func(x, y state.ServiceID) int {
 		return cmp.Or(cmp.Compare(a.shares[x].want, a.shares[y].want), cmp.Compare(x, y))
 	})
-	left := a.cfg.Pool
+	left := a.cfg.PoolSize
 	for i, id := range ids {
 		rest := len(ids) - i
 		part := min(a.shares[id].want, (left+rest-1)/rest)
@@ -129,7 +129,7 @@
 }
 
 // Asker holds one service's share for its controller.
-type Asker struct {
+type Requester struct {
 	cfg     Config
 	service state.ServiceID
 	seq     uint64
@@ -141,12 +141,12 @@
 }
 
 // NewAsker returns an asker that has no share.
-func NewAsker(cfg Config, service state.ServiceID) *Asker {
-	return &Asker{cfg: cfg, service: service}
+func NewRequester(cfg Config, service state.ServiceID) *Requester {
+	return &Requester{cfg: cfg, service: service}
 }
 
 // Want takes in what the controller wants now.
-func (k *Asker) Want(now time.Time, slots int) {
+func (k *Requester) SetWanted(now time.Time, slots int) {
 	if slots > k.want {
 		k.next = now
 	}
@@ -155,24 +155,24 @@
 
 // Due returns the request to send to the allocator now, if one is due. using is
 // how many loads run on the share.
-func (k *Asker) Due(now time.Time, using int) (Ask, bool) {
+func (k *Requester) NextRequest(now time.Time, using int) (ShareRequest, bool) {
 	if now.Before(k.next) || (k.want == 0 && using == 0 && k.slots == 0) {
-		return Ask{}, false
+		return ShareRequest{}, false
 	}
 	k.seq++
 	k.sent = now
-	k.next = now.Add(k.cfg.Renew)
-	return Ask{Service: k.service, Seq: k.seq, Want: max(k.want, using), Using: using}, true
+	k.next = now.Add(k.cfg.RenewInterval)
+	return ShareRequest{Service: k.service, Seq: k.seq, Wanted: max(k.want, using), InUse: using}, true
 }
 
 // NextTick says when Due is next worth a call.
-func (k *Asker) NextTick() time.Time {
+func (k *Requester) NextTick() time.Time {
 	return k.next
 }
 
 // Granted takes in an answer. One to an earlier request than the last is dropped:
 // when it was granted is not known.
-func (k *Asker) Granted(g Grant) {
+func (k *Requester) HandleGrant(g Grant) {
 	if g.Seq != k.seq {
 		return
 	}
@@ -182,6 +182,6 @@
 
 // Share returns how many loads may run beyond those that need no share, and
 // until when.
-func (k *Asker) Share() (slots int, until time.Time) {
+func (k *Requester) Share() (slots int, until time.Time) {
 	return k.slots, k.until
 }
--- a/coordination/weights/weights_test.go
+++ b/coordination/weights/weights_test.go
@@ -29,12 +29,12 @@
 		reign := 0
 		takeOver := func() {
 			reign++
-			a.Lease(server(), lease.Status{State: lease.Held, TermID: state.Nonce(fmt.Sprint(reign)), Until: zero.Add(time.Hour)})
+			a.SetLeaseStatus(server(), lease.Status{State: lease.Held, TermID: state.Nonce(fmt.Sprint(reign)), Until: zero.Add(time.Hour)})
 		}
 		takeOver()
-		var askers []*weights.Asker
+		var askers []*weights.Requester
 		for i := range 4 {
-			askers = append(askers, weights.NewAsker(cfg, state.ServiceID(fmt.Sprint("s", i))))
+			askers = append(askers, weights.NewRequester(cfg, state.ServiceID(fmt.Sprint("s", i))))
 		}
 		for range 200 {
 			now = now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
@@ -44,15 +44,15 @@
 				a = weights.NewAllocator(cfg)
 				takeOver()
 			case 1, 2, 3:
-				k.Want(asker(), rapid.IntRange(0, 15).Draw(t, "want"))
+				k.SetWanted(asker(), rapid.IntRange(0, 15).Draw(t, "want"))
 			default:
-				q, due := k.Due(asker(), 0)
+				q, due := k.NextRequest(asker(), 0)
 				now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "delay")) * time.Millisecond)
 				if !due || rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
 					break
 				}
-				if g, ok := a.Ask(server(), q); ok {
-					k.Granted(g)
+				if g, ok := a.HandleRequest(server(), q); ok {
+					k.HandleGrant(g)
 				}
 			}
 			sum := 0
@@ -61,8 +61,8 @@
 					sum += n
 				}
 			}
-			if sum > cfg.Pool {
-				t.Fatalf("%d granted of %d", sum, cfg.Pool)
+			if sum > cfg.PoolSize {
+				t.Fatalf("%d granted of %d", sum, cfg.PoolSize)
 			}
 		}
 	})
@@ -74,25 +74,25 @@
 	It("moves half of the pool to a second service within a span", func() {
 		cfg := weights.DefaultConfig(16)
 		a, now := weights.NewAllocator(cfg), time.Unix(0, 0)
-		a.Lease(now, lease.Status{State: lease.Held, TermID: "r", Until: now.Add(time.Hour)})
-		x, y := weights.NewAsker(cfg, "x"), weights.NewAsker(cfg, "y")
+		a.SetLeaseStatus(now, lease.Status{State: lease.Held, TermID: "r", Until: now.Add(time.Hour)})
+		x, y := weights.NewRequester(cfg, "x"), weights.NewRequester(cfg, "y")
 		run := func(d time.Duration) {
 			for end := now.Add(d); now.Before(end); now = now.Add(100 * time.Millisecond) {
-				for _, k := range []*weights.Asker{x, y} {
-					if q, ok := k.Due(now, 0); ok {
-						if g, ok := a.Ask(now, q); ok {
-							k.Granted(g)
+				for _, k := range []*weights.Requester{x, y} {
+					if q, ok := k.NextRequest(now, 0); ok {
+						if g, ok := a.HandleRequest(now, q); ok {
+							k.HandleGrant(g)
 						}
 					}
 				}
 			}
 		}
-		x.Want(now, 100)
+		x.SetWanted(now, 100)
 		run(20 * time.Second)
 		slots, _ := x.Share()
 		Expect(slots).To(Equal(16))
-		y.Want(now, 100)
-		run(2 * cfg.Renew)
+		y.SetWanted(now, 100)
+		run(2 * cfg.RenewInterval)
 		slots, _ = y.Share()
 		Expect(slots).To(Equal(8))
 	})
@@ -104,15 +104,15 @@
 		cfg := weights.DefaultConfig(4)
 		zero := time.Unix(0, 0)
 		at := func(t time.Duration, rate float64) time.Time { return zero.Add(time.Duration(float64(t) * rate)) }
-		a, x := weights.NewAllocator(cfg), weights.NewAsker(cfg, "x")
-		a.Lease(at(-time.Minute, 1.01), lease.Status{State: lease.Held, TermID: "r", Until: zero.Add(time.Hour)})
-		x.Want(zero, 4)
-		q, _ := x.Due(zero, 0)
-		g, _ := a.Ask(zero, q)
-		x.Granted(g)
+		a, x := weights.NewAllocator(cfg), weights.NewRequester(cfg, "x")
+		a.SetLeaseStatus(at(-time.Minute, 1.01), lease.Status{State: lease.Held, TermID: "r", Until: zero.Add(time.Hour)})
+		x.SetWanted(zero, 4)
+		q, _ := x.NextRequest(zero, 0)
+		g, _ := a.HandleRequest(zero, q)
+		x.HandleGrant(g)
 		_, until := x.Share()
 		for t := time.Duration(0); ; t += 10 * time.Millisecond {
-			if g, _ := a.Ask(at(t, 1.01), weights.Ask{Service: "y", Want: 4}); g.Slots > 0 {
+			if g, _ := a.HandleRequest(at(t, 1.01), weights.ShareRequest{Service: "y", Wanted: 4}); g.Slots > 0 {
 				Expect(at(t, 0.99).Before(until)).To(BeFalse())
 				break
 			}
@@ -123,10 +123,10 @@
 	It("grants nothing once its lease has run out", Label("failure:store-down"), func() {
 		cfg := weights.DefaultConfig(16)
 		a, now := weights.NewAllocator(cfg), time.Unix(0, 0)
-		a.Lease(now, lease.Status{State: lease.Held, TermID: "r", Until: now.Add(time.Minute)})
-		_, ok := a.Ask(now.Add(59*time.Second), weights.Ask{Service: "x", Want: 1})
+		a.SetLeaseStatus(now, lease.Status{State: lease.Held, TermID: "r", Until: now.Add(time.Minute)})
+		_, ok := a.HandleRequest(now.Add(59*time.Second), weights.ShareRequest{Service: "x", Wanted: 1})
 		Expect(ok).To(BeTrue())
-		_, ok = a.Ask(now.Add(61*time.Second), weights.Ask{Service: "x", Want: 1})
+		_, ok = a.HandleRequest(now.Add(61*time.Second), weights.ShareRequest{Service: "x", Wanted: 1})
 		Expect(ok).To(BeFalse())
 	})
 })
--- a/daemon/controllers.go
+++ b/daemon/controllers.go
@@ -52,7 +52,7 @@
 	servers  []controller.Backend // as last told
 	applied  map[state.BackendID]controller.Assignment
 	wanted   int // loads beyond those that need no share
-	asker    *weights.Asker
+	asker    *weights.Requester
 }
 
 func newControllersPart(c *control) *controllersPart {
@@ -98,7 +98,7 @@
 			c: p.c, service: id,
 			m:       controller.New(controllerConfig(p.c.d, id)),
 			applied: make(map[state.BackendID]controller.Assignment),
-			asker:   weights.NewAsker(weightsConfig(p.c.d), id),
+			asker:   weights.NewRequester(weightsConfig(p.c.d), id),
 		}
 		p.byService[id] = s
 	}
@@ -313,7 +313,7 @@
 			s.askRunning(a)
 		case controller.RequestLoadSlots:
 			s.wanted = a.Slots
-			s.asker.Want(s.c.now, a.Slots)
+			s.asker.SetWanted(s.c.now, a.Slots)
 			s.c.later(func() { s.share(s.c.now) })
 		case controller.FencingRefused:
 			s.c.d.metrics.Add(telemetry.StaleOrdersTotal, 1)
--- a/daemon/leases.go
+++ b/daemon/leases.go
@@ -96,7 +96,7 @@
 func (p *leasesPart) servicesChanged() {
 	ids := p.c.controllers.autoServices()
 	if len(ids) > 0 {
-		ids = append(ids, weights.Service)
+		ids = append(ids, weights.LeaseService)
 	}
 	p.step(lease.Services{IDs: ids})
 }
@@ -166,7 +166,7 @@
 	p.status[s.Service] = s
 	p.note(was, s)
 	p.c.store.rolesChanged()
-	if s.Service == weights.Service {
+	if s.Service == weights.LeaseService {
 		p.c.weights.lease(s)
 		p.c.layout.lease(s)
 		return
@@ -219,7 +219,7 @@
 func (p *leasesPart) given() []state.ServiceID {
 	wanted := p.c.controllers.autoServices()
 	ids := lo.Filter(lo.Keys(p.status), func(id state.ServiceID, _ int) bool {
-		if id == weights.Service {
+		if id == weights.LeaseService {
 			return p.draining || len(wanted) == 0
 		}
 		return p.draining || !slices.Contains(wanted, id)
--- a/daemon/messages.go
+++ b/daemon/messages.go
@@ -95,7 +95,7 @@
 	peer.Register[controller.RequestCountQuery](r, kindLeases+1)
 	peer.Register[controller.RequestCountReply](r, kindLeases+2)
 
-	peer.Register[weights.Ask](r, kindWeights)
+	peer.Register[weights.ShareRequest](r, kindWeights)
 	peer.Register[weights.Grant](r, kindWeights+1)
 }
 
@@ -127,7 +127,7 @@
 			c.catalog.step(catalog.Received{From: from, Msg: msg})
 		case lease.Message:
 			c.leases.step(lease.Received{From: from, Msg: msg})
-		case weights.Ask:
+		case weights.ShareRequest:
 			c.weights.asked(from, msg)
 		case weights.Grant:
 			c.weights.granted(msg)
--- a/daemon/weights.go
+++ b/daemon/weights.go
@@ -24,17 +24,17 @@
 // allocator has to wait about as long as it waited for the lease.
 func weightsConfig(d *Daemon) weights.Config {
 	cfg := weights.DefaultConfig(d.set.Leases.SharedLoads)
-	cfg.Span = d.set.Leases.Term.Std() * 9 / 10
-	cfg.Renew = cfg.Span / 3
+	cfg.ShareTTL = d.set.Leases.Term.Std() * 9 / 10
+	cfg.RenewInterval = cfg.ShareTTL / 3
 	return cfg
 }
 
-func (p *weightsPart) lease(st lease.Status) { p.m.Lease(p.c.now, st) }
+func (p *weightsPart) lease(st lease.Status) { p.m.SetLeaseStatus(p.c.now, st) }
 
 // asked answers a controller's daemon; one that asks the wrong daemon gets no
 // answer and falls back to the loads that need no share.
-func (p *weightsPart) asked(from state.Member, q weights.Ask) {
-	g, ok := p.m.Ask(p.c.now, q)
+func (p *weightsPart) asked(from state.Member, q weights.ShareRequest) {
+	g, ok := p.m.HandleRequest(p.c.now, q)
 	if !ok {
 		return
 	}
@@ -50,7 +50,7 @@
 	if !ok {
 		return
 	}
-	s.asker.Granted(g)
+	s.asker.HandleGrant(g)
 	slots, until := s.asker.Share()
 	s.step(controller.LoadGrant{Slots: slots, Until: until})
 }
@@ -61,8 +61,8 @@
 		return
 	}
 	slots, _ := s.asker.Share()
-	q, due := s.asker.Due(now, min(s.wanted, slots))
-	holder, ok := s.c.leases.m.Holder(weights.Service)
+	q, due := s.asker.NextRequest(now, min(s.wanted, slots))
+	holder, ok := s.c.leases.m.Holder(weights.LeaseService)
 	switch {
 	case !due || !ok:
 	case holder == s.c.d.self:
