--- a/cmd/hibiscusctl/inspect.go
+++ b/cmd/hibiscusctl/inspect.go
@@ -79,10 +79,10 @@
 
 func printGateway(out io.Writer, s *gateway.Status) {
 	printf(out, "gateway %s, ready %t, draining %t, %d streams\n", s.Daemon, s.Ready, s.Draining, s.Streams)
-	printf(out, "configuration version %d, current %.1f s ago, %s\n", s.Config.Version, s.Config.Age, s.Config.Source)
-	printf(out, "servers current %.1f s ago, %s\n", s.Servers.Age, s.Servers.Source)
+	printf(out, "configuration version %d, current %.1f s ago, %s\n", s.Config.Version, s.Config.AgeSeconds, s.Config.Source)
+	printf(out, "servers current %.1f s ago, %s\n", s.Servers.AgeSeconds, s.Servers.Source)
 	if s.Lease.Held {
-		printf(out, "orders layers, fencing number %d, %d orders under way\n", s.Lease.Fence, s.Lease.Orders)
+		printf(out, "orders layers, fencing number %d, %d orders under way\n", s.Lease.Fence, s.Lease.PendingOrders)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	printf(w, "\nMEMBER\tSTATE\tDRAINING\tDOMAIN\tADDRESS\n")
@@ -98,13 +98,13 @@
 func printService(out io.Writer, s *gateway.ServiceStatus) {
 	printf(out, "\nservice %s, %d retries left\n", s.ID, s.RetriesLeft)
 	if s.Layers > 0 {
-		printf(out, "%d layers, %d held by none; whole in %v; copies %s\n", s.Layers, s.Uncovered, s.Whole, copies(s.Copies))
+		printf(out, "%d layers, %d held by none; whole in %v; copies %s\n", s.Layers, s.UncoveredLayers, s.CompleteDomains, copies(s.LayerCopies))
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	printf(w, "SERVER\tADDRESS\tDOMAIN\tKIND\tLAYERS\tSTATE\tREQUESTS\tTOKENS\tROOM\n")
 	for i := range s.Servers {
 		r := &s.Servers[i]
-		printf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%.0f\t%.0f\t%d\n", r.ID, r.Address, r.Domain, r.Kind, r.Layers, serverState(r), r.Requests, r.Tokens, r.Room)
+		printf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%.0f\t%.0f\t%d\n", r.ID, r.Address, r.Domain, r.Kind, r.Layers, serverState(r), r.Requests, r.ReservedTokens, r.CapacityTokens)
 	}
 	_ = w.Flush()
 }
--- a/cmd/hibiscusd/gateway.go
+++ b/cmd/hibiscusd/gateway.go
@@ -40,11 +40,11 @@
 		return set, err
 	}
 	if port := cmd.Int("metrics-port"); port != 0 {
-		host, _, err := net.SplitHostPort(set.Front)
+		host, _, err := net.SplitHostPort(set.CallerAddress)
 		if err != nil {
 			return set, err
 		}
-		set.Metrics = net.JoinHostPort(host, strconv.Itoa(port))
+		set.MetricsAddress = net.JoinHostPort(host, strconv.Itoa(port))
 	}
 	return set, nil
 }
@@ -71,7 +71,7 @@
 	}
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	go d.Gateway().FollowSettings(func() (gateway.Settings, error) { return loadGateway(cmd) }, hup)
+	go d.Gateway().WatchSettings(func() (gateway.Settings, error) { return loadGateway(cmd) }, hup)
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM, os.Interrupt)
 	stop := make(chan struct{})
--- a/gateway/addresses.go
+++ b/gateway/addresses.go
@@ -26,10 +26,10 @@
 		out = append(out, i.Meta.CallerAddress)
 	}
 	if len(out) == 0 {
-		out = append(out, g.set().Front)
+		out = append(out, g.set().CallerAddress)
 	}
 	if len(out) > maxAddresses {
 		out = out[:maxAddresses]
 	}
-	return out, min(addressesValid, g.set().AddressesValid)
+	return out, min(addressesValid, g.set().AddressTTL)
 }
--- a/gateway/control_internal_test.go
+++ b/gateway/control_internal_test.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := New(Settings{ID: "d1", Domain: "a", Front: "f", Peers: address, BudgetWindow: 10 * time.Second}, Site{
+	g, err := New(Settings{ID: "d1", Domain: "a", CallerAddress: "f", PeerAddress: address, BudgetWindow: 10 * time.Second}, Site{
 		Configs: awayFeed[*fleet.Config]{}, Servers: awayFeed[fleet.Server]{}, Members: awayTable{}, Leases: awayTable{},
 	}, nil, telemetry.Discard(), telemetry.NewMetrics())
 	if err != nil {
--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -66,7 +66,7 @@
 			_ = out.CloseWithError(backend.ErrBroken)
 		}
 		_, res := r.serve("/stream/x")
-		Expect(res.Outcome).To(Equal(gateway.Cut))
+		Expect(res.Outcome).To(Equal(gateway.Truncated))
 		hop := r.servers.sent()[0].Path[1]
 		s := logs.story("r1")
 		Expect(s.Daemon).To(Equal("g1"))
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -189,13 +189,13 @@
 }
 
 // Head implements gateway.Reply.
-func (r *reply) Head(status int, _ http.Header) { r.status = status }
+func (r *reply) WriteHeader(status int, _ http.Header) { r.status = status }
 
 // Write implements gateway.Reply.
 func (r *reply) Write(b []byte) error { _, err := r.body.Write(b); return err }
 
 // Cut implements gateway.Reply.
-func (r *reply) Cut() { r.cut = true }
+func (r *reply) Abort() { r.cut = true }
 
 // rig is a site with one gateway.
 type rig struct {
@@ -237,8 +237,8 @@
 // startAt runs a gateway with ways of its own to the site's feeds.
 func (r *rig) startAt(id state.DaemonID, configs site.Feed[*fleet.Config], servers site.Feed[fleet.Server]) *gateway.Gateway {
 	g, err := gateway.New(gateway.Settings{
-		ID: id, Domain: "a", Front: "front-" + string(id), Peers: freeAddress(), Grace: r.grace,
-		AddressesValid: 5 * time.Second, BudgetRatio: 0.2, BudgetWindow: 10 * time.Second, BudgetSlack: 100,
+		ID: id, Domain: "a", CallerAddress: "front-" + string(id), PeerAddress: freeAddress(), DrainTimeout: r.grace,
+		AddressTTL: 5 * time.Second, BudgetRatio: 0.2, BudgetWindow: 10 * time.Second, BudgetSlack: 100,
 	}, gateway.Site{Configs: configs, Servers: servers, Members: r.members, Leases: r.leases},
 		r.servers, r.log, telemetry.NewMetrics())
 	Expect(err).NotTo(HaveOccurred())
@@ -294,7 +294,7 @@
 func request(path string) *gateway.Request {
 	return &gateway.Request{
 		ID: "r1", Host: "h", Path: path, Target: path, Method: http.MethodPost, Header: http.Header{},
-		Key: "secret", Wait: 10 * time.Second, Prompt: 2, Answer: 2, Arrived: time.Now(),
+		Key: "secret", CallerTimeout: 10 * time.Second, PromptTokens: 2, MaxAnswerTokens: 2, Arrived: time.Now(),
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -82,9 +82,9 @@
 	}
 	g.settings.Store(&set)
 	g.prober = newProber(g)
-	listener, err := net.Listen("tcp", set.Peers)
+	listener, err := net.Listen("tcp", set.PeerAddress)
 	if err != nil {
-		return nil, fmt.Errorf("peers' address %s: %w", set.Peers, err)
+		return nil, fmt.Errorf("peers' address %s: %w", set.PeerAddress, err)
 	}
 	g.peers = listener
 	g.node = peer.New(peer.Config{
@@ -109,7 +109,7 @@
 		return nil
 	}
 	fixed := func(s Settings) [9]string {
-		return [9]string{string(s.ID), string(s.Domain), string(s.Region), s.Front, s.Readiness, s.Directory, s.Peers, s.Store, s.Metrics}
+		return [9]string{string(s.ID), string(s.Domain), string(s.Region), s.CallerAddress, s.ReadinessAddress, s.DirectoryAddress, s.PeerAddress, s.StoreAddress, s.MetricsAddress}
 	}
 	if fixed(set) != fixed(old) {
 		return errNeedsRestart
@@ -128,7 +128,7 @@
 	go g.control.run()
 	go g.control.configs.run(ctx)
 	go g.control.entries.run(ctx)
-	g.log.Emit(telemetry.EventDaemonStarted, telemetry.Address(g.set().Front))
+	g.log.Emit(telemetry.EventDaemonStarted, telemetry.Address(g.set().CallerAddress))
 }
 
 // steady is the time since this gateway began, by the clock that the time of day does
@@ -212,16 +212,16 @@
 	elsewhere := slices.ContainsFunc(g.current.Load().members.Members, func(i membership.Info) bool {
 		return i.Member.ID != g.self.ID && i.State == membership.Alive && !i.Draining
 	})
-	stop := admission.Shutdown{Elapsed: g.steady(now) - time.Duration(began), Grace: g.set().Grace, OthersAccept: elsewhere}
+	stop := admission.Shutdown{Elapsed: g.steady(now) - time.Duration(began), Grace: g.set().DrainTimeout, OthersAccept: elsewhere}
 	return stop.AcceptsStream()
 }
 
 // Closing reports whether callers are to use another connection next time.
-func (g *Gateway) Closing() bool { return g.draining.Load() != 0 }
+func (g *Gateway) Draining() bool { return g.draining.Load() != 0 }
 
 // AwaitDrained returns when a planned stop is over.
-func (g *Gateway) AwaitDrained() {
-	began, grace := time.Duration(g.draining.Load()), float64(g.set().Grace)
+func (g *Gateway) WaitDrained() {
+	began, grace := time.Duration(g.draining.Load()), float64(g.set().DrainTimeout)
 	for {
 		stopping := g.steady(time.Now()) - began
 		since := float64(stopping)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -58,7 +58,7 @@
 		Expect(res.Outcome).To(Equal(gateway.NoRoute))
 		req := request("/again/x")
 		req.Key = "wrong"
-		Expect(r.gateway.Serve(context.Background(), req, &reply{}).Outcome).To(Equal(gateway.BadKey))
+		Expect(r.gateway.Serve(context.Background(), req, &reply{}).Outcome).To(Equal(gateway.UnknownKey))
 		Expect(r.servers.sent()).To(BeEmpty())
 	})
 
@@ -120,7 +120,7 @@
 			_ = out.CloseWithError(backend.ErrBroken)
 		}
 		to, res := r.serve("/stream/x")
-		Expect(res.Outcome).To(Equal(gateway.Cut))
+		Expect(res.Outcome).To(Equal(gateway.Truncated))
 		Expect(to.cut).To(BeTrue())
 		began := make(map[string]bool)
 		for _, c := range r.servers.sent() {
@@ -256,7 +256,7 @@
 			cancel()
 		}
 		res := r.gateway.Serve(ctx, request("/stream/x"), &reply{})
-		Expect(res.Outcome).To(Equal(gateway.Gone))
+		Expect(res.Outcome).To(Equal(gateway.CallerLeft))
 		Expect(r.servers.sent()).To(HaveLen(1))
 	})
 
@@ -340,7 +340,7 @@
 		Eventually(func() []string { a, _ := second.Addresses("a"); return a }).WithTimeout(patience).
 			Should(ConsistOf("front-g1", "front-g2"))
 		r.gateway.Drain()
-		Expect(r.gateway.Closing()).To(BeTrue())
+		Expect(r.gateway.Draining()).To(BeTrue())
 		Eventually(func() []string { a, _ := second.Addresses("a"); return a }).WithTimeout(patience).
 			Should(ConsistOf("front-g2"))
 		Eventually(r.gateway.Ready).Should(BeFalse())
@@ -373,7 +373,7 @@
 		r.fill()
 		began := time.Now()
 		r.gateway.Drain()
-		r.gateway.AwaitDrained()
+		r.gateway.WaitDrained()
 		Expect(time.Since(began)).To(BeNumerically("<", 9*grace/10))
 	})
 })
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -89,8 +89,8 @@
 	self := membership.Self{
 		Member: g.self,
 		Meta: membership.Meta{
-			PeerAddress:   g.set().Peers,
-			CallerAddress: g.set().Front,
+			PeerAddress:   g.set().PeerAddress,
+			CallerAddress: g.set().CallerAddress,
 			Domain:        g.set().Domain,
 			Region:        g.set().Region,
 		},
@@ -157,14 +157,14 @@
 	g := p.c.g
 	return slices.ContainsFunc(rows.Rows, func(r site.Row) bool {
 		var at presence
-		return r.Key == string(g.self.ID) && json.Unmarshal(r.Value, &at) == nil && at.Peers == g.set().Peers
+		return r.Key == string(g.self.ID) && json.Unmarshal(r.Value, &at) == nil && at.Peers == g.set().PeerAddress
 	})
 }
 
 // write puts this daemon's row into the table.
 func (p *membersPart) write(ctx context.Context) bool {
 	g := p.c.g
-	row, err := json.Marshal(presence{Peers: g.set().Peers})
+	row, err := json.Marshal(presence{Peers: g.set().PeerAddress})
 	if err == nil {
 		_, err = g.site.Members.Commit(ctx, site.Change{Key: string(g.self.ID), Value: row})
 	}
@@ -187,7 +187,7 @@
 	var seeds membership.Seeds
 	for _, r := range rows.Rows {
 		var at presence
-		if err := json.Unmarshal(r.Value, &at); err == nil && at.Peers != p.c.g.set().Peers {
+		if err := json.Unmarshal(r.Value, &at); err == nil && at.Peers != p.c.g.set().PeerAddress {
 			seeds.Addresses = append(seeds.Addresses, at.Peers)
 		}
 	}
--- a/gateway/path.go
+++ b/gateway/path.go
@@ -15,7 +15,7 @@
 
 // attemptPath sends the request along a path of engines.
 func (r *run) attemptPath(ctx context.Context) (relay.Outcome, Result) {
-	want := pathing.Request{Domain: r.g.set().Domain, PromptTokens: r.req.Prompt, MaxTokens: r.req.Answer}
+	want := pathing.Request{Domain: r.g.set().Domain, PromptTokens: r.req.PromptTokens, MaxTokens: r.req.MaxAnswerTokens}
 	if on, exhausted := r.relay.Exhausted(); exhausted {
 		want.FirstHops = on
 	}
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -97,9 +97,9 @@
 // pass gives an answer to the caller: what was held of it, and then the rest.
 func (r *run) pass(answer *backend.Answer, held []byte) Result {
 	r.headed = true
-	r.reply.Head(answer.Status, answer.Header)
+	r.reply.WriteHeader(answer.Status, answer.Header)
 	if err := r.reply.Write(held); err != nil {
-		return Result{Outcome: Gone, Reason: "caller_left"}
+		return Result{Outcome: CallerLeft, Reason: "caller_left"}
 	}
 	if len(held) < holdBody {
 		return Result{Outcome: Answered}
@@ -109,7 +109,7 @@
 		n, err := answer.Body.Read(buf)
 		if n > 0 {
 			if werr := r.reply.Write(buf[:n]); werr != nil {
-				return Result{Outcome: Gone, Reason: "caller_left"}
+				return Result{Outcome: CallerLeft, Reason: "caller_left"}
 			}
 		}
 		if errors.Is(err, io.EOF) {
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -13,7 +13,7 @@
 
 // FollowSettings takes up changed settings at each signal, and now and then without
 // one, for as long as the process lives.
-func (g *Gateway) FollowSettings(load func() (Settings, error), signaled <-chan os.Signal) {
+func (g *Gateway) WatchSettings(load func() (Settings, error), signaled <-chan os.Signal) {
 	for {
 		select {
 		case <-signaled:
--- a/gateway/report.go
+++ b/gateway/report.go
@@ -10,7 +10,7 @@
 // outcomeNames are the outcomes in counters.
 var outcomeNames = map[Outcome]string{
 	Answered: "answered", Refused: "refused", Failed: "failed", TimedOut: "timed_out",
-	Cut: "cut", Gone: "caller_left", NoRoute: "no_route", BadKey: "unknown_key",
+	Truncated: "cut", CallerLeft: "caller_left", NoRoute: "no_route", UnknownKey: "unknown_key",
 }
 
 // measure counts how a request ended and how long it took.
@@ -20,7 +20,7 @@
 	switch res.Outcome {
 	case Refused:
 		m.CountReason(telemetry.GatewayRefusedTotal, res.Reason)
-	case Failed, TimedOut, Cut:
+	case Failed, TimedOut, Truncated:
 		m.CountReason(telemetry.GatewayFailedTotal, res.Reason)
 	case Answered:
 		m.ObserveService(telemetry.AnswerSeconds, r.service.ID, time.Since(r.req.Arrived))
@@ -39,9 +39,9 @@
 	case Answered:
 		r.logAnswered()
 		return
-	case Refused, NoRoute, BadKey:
+	case Refused, NoRoute, UnknownKey:
 		event = telemetry.EventRequestRefused
-	case Failed, TimedOut, Cut:
+	case Failed, TimedOut, Truncated:
 		event = telemetry.EventRequestFailed
 	default:
 		return
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -9,29 +9,29 @@
 
 // Request is one caller's request, read whole.
 type Request struct {
-	ID      state.RequestID
-	Host    string
-	Path    string // without the query
-	Method  string
-	Target  string // path and query as sent
-	Header  http.Header
-	Body    []byte
-	Key     string        // the caller's key, or ""
-	Wait    time.Duration // how long the caller waits from Arrived on; 0 for unsaid
-	Prompt  int           // tokens
-	Answer  int           // tokens at most
-	After   string        // id of the last event that the caller has, or ""
-	Arrived time.Time
+	ID              state.RequestID
+	Host            string
+	Path            string // without the query
+	Method          string
+	Target          string // path and query as sent
+	Header          http.Header
+	Body            []byte
+	Key             string        // the caller's key, or ""
+	CallerTimeout   time.Duration // how long the caller waits from Arrived on; 0 for unsaid
+	PromptTokens    int           // tokens
+	MaxAnswerTokens int           // tokens at most
+	LastEventID     string        // id of the last event that the caller has, or ""
+	Arrived         time.Time
 }
 
 // Reply takes the answer to a request.
 type Reply interface {
 	// Head begins the answer with a server's status and header.
-	Head(status int, header http.Header)
+	WriteHeader(status int, header http.Header)
 	// Write sends bytes of the body; they leave at once.
 	Write(p []byte) error
 	// Cut ends a begun answer so that it can't be taken for a whole one.
-	Cut()
+	Abort()
 }
 
 // Outcome is how a request ended.
@@ -48,13 +48,13 @@
 	// TimedOut: its time ran out; it may have run.
 	TimedOut
 	// Cut: a part of an answer was given, and no more will come.
-	Cut
+	Truncated
 	// Gone: the caller left.
-	Gone
+	CallerLeft
 	// NoRoute: the configuration has no route for it.
 	NoRoute
 	// BadKey: the configuration has no such key.
-	BadKey
+	UnknownKey
 )
 
 // Result is an Outcome with what the caller is told.
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -47,7 +47,7 @@
 // Serve answers a request through its reply, or says in its result what the caller
 // is to be told. ctx ends when the caller leaves.
 func (g *Gateway) Serve(ctx context.Context, req *Request, reply Reply) Result {
-	r := &run{g: g, req: req, reply: reply, view: g.current.Load(), after: req.After}
+	r := &run{g: g, req: req, reply: reply, view: g.current.Load(), after: req.LastEventID}
 	g.active.Add(1)
 	defer g.active.Add(-1)
 	result := r.serve(ctx)
@@ -106,7 +106,7 @@
 	}
 	customer, ok := keys[r.req.Key]
 	if !ok {
-		return Result{Outcome: BadKey, Reason: "unknown_key"}, false
+		return Result{Outcome: UnknownKey, Reason: "unknown_key"}, false
 	}
 	r.customer = customer
 	return Result{}, true
@@ -116,8 +116,8 @@
 func (r *run) limitTime() {
 	const forever = time.Hour
 	r.deadline = r.req.Arrived.Add(forever)
-	if r.req.Wait > 0 {
-		r.deadline = r.req.Arrived.Add(r.req.Wait - deadlineMargin)
+	if r.req.CallerTimeout > 0 {
+		r.deadline = r.req.Arrived.Add(r.req.CallerTimeout - deadlineMargin)
 	}
 	if r.route.Timeout > 0 {
 		r.deadline = earlier(r.deadline, r.req.Arrived.Add(r.route.Timeout))
@@ -144,7 +144,7 @@
 		}
 		d := r.afterAttempt(ctx, end)
 		if errors.Is(context.Cause(ctx), context.Canceled) {
-			return Result{Outcome: Gone, Reason: "caller_left"}
+			return Result{Outcome: CallerLeft, Reason: "caller_left"}
 		}
 		switch {
 		case d.Retry:
@@ -229,8 +229,8 @@
 	outcome := Failed
 	switch {
 	case r.headed:
-		r.reply.Cut()
-		outcome = Cut
+		r.reply.Abort()
+		outcome = Truncated
 	case reason == relay.ReasonDeadline:
 		outcome = TimedOut
 	}
@@ -301,7 +301,7 @@
 // left is what is left of the request's time, 0 where neither its caller nor its
 // route bounds it.
 func (r *run) left() time.Duration {
-	if r.req.Wait <= 0 && r.route.Timeout <= 0 {
+	if r.req.CallerTimeout <= 0 && r.route.Timeout <= 0 {
 		return 0
 	}
 	return time.Until(r.deadline)
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -13,18 +13,18 @@
 	Domain state.FailureDomain
 	Region state.Region
 
-	Front     string // where callers send requests
-	Readiness string // where the platform asks whether the daemon is ready
-	Directory string // where callers ask for addresses; "" for not here
-	Peers     string // where other daemons connect
-	Store     string // the site's table service
-	Metrics   string // where counters are read; "" for nowhere
+	CallerAddress    string // where callers send requests
+	ReadinessAddress string // where the platform asks whether the daemon is ready
+	DirectoryAddress string // where callers ask for addresses; "" for not here
+	PeerAddress      string // where other daemons connect
+	StoreAddress     string // the site's table service
+	MetricsAddress   string // where counters are read; "" for nowhere
 
-	MemoryMB    int // beyond which the process is ended
-	Descriptors int // open at one time; 0 for no bound
+	MemoryMB       int // beyond which the process is ended
+	MaxDescriptors int // open at one time; 0 for no bound
 
-	Grace          time.Duration // from a planned stop's signal to its end
-	AddressesValid time.Duration // longest time that callers keep an answer
+	DrainTimeout time.Duration // from a planned stop's signal to its end
+	AddressTTL   time.Duration // longest time that callers keep an answer
 
 	BudgetRatio  float64 // retries for each request
 	BudgetWindow time.Duration
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -30,17 +30,17 @@
 
 // FeedStatus is how current a gateway's view of a feed is.
 type FeedStatus struct {
-	Version  uint64  `json:"version,omitempty"` // of the configuration
-	Revision uint64  `json:"revision"`
-	Age      float64 `json:"age_seconds"` // since it was known to be the newest
-	Source   string  `json:"source"`
+	Version    uint64  `json:"version,omitempty"` // of the configuration
+	Revision   uint64  `json:"revision"`
+	AgeSeconds float64 `json:"age_seconds"` // since it was known to be the newest
+	Source     string  `json:"source"`
 }
 
 // LeaseStatus is this gateway's part in ordering layers.
 type LeaseStatus struct {
-	Held   bool                `json:"held"`
-	Fence  state.FencingNumber `json:"fence,omitempty"`
-	Orders int                 `json:"orders_under_way"`
+	Held          bool                `json:"held"`
+	Fence         state.FencingNumber `json:"fence,omitempty"`
+	PendingOrders int                 `json:"orders_under_way"`
 }
 
 // MemberStatus is one gateway as this one sees it.
@@ -54,31 +54,31 @@
 
 // ServiceStatus is one service and its backend servers.
 type ServiceStatus struct {
-	ID          state.ServiceID       `json:"id"`
-	Layers      int                   `json:"layers,omitempty"` // of its model
-	Uncovered   int                   `json:"uncovered"`        // layers that no server holds
-	Whole       []state.FailureDomain `json:"whole"`            // domains that hold every layer by themselves
-	RetriesLeft int                   `json:"retries_left"`     // of this gateway's part of the budget
-	Servers     []ServerStatus        `json:"servers"`
-	Copies      map[string]int        `json:"copies,omitempty"` // of each run of layers, by "FROM-TO"
+	ID              state.ServiceID       `json:"id"`
+	Layers          int                   `json:"layers,omitempty"` // of its model
+	UncoveredLayers int                   `json:"uncovered"`        // layers that no server holds
+	CompleteDomains []state.FailureDomain `json:"whole"`            // domains that hold every layer by themselves
+	RetriesLeft     int                   `json:"retries_left"`     // of this gateway's part of the budget
+	Servers         []ServerStatus        `json:"servers"`
+	LayerCopies     map[string]int        `json:"copies,omitempty"` // of each run of layers, by "FROM-TO"
 }
 
 // ServerStatus is one backend server as this gateway sees it.
 type ServerStatus struct {
-	ID       state.BackendID     `json:"id"`
-	Address  string              `json:"address"`
-	Domain   state.FailureDomain `json:"domain"`
-	Kind     string              `json:"kind,omitempty"`
-	Layers   string              `json:"layers,omitempty"`
-	Draining bool                `json:"draining"`
-	Dead     bool                `json:"dead"`            // it answers no probe
-	Avoided  bool                `json:"avoided"`         // it failed of late
-	Outdated bool                `json:"outdated"`        // it has contradicted its entry
-	Refusing bool                `json:"refusing"`        // it is leaving, and not listed so
-	Limit    string              `json:"limit,omitempty"` // of requests that it names
-	Requests float64             `json:"requests"`
-	Tokens   float64             `json:"tokens"`         // held for this gateway's requests
-	Room     int                 `json:"room,omitempty"` // for the tokens of all gateways
+	ID             state.BackendID     `json:"id"`
+	Address        string              `json:"address"`
+	Domain         state.FailureDomain `json:"domain"`
+	Kind           string              `json:"kind,omitempty"`
+	Layers         string              `json:"layers,omitempty"`
+	Draining       bool                `json:"draining"`
+	Dead           bool                `json:"dead"`            // it answers no probe
+	Avoided        bool                `json:"avoided"`         // it failed of late
+	Outdated       bool                `json:"outdated"`        // it has contradicted its entry
+	Refusing       bool                `json:"refusing"`        // it is leaving, and not listed so
+	Limit          string              `json:"limit,omitempty"` // of requests that it names
+	Requests       float64             `json:"requests"`
+	ReservedTokens float64             `json:"tokens"`         // held for this gateway's requests
+	CapacityTokens int                 `json:"room,omitempty"` // for the tokens of all gateways
 }
 
 // Status returns what the gateway goes by. ctx bounds the wait for its control
@@ -130,15 +130,15 @@
 func (p *feedPart[T]) status(now time.Time) FeedStatus {
 	revision, _ := p.m.Revision()
 	return FeedStatus{
-		Revision: revision,
-		Age:      p.m.Age(now).Seconds(),
-		Source:   sourceNames[following.Mode(p.mode.Load())],
+		Revision:   revision,
+		AgeSeconds: p.m.Age(now).Seconds(),
+		Source:     sourceNames[following.Mode(p.mode.Load())],
 	}
 }
 
 // status is this daemon's part in ordering layers.
 func (p *dutyPart) status(now time.Time) LeaseStatus {
-	s := LeaseStatus{Held: p.m.HoldsLease(now), Orders: p.m.PendingOrders()}
+	s := LeaseStatus{Held: p.m.HoldsLease(now), PendingOrders: p.m.PendingOrders()}
 	if s.Held {
 		s.Fence = p.m.Fence()
 	}
@@ -181,14 +181,14 @@
 		ID: s.ID, Address: s.Address, Domain: s.Domain, Kind: s.Kind, Draining: s.Draining,
 		Dead: b.buried[s.Address], Avoided: avoided[s.Address], Outdated: b.suspects.IsOutdated(now, s),
 		Refusing: b.suspects.IsLeaving(now, s.Life()),
-		Requests: load.Requests, Tokens: load.Tokens,
+		Requests: load.Requests, ReservedTokens: load.Tokens,
 	}
 	if limit := b.permits.LimitOf(s.Life()); limit.Named {
 		out.Limit = limit.String()
 	}
 	if e != nil && s.Layers.Len() > 0 {
 		out.Layers = s.Layers.String()
-		out.Room = e.Room(e.Kinds[s.Kind], s.Layers.Len())
+		out.CapacityTokens = e.Room(e.Kinds[s.Kind], s.Layers.Len())
 	}
 	return out
 }
@@ -198,19 +198,19 @@
 	s.Layers = e.Layers
 	for d, in := range lo.GroupBy(servers, func(x fleet.Server) state.FailureDomain { return x.Domain }) {
 		if cover(e, in).Whole() {
-			s.Whole = append(s.Whole, d)
+			s.CompleteDomains = append(s.CompleteDomains, d)
 		}
 	}
-	slices.Sort(s.Whole)
+	slices.Sort(s.CompleteDomains)
 	all := cover(e, servers)
-	s.Uncovered = all.Missing()
-	s.Copies = make(map[string]int)
+	s.UncoveredLayers = all.Missing()
+	s.LayerCopies = make(map[string]int)
 	for from := 0; from < e.Layers; {
 		to := from
 		for to < e.Layers && all[to] == all[from] {
 			to++
 		}
-		s.Copies[fleet.Range{From: from, To: to}.String()] = all[from]
+		s.LayerCopies[fleet.Range{From: from, To: to}.String()] = all[from]
 		from = to
 	}
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -74,7 +74,7 @@
 		n, err := s.answer.Body.Read(buf)
 		if n > 0 {
 			if werr := s.take(buf[:n]); werr != nil {
-				return 0, Result{Outcome: Gone, Reason: "caller_left"}
+				return 0, Result{Outcome: CallerLeft, Reason: "caller_left"}
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -152,7 +152,7 @@
 		s.r.headed = true
 		s.r.given()
 		s.r.cleared()
-		s.r.reply.Head(s.answer.Status, s.answer.Header)
+		s.r.reply.WriteHeader(s.answer.Status, s.answer.Header)
 	}
 	if err := s.r.reply.Write(whole); err != nil {
 		return err
--- a/gateway/wait.go
+++ b/gateway/wait.go
@@ -66,7 +66,7 @@
 	if r.view.known() {
 		return true
 	}
-	wait := admission.WaitingRequest{Arrived: r.req.Arrived, Deadline: r.req.Arrived.Add(r.req.Wait)}
+	wait := admission.WaitingRequest{Arrived: r.req.Arrived, Deadline: r.req.Arrived.Add(r.req.CallerTimeout)}
 	r.g.waiting.Add(1)
 	defer r.g.waiting.Add(-1)
 	for {
