--- a/coordination/membership/bench_test.go
+++ b/coordination/membership/bench_test.go
@@ -12,7 +12,7 @@
 
 var sizes = []int{9, 50, 150, 420}
 
-// BenchmarkFleet gives the figures of docs/design/membership.md. Times are virtual.
+// BenchmarkFleet measures the figures of docs/design/membership.md in virtual time.
 //
 //	go test ./coordination/membership -run xxx -bench Fleet -benchtime 1x
 func BenchmarkFleet(b *testing.B) {
@@ -20,7 +20,7 @@
 		b.Run(fmt.Sprintf("idle/%d", n), func(b *testing.B) { benchIdle(b, n) })
 		b.Run(fmt.Sprintf("death/%d", n), func(b *testing.B) { benchDeath(b, n) })
 		b.Run(fmt.Sprintf("backend-fact/%d", n), func(b *testing.B) { benchFact(b, n) })
-		b.Run(fmt.Sprintf("parted/%d", n), func(b *testing.B) { benchParted(b, n) })
+		b.Run(fmt.Sprintf("parted/%d", n), func(b *testing.B) { benchPartition(b, n) })
 		b.Run(fmt.Sprintf("pause/%d", n), func(b *testing.B) { benchPause(b, n) })
 		for _, loss := range []float64{0.01, 0.05, 0.2} {
 			b.Run(fmt.Sprintf("loss-%v/%d", loss, n), func(b *testing.B) { benchLoss(b, n, loss) })
@@ -28,25 +28,25 @@
 	}
 }
 
-func started(b *testing.B, n int) *fleet {
-	f := newFleet(uint64(n), membership.Config{})
-	f.start(n, 90*time.Second)
-	if !f.converged() {
-		b.Fatalf("%d daemons did not find each other", n)
+func started(b *testing.B, n int) *cluster {
+	c := newCluster(uint64(n), membership.Config{})
+	c.start(n, 90*time.Second)
+	if !c.converged() {
+		b.Fatalf("%d daemons did not converge", n)
 	}
-	f.clear()
-	return f
+	c.clear()
+	return c
 }
 
-// traffic reports what the daemons sent over d.
-func (f *fleet) traffic(b *testing.B, d time.Duration) {
+// traffic reports what the daemons sent during d.
+func (c *cluster) traffic(b *testing.B, d time.Duration) {
 	var bytes, messages, worst int
-	for _, n := range f.living() {
+	for _, n := range c.running() {
 		bytes += n.bytes
 		messages += n.messages
 		worst = max(worst, n.bytes)
 	}
-	per := float64(len(f.living())) * d.Seconds()
+	per := float64(len(c.running())) * d.Seconds()
 	b.ReportMetric(float64(bytes)/per, "B/s/daemon")
 	b.ReportMetric(float64(worst)/d.Seconds(), "B/s-worst")
 	b.ReportMetric(float64(messages)/per, "msg/s/daemon")
@@ -54,16 +54,16 @@
 }
 
 func benchIdle(b *testing.B, n int) {
-	f := started(b, n)
-	for _, d := range f.nodes {
+	c := started(b, n)
+	for _, d := range c.nodes {
 		clear(d.peers)
 	}
 	begin := time.Now()
-	f.run(2 * time.Minute)
+	c.run(2 * time.Minute)
 	b.ReportMetric(float64(time.Since(begin).Microseconds())/120/float64(n), "cpu-us/s/daemon")
-	f.traffic(b, 2*time.Minute)
+	c.traffic(b, 2*time.Minute)
 	peers := 0
-	for _, d := range f.nodes {
+	for _, d := range c.nodes {
 		peers += len(d.peers)
 	}
 	b.ReportMetric(float64(peers)/float64(n), "peers")
@@ -71,8 +71,8 @@
 
 const trials = 10
 
-// spread reports the median and the longest of times.
-func spread(b *testing.B, times []time.Duration) {
+// reportTimes reports the median and the maximum of times.
+func reportTimes(b *testing.B, times []time.Duration) {
 	slices.Sort(times)
 	b.ReportMetric(times[len(times)/2].Seconds(), "s-median")
 	b.ReportMetric(times[len(times)-1].Seconds(), "s-max")
@@ -80,37 +80,37 @@
 }
 
 func benchDeath(b *testing.B, n int) {
-	f := started(b, n)
+	c := started(b, n)
 	var times []time.Duration
 	for t := range min(trials, n/2) {
-		victim := f.nodes[t]
+		victim := c.nodes[t]
 		victim.dead = true
-		d, ok := f.runUntil(time.Minute, func() bool { return f.allSee(victim.id, membership.Dead) })
+		d, ok := c.runUntil(time.Minute, func() bool { return c.allHold(victim.id, membership.Dead) })
 		if !ok {
-			b.Fatalf("the death of %s stayed unknown", victim.id)
+			b.Fatalf("the death of %s was not detected by every daemon", victim.id)
 		}
 		times = append(times, d)
-		f.run(10 * time.Second)
+		c.run(10 * time.Second)
 	}
-	spread(b, times)
+	reportTimes(b, times)
 }
 
 func benchFact(b *testing.B, n int) {
-	f := started(b, n)
+	c := started(b, n)
 	for _, loss := range []float64{0, 0.2} {
-		f.loss = loss
+		c.loss = loss
 		var times []time.Duration
 		for t := range trials {
 			id := state.BackendID(fmt.Sprintf("engine-%v-%d", loss, t))
-			f.step(f.nodes[t%n], membership.ReportBackend{Backend: id, Kind: membership.BackendLeaving})
-			d, ok := f.runUntil(time.Minute, func() bool {
-				return f.all(func(_ *node, v *membership.View) bool { return v.Backends[id].Kind == membership.BackendLeaving })
+			c.step(c.nodes[t%n], membership.ReportBackend{Backend: id, Kind: membership.BackendLeaving})
+			d, ok := c.runUntil(time.Minute, func() bool {
+				return c.everyView(func(_ *node, v *membership.View) bool { return v.Backends[id].Kind == membership.BackendLeaving })
 			})
 			if !ok {
-				b.Fatalf("%s stayed unknown", id)
+				b.Fatalf("the fact about %s did not reach every daemon", id)
 			}
 			times = append(times, d)
-			f.run(10 * time.Second)
+			c.run(10 * time.Second)
 		}
 		slices.Sort(times)
 		b.ReportMetric(times[len(times)-1].Seconds(), fmt.Sprintf("s-max-loss-%v", loss))
@@ -118,48 +118,48 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-func benchParted(b *testing.B, n int) {
-	f := started(b, n)
+func benchPartition(b *testing.B, n int) {
+	c := started(b, n)
 	side := func(n *node) bool { return n.self.Meta.Domain > "domain-1" }
-	f.cut = func(from, to *node) bool { return side(from) != side(to) }
-	f.run(2 * time.Minute)
-	f.traffic(b, 2*time.Minute)
-	f.cut = nil
-	f.clear()
-	d, ok := f.runUntil(2*time.Minute, f.converged)
+	c.blocked = func(from, to *node) bool { return side(from) != side(to) }
+	c.run(2 * time.Minute)
+	c.traffic(b, 2*time.Minute)
+	c.blocked = nil
+	c.clear()
+	d, ok := c.runUntil(2*time.Minute, c.converged)
 	if !ok {
-		b.Fatal("the sides did not find each other")
+		b.Fatal("the partitions did not converge")
 	}
 	healing := 0
-	for _, n := range f.nodes {
+	for _, n := range c.nodes {
 		healing += n.bytes
 	}
 	b.ReportMetric(d.Seconds(), "s-to-heal")
 	b.ReportMetric(float64(healing)/float64(n), "B-to-heal/daemon")
-	b.ReportMetric(float64(f.tally().died), "deaths-while-healing")
+	b.ReportMetric(float64(c.tally().died), "deaths-while-healing")
 }
 
 func benchPause(b *testing.B, n int) {
-	f := started(b, n)
-	f.pause(f.nodes[1], 30*time.Second)
-	f.run(30 * time.Second)
-	f.clear()
-	d, ok := f.runUntil(time.Minute, f.converged)
+	c := started(b, n)
+	c.pause(c.nodes[1], 30*time.Second)
+	c.run(30 * time.Second)
+	c.clear()
+	d, ok := c.runUntil(time.Minute, c.converged)
 	if !ok {
-		b.Fatal("the paused daemon did not come back")
+		b.Fatal("the paused daemon did not rejoin")
 	}
 	b.ReportMetric(d.Seconds(), "s-to-return")
-	f.run(20 * time.Second)
-	b.ReportMetric(float64(f.tally().died), "false-deaths")
+	c.run(20 * time.Second)
+	b.ReportMetric(float64(c.tally().died), "false-deaths")
 	b.ReportMetric(0, "ns/op")
 }
 
 func benchLoss(b *testing.B, n int, loss float64) {
-	f := started(b, n)
-	f.loss = loss
-	f.run(2 * time.Minute)
-	f.traffic(b, 2*time.Minute)
-	t := f.tally()
+	c := started(b, n)
+	c.loss = loss
+	c.run(2 * time.Minute)
+	c.traffic(b, 2*time.Minute)
+	t := c.tally()
 	b.ReportMetric(float64(t.refuted), "suspicions")
 	b.ReportMetric(float64(t.died), "false-deaths")
 }
--- a/coordination/membership/config.go
+++ b/coordination/membership/config.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// Config tunes the protocol. A zero field takes the default that its comment
-// names; docs/design/membership.md has the figures measured with the defaults.
+// Config tunes the protocol. A zero field takes the default that its comment names;
+// docs/design/membership.md has the measurements made with the defaults.
 type Config struct {
 	// ProbeInterval is the time between two probes by one daemon; 500 ms.
 	ProbeInterval time.Duration `json:"probe_interval"`
-	// ProbeTimeout is how long a probe waits before helpers are asked; 300 ms.
+	// ProbeTimeout is how long a probe waits before indirect probes are sent; 300 ms.
 	ProbeTimeout time.Duration `json:"probe_timeout"`
-	// ProbeDeadline is when an unanswered probe fails, counted from its start; 1 s.
+	// ProbeDeadline is the time after which an unanswered probe fails, counted from its start;
+	// 1 s.
 	ProbeDeadline time.Duration `json:"probe_deadline"`
-	// Helpers is how many neighbours probe on behalf of another; 3.
+	// IndirectProbes is how many neighbours are asked to probe a member that did not answer; 3.
 	IndirectProbes int `json:"helpers"`
 
 	// SuspicionMax is how long a suspect may refute if one daemon accuses it; 4 s.
 	SuspicionMax time.Duration `json:"suspicion_max"`
-	// SuspicionMin is the same once enough daemons accuse it; 2 s.
+	// SuspicionMin is how long a suspect may refute once maxAccusers daemons accuse it; 2 s.
 	SuspicionMin time.Duration `json:"suspicion_min"`
 
-	// GossipInterval is the time between gossip messages while there are
-	// rumours to tell; 100 ms.
+	// GossipInterval is the time between gossip rounds while broadcasts are queued; 100 ms.
 	GossipInterval time.Duration `json:"gossip_interval"`
-	// Fanout is how many neighbours each gossip round goes to; 3.
+	// Fanout is how many neighbours each gossip round sends to; 3.
 	Fanout int `json:"fanout"`
-	// GossipBytes bounds the rumours in one message; 1,000 bytes.
+	// GossipBytes bounds the broadcasts in one message; 1,000 bytes.
 	GossipBytes int `json:"gossip_bytes"`
-	// GossipRate bounds the rumours sent in bytes a second; 6,000.
+	// GossipRate bounds the broadcasts sent, in bytes per second; 6,000.
 	GossipRate int `json:"gossip_rate"`
-	// GossipBurst is how many bytes of rumours may go ahead of GossipRate; 64,000.
+	// GossipBurst is how many bytes of broadcasts may be sent in excess of GossipRate; 64,000.
 	GossipBurst int `json:"gossip_burst"`
 
-	// ExchangeInterval is the mean time between comparisons of the whole state
-	// with a random member; 15 s.
+	// ExchangeInterval is the mean time between exchanges of the complete state with a random
+	// member; 15 s.
 	ExchangeInterval time.Duration `json:"exchange_interval"`
-	// ReconnectInterval is the mean time between attempts to reach a dead member
-	// or an address of the instance list; 2 s.
+	// ReconnectInterval is the mean time between attempts to reach a dead member or an address
+	// of the instance list; 2 s.
 	ReconnectInterval time.Duration `json:"reconnect_interval"`
-	// DeadKeep is how long a dead member is remembered and contacted; 10 min.
+	// DeadRetention is how long a dead member is remembered and contacted; 10 min.
 	DeadRetention time.Duration `json:"dead_keep"`
 
-	// PauseLimit is the lateness of a tick from which the daemon holds itself
-	// for paused; 2 s.
+	// PauseThreshold is the delay of a tick from which the daemon concludes that it was paused;
+	// 2 s.
 	PauseThreshold time.Duration `json:"pause_limit"`
 
-	// BackendFactKeep is how long a fact on a backend server holds; 60 s, which
-	// has to exceed the lag of the instance list.
+	// BackendFactTTL is how long a fact about a backend server is valid; 60 s. It has to exceed
+	// the lag of the instance list.
 	BackendFactTTL time.Duration `json:"backend_fact_keep"`
-	// DocumentFactKeep is how long a fact on a document version is kept; 30 s.
+	// DocumentFactTTL is how long a fact about a document version is kept; 30 s.
 	DocumentFactTTL time.Duration `json:"document_fact_keep"`
-	// NoticeKeep is how long a notice is passed on; 15 s, longer than any of them
-	// counts.
+	// NoticeTTL is how long a notice is forwarded; 15 s, which is longer than any notice is
+	// relevant.
 	NoticeTTL time.Duration `json:"notice_keep"`
 
-	// Rings fixes the number of neighbour rings; 0 takes ceil(log2(n+1)).
+	// Rings fixes the number of neighbour rings; 0 selects ceil(log2(n+1)).
 	Rings int `json:"rings"`
 }
 
-// The defaults of Config that are not durations.
+// Defaults of the Config fields that are not durations.
 const (
 	defaultHelpers     = 3
 	defaultFanout      = 3
@@ -69,7 +69,7 @@
 	defaultGossipBurst = 64_000
 )
 
-// withDefaults gives c with each zero field at its default.
+// withDefaults returns c with each zero field set to its default.
 func (c Config) withDefaults() Config {
 	orDuration(&c.ProbeInterval, 500*time.Millisecond)
 	orDuration(&c.ProbeTimeout, 300*time.Millisecond)
@@ -92,8 +92,8 @@
 	return c
 }
 
-// rings is how many rings n live members form.
-func (c Config) rings(n int) int {
+// ringCount returns the number of rings for n live members.
+func (c Config) ringCount(n int) int {
 	if c.Rings > 0 {
 		return c.Rings
 	}
--- a/coordination/membership/event.go
+++ b/coordination/membership/event.go
@@ -6,59 +6,59 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Event is something that happened to this daemon.
+// Event is an input to Step.
 type Event interface {
 	membershipEvent()
 }
 
-// Tick lets timers run; it is due at NextTick and harmless at any time.
+// Tick runs the timers that are due. It is needed at NextTick and harmless at any other time.
 type Tick struct{}
 
-// Received is a message of another daemon.
+// Received is a message from another daemon.
 type Received struct {
 	From state.Member
 	Msg  Message
 }
 
-// Seeds replaces the addresses under which daemons may be found: the instance
-// list, presence rows, settings. They may be old.
+// Seeds replaces the addresses at which daemons may be found: those of the instance list,
+// presence rows and settings. They may be outdated.
 type Seeds struct {
 	Addresses []string // host:port, as in Meta.PeerAddress
 }
 
-// ConnectionLost says that the connection to a daemon was reset or refused. The
-// daemon is probed at once; nothing more is concluded.
+// ConnectionLost reports that the connection to a daemon was reset or refused. The daemon is
+// probed immediately; nothing else is concluded.
 type ConnectionLost struct {
 	ID state.DaemonID
 }
 
-// SetDigest replaces this daemon's own digest.
+// SetDigest replaces the local daemon's digest.
 type SetDigest struct {
 	Digest Digest
 }
 
-// ReportBackend makes what this daemon found out about a backend server known.
+// ReportBackend broadcasts what the local daemon observed about a backend server.
 type ReportBackend struct {
 	Backend state.BackendID
 	Kind    FactKind // one of the Backend kinds
 }
 
-// ReportDocument makes the newest version of a document known.
+// ReportDocument broadcasts the newest version of a document.
 type ReportDocument struct {
 	Service state.ServiceID
 	Version state.DocumentVersion
 }
 
-// Notify makes something known that other packages decide on: every live daemon
-// learns it as a fact of the kind Notice, within Config.NoticeKeep.
+// Notify broadcasts a text that other packages interpret: every live daemon receives it as a
+// fact of kind Notice, within Config.NoticeTTL.
 type Notify struct {
-	Text string // a few dozen bytes in the caller's own encoding
+	Text string // a few dozen bytes, encoded by the caller
 }
 
-// Drain says that this daemon takes no new callers from now on.
+// Drain reports that this daemon accepts no new callers from now on.
 type Drain struct{}
 
-// Leave says that this daemon stops now. Nothing is sent after its actions.
+// Leave reports that this daemon stops now. Nothing is sent after its actions.
 type Leave struct{}
 
 func (Tick) membershipEvent()           {}
@@ -72,52 +72,52 @@
 func (Drain) membershipEvent()          {}
 func (Leave) membershipEvent()          {}
 
-// Action is something for the caller of Step to do.
+// Action is an output of Step for the caller to perform.
 type Action interface {
 	membershipAction()
 }
 
-// Send sends Msg to the daemon at Address. To is empty when it is not known which
-// daemon that is.
+// Send sends Msg to the daemon at Address. To is empty when the daemon at that address is
+// unknown.
 type Send struct {
 	To      state.DaemonID
 	Address string
 	Msg     Message
 }
 
-// ViewChanged says that View differs in members, their states or facts.
+// ViewChanged reports that members, their states or facts in View have changed.
 type ViewChanged struct{}
 
-// Changed says what became of one member, for the log.
+// MemberChanged reports the transition of one member, for the log.
 type MemberChanged struct {
 	Member   state.Member
 	From, To State
-	New      bool // first seen; From is then meaningless
+	New      bool // first observed; From is then meaningless
 }
 
-// FactLearned hands over a fact that a peer told, the first time it is seen.
+// FactLearned delivers a fact received from a peer, the first time it is observed.
 type FactLearned struct {
 	Fact Fact
 }
 
-// DigestChanged hands over a neighbour's digest that differs from its last one.
+// DigestChanged delivers a neighbour's digest that differs from its previous one.
 type DigestChanged struct {
 	From   state.Member
 	Digest Digest
 }
 
-// Refuted says that others suspected this daemon or held it for dead.
+// Refuted reports that others considered this daemon suspect or dead.
 type Refuted struct {
 	Claimed State
 }
 
-// Late says that this daemon was paused and started over.
+// PauseDetected reports that this daemon was paused and has restarted its probes.
 type PauseDetected struct {
 	Delay time.Duration
 }
 
-// Superseded says that a later life of this daemon's ID is around. This process
-// must stop; if it is the newer one after all, its incarnation was chosen too low.
+// Superseded reports that a later incarnation of this daemon's ID exists. This process must
+// stop; if it is in fact the newer one, its incarnation was chosen too low.
 type Superseded struct {
 	By state.Incarnation
 }
--- a/coordination/membership/exchange.go
+++ b/coordination/membership/exchange.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// buckets is into how many parts members are hashed for a comparison.
-	buckets     = 32
-	bucketShift = 64 - 5
+	// numBuckets is the number of buckets into which members are hashed for an exchange.
+	numBuckets  = 32
+	bucketShift = 64 - 5 // selects the top log2(numBuckets) bits of a hash
 
-	// sweepInterval is the time between two searches for what has expired.
+	// sweepInterval is the time between two removals of expired state.
 	sweepInterval = time.Second
-	// askInterval is the least time between two Compares for unknown members.
-	askInterval = time.Second
-	// firstSeeds is how many addresses a daemon that knows nobody tries at once.
-	firstSeeds = 3
+	// recordsRequestInterval is the minimum time between two exchange requests for unknown
+	// members.
+	recordsRequestInterval = time.Second
+	// initialSeeds is how many addresses a daemon that knows no other tries at once.
+	initialSeeds = 3
 )
 
 func (e *entry) bucket() int {
 	return int(e.hash >> bucketShift)
 }
 
-// hashes gives one hash a bucket over the live members. The dead are left out:
-// each daemon forgets them in its own time.
-func (m *Membership) hashes() []uint64 {
-	out := make([]uint64, buckets)
+// bucketHashes returns one hash of the live members per bucket. Dead members are excluded
+// because daemons drop them at different times.
+func (m *Membership) bucketHashes() []uint64 {
+	out := make([]uint64, numBuckets)
 	for _, e := range m.table.sorted {
 		if e.state.live() {
 			out[e.bucket()] ^= mix(e.hash + mix(uint64(e.inc)+mix(uint64(e.rev))))
@@ -36,41 +37,41 @@
 	return out
 }
 
-// membersHash is one hash over the live members.
+// membersHash returns one hash of all live members.
 func (m *Membership) membersHash() uint64 {
-	if m.hash == 0 {
-		for _, h := range m.hashes() {
-			m.hash ^= h
+	if m.membersHashCache == 0 {
+		for _, h := range m.bucketHashes() {
+			m.membersHashCache ^= h
 		}
 	}
-	return m.hash
+	return m.membersHashCache
 }
 
-func (m *Membership) compare() ExchangeRequest {
-	return ExchangeRequest{Self: m.self.full(), BucketHashes: m.hashes(), FactsHash: m.facts.hash(m.now)}
+func (m *Membership) exchangeRequest() ExchangeRequest {
+	return ExchangeRequest{Self: m.self.fullUpdate(), BucketHashes: m.bucketHashes(), FactsHash: m.facts.hash(m.now)}
 }
 
-// ask has a peer send the records that differ, because it told of a member that is
-// not known here.
-func (m *Membership) ask(teller state.DaemonID) {
-	if m.now.Sub(m.lastAsked) < askInterval {
+// requestRecords asks a peer for the records that differ, because it sent an update of an
+// unknown member.
+func (m *Membership) requestRecords(sender state.DaemonID) {
+	if m.now.Sub(m.lastRecordsRequest) < recordsRequestInterval {
 		return
 	}
-	m.lastAsked = m.now
-	s := Send{To: teller, Msg: m.compare()}
-	if e, ok := m.table.get(teller); ok {
+	m.lastRecordsRequest = m.now
+	s := Send{To: sender, Msg: m.exchangeRequest()}
+	if e, ok := m.table.get(sender); ok {
 		s.Address = e.meta.PeerAddress
 	}
-	m.act(s)
+	m.emit(s)
 }
 
-func (m *Membership) onCompare(from state.DaemonID, msg ExchangeRequest) {
+func (m *Membership) onExchangeRequest(from state.DaemonID, msg ExchangeRequest) {
 	e, ok := m.table.get(from)
-	if !ok || len(msg.BucketHashes) != buckets {
+	if !ok || len(msg.BucketHashes) != numBuckets {
 		return
 	}
-	reply := ExchangeRecords{Self: m.self.full()}
-	for i, h := range m.hashes() {
+	reply := ExchangeRecords{Self: m.self.fullUpdate()}
+	for i, h := range m.bucketHashes() {
 		if h != msg.BucketHashes[i] {
 			reply.Buckets = append(reply.Buckets, uint8(i))
 		}
@@ -81,26 +82,26 @@
 		reply.Facts = m.facts.all(m.now)
 		reply.WantFacts = true
 	}
-	if u, ok := m.accusation(msg.Self); ok {
+	if u, ok := m.correction(msg.Self); ok {
 		reply.Updates = append(reply.Updates, u)
 	}
 	m.send(e, reply)
 }
 
-// records gives all that is known of the members in the buckets.
+// records returns the full updates of all members in the given buckets.
 func (m *Membership) records(bs []uint8) []Update {
 	var out []Update
 	for _, e := range m.table.sorted {
 		if slices.Contains(bs, uint8(e.bucket())) {
-			out = append(out, e.full())
+			out = append(out, e.fullUpdate())
 		}
 	}
 	return out
 }
 
-func (m *Membership) onRecords(from state.DaemonID, msg ExchangeRecords) {
-	// A daemon that knew nobody but the sender has news for nobody: passing the
-	// whole fleet's records on would cost each of its neighbours as much again.
+func (m *Membership) onExchangeRecords(from state.DaemonID, msg ExchangeRecords) {
+	// A daemon that knew only the sender has no new records for anybody else: forwarding the
+	// records of the whole site would cost each of its neighbours as much again.
 	m.joining = m.table.live() <= 2
 	for _, u := range msg.Updates {
 		m.apply(u, from, fromExchange)
@@ -111,10 +112,10 @@
 	}
 	e, ok := m.table.get(from)
 	if !ok || !msg.WantRecords && !msg.WantFacts {
-		m.accuse(msg.Self)
+		m.sendCorrection(msg.Self)
 		return
 	}
-	reply := ExchangeRecords{Self: m.self.full()}
+	reply := ExchangeRecords{Self: m.self.fullUpdate()}
 	if msg.WantRecords {
 		reply.Updates = m.records(msg.Buckets)
 	}
@@ -124,13 +125,13 @@
 	m.send(e, reply)
 }
 
-// runExchange compares with a random live member now and then. It repairs what
-// rumours missed, over links that the rings do not have.
+// runExchange periodically exchanges state with a random live member. It repairs what
+// broadcasts missed, over links that are not part of the rings.
 func (m *Membership) runExchange() {
 	if m.now.Before(m.nextExchange) {
 		return
 	}
-	m.nextExchange = m.after(m.cfg.ExchangeInterval)
+	m.nextExchange = m.jittered(m.cfg.ExchangeInterval)
 	var others []*entry
 	for _, e := range m.table.sorted {
 		if e != m.self && e.state == Alive {
@@ -138,32 +139,32 @@
 		}
 	}
 	if len(others) > 0 {
-		m.send(others[m.rng.IntN(len(others))], m.compare())
+		m.send(others[m.rng.IntN(len(others))], m.exchangeRequest())
 	}
 }
 
-// runReconnect tries to reach someone who is not held alive.
+// runReconnect tries to reach a daemon that is not considered alive.
 //
-// Guard (regions-parted, lagging-instance-list): after a parting nobody probes
-// across it any more, and an instance list that lags names neither all nor only
-// live daemons. So the dead of the last DeadKeep and the listed addresses that no
-// live member has are tried, one at a time and for good; who answers is told that
-// it was held for dead, and refutes.
+// Guard (regions-parted, lagging-instance-list): after a network partition no daemon probes
+// across it any more, and an outdated instance list names neither all daemons nor only live
+// ones. Dead members within Config.DeadRetention and listed addresses that belong to no live
+// member are therefore tried one at a time, indefinitely. A daemon that answers is notified
+// that it was considered dead, and refutes.
 func (m *Membership) runReconnect() {
 	if m.now.Before(m.nextReconnect) {
 		return
 	}
-	m.nextReconnect = m.after(m.cfg.ReconnectInterval)
+	m.nextReconnect = m.jittered(m.cfg.ReconnectInterval)
 	var dead []*entry
 	for _, e := range m.table.sorted {
 		if e.state == Dead {
 			dead = append(dead, e)
 		}
 	}
-	seeds := m.strangers()
+	seeds := m.unknownSeeds()
 	tries := 1
 	if len(dead) == 0 && m.table.live() == 1 {
-		tries = firstSeeds
+		tries = initialSeeds
 	}
 	for range min(tries, len(dead)+len(seeds)) {
 		i := m.rng.IntN(len(dead) + len(seeds))
@@ -172,13 +173,13 @@
 			continue
 		}
 		i -= len(dead)
-		m.act(Send{Address: seeds[i], Msg: m.compare()})
+		m.emit(Send{Address: seeds[i], Msg: m.exchangeRequest()})
 		seeds = slices.Delete(seeds, i, i+1)
 	}
 }
 
-// strangers gives the listed addresses at which nobody is known.
-func (m *Membership) strangers() []string {
+// unknownSeeds returns the listed addresses at which no member is known.
+func (m *Membership) unknownSeeds() []string {
 	known := make(map[string]bool)
 	for _, e := range m.table.sorted {
 		if e.state.live() || e.state == Dead {
@@ -194,7 +195,7 @@
 	return out
 }
 
-// sweep forgets what is past its time.
+// sweep removes expired facts and members.
 func (m *Membership) sweep() {
 	if m.now.Before(m.nextSweep) {
 		return
@@ -204,17 +205,17 @@
 		m.changed = true
 	}
 	for _, e := range slices.Clone(m.table.sorted) {
-		if !e.state.live() && m.now.Sub(e.since) >= m.cfg.DeadRetention {
+		if !e.state.live() && m.now.Sub(e.stateSince) >= m.cfg.DeadRetention {
 			m.table.remove(e.id)
-			m.gossip.drop(memberSubject(e.id))
+			m.broadcasts.drop(memberSubject(e.id))
 			m.membersChanged()
 		}
 	}
 }
 
-// runTimers does whatever is due.
+// runTimers performs everything that is due.
 func (m *Membership) runTimers() {
-	m.endSuspicions()
+	m.expireSuspicions()
 	m.runProbes()
 	m.runExchange()
 	m.runReconnect()
@@ -222,7 +223,7 @@
 	m.runGossip()
 }
 
-// nextTick is when the next of the timers is due.
+// nextTick returns when the next timer is due.
 func (m *Membership) nextTick() time.Time {
 	next := m.nextSweep
 	sooner := func(t time.Time) {
@@ -234,10 +235,10 @@
 	sooner(m.nextExchange)
 	sooner(m.nextReconnect)
 	for _, p := range m.probes.pending {
-		if !p.asked {
-			sooner(p.direct)
+		if !p.indirectSent {
+			sooner(p.indirectAt)
 		}
-		sooner(p.fails)
+		sooner(p.failsAt)
 	}
 	for _, r := range m.probes.relays {
 		sooner(r.expires)
@@ -247,8 +248,8 @@
 			sooner(e.suspicion.deadline(m.cfg))
 		}
 	}
-	if !m.gossip.next.IsZero() {
-		sooner(m.gossip.next)
+	if !m.broadcasts.nextRound.IsZero() {
+		sooner(m.broadcasts.nextRound)
 	}
 	return next
 }
--- a/coordination/membership/facts.go
+++ b/coordination/membership/facts.go
@@ -10,27 +10,27 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// held is a fact as this daemon holds it, timed by its own clock.
-type held struct {
-	fact     Fact
-	observed time.Time
-	until    time.Time
+// storedFact is a fact with its times on the local clock.
+type storedFact struct {
+	fact      Fact
+	observed  time.Time
+	expiresAt time.Time
 }
 
-// facts holds what is known besides members, the newest of each subject.
+// facts holds the newest fact of each subject.
 type facts struct {
-	byID   map[subject]*held
+	byID   map[subject]*storedFact
 	sorted []subject
 }
 
 func newFacts() facts {
-	return facts{byID: make(map[subject]*held)}
+	return facts{byID: make(map[subject]*storedFact)}
 }
 
-// get gives the fact on s with its present age.
+// get returns the fact about s with its current age.
 func (fs *facts) get(s subject, now time.Time) (Fact, bool) {
 	h, ok := fs.byID[s]
-	if !ok || !now.Before(h.until) {
+	if !ok || !now.Before(h.expiresAt) {
 		return Fact{}, false
 	}
 	f := h.fact
@@ -38,7 +38,7 @@
 	return f, true
 }
 
-func (fs *facts) put(h *held) {
+func (fs *facts) put(h *storedFact) {
 	s := h.fact.subject()
 	if _, ok := fs.byID[s]; !ok {
 		i, _ := slices.BinarySearchFunc(fs.sorted, s, compareSubjects)
@@ -47,11 +47,11 @@
 	fs.byID[s] = h
 }
 
-// expire drops what no longer holds and reports whether there was any.
+// expire removes expired facts and reports whether there were any.
 func (fs *facts) expire(now time.Time) bool {
 	n := len(fs.sorted)
 	fs.sorted = slices.DeleteFunc(fs.sorted, func(s subject) bool {
-		if now.Before(fs.byID[s].until) {
+		if now.Before(fs.byID[s].expiresAt) {
 			return false
 		}
 		delete(fs.byID, s)
@@ -60,7 +60,7 @@
 	return len(fs.sorted) < n
 }
 
-// all gives every fact with its present age.
+// all returns every fact with its current age.
 func (fs *facts) all(now time.Time) []Fact {
 	out := make([]Fact, 0, len(fs.sorted))
 	for _, s := range fs.sorted {
@@ -71,30 +71,30 @@
 	return out
 }
 
-// hash is equal where the same facts are held. Those about to expire are left out:
-// daemons drop them at slightly different times.
+// hash is equal on daemons that hold the same facts. Facts that are about to expire are
+// excluded, because daemons drop them at slightly different times.
 func (fs *facts) hash(now time.Time) uint64 {
 	var sum uint64
 	for s, h := range fs.byID {
-		if h.until.Sub(now) > expiryMargin {
+		if h.expiresAt.Sub(now) > expiryMargin {
 			sum ^= mix(xxhash.Sum64String(s.id) + uint64(s.kind) + mix(h.fact.Version+uint64(h.fact.Kind)))
 		}
 	}
 	return sum
 }
 
-// expiryMargin is by how much the time at which two daemons drop a fact may
-// differ without a difference in hash.
+// expiryMargin is the remaining lifetime below which a fact is excluded from the hash: two
+// daemons may drop it at different times without a difference in the hash.
 const expiryMargin = 5 * time.Second
 
 func compareSubjects(a, b subject) int {
 	return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.id, b.id))
 }
 
-// compare orders facts of one subject. Of two reports with one version the kind
-// that keeps work away wins.
+// compare orders facts about one subject. Among reports with equal versions, the kind that
+// keeps requests away from the backend server wins.
 func (f Fact) compare(g Fact) int {
-	caution := func(k FactKind) int {
+	precedence := func(k FactKind) int {
 		switch k {
 		case BackendFailed:
 			return 2
@@ -106,42 +106,43 @@
 	}
 	return cmp.Or(
 		cmp.Compare(f.Version, g.Version),
-		cmp.Compare(caution(f.Kind), caution(g.Kind)),
+		cmp.Compare(precedence(f.Kind), precedence(g.Kind)),
 	)
 }
 
-// applyFact takes in a fact that a peer told.
-func (m *Membership) applyFact(f Fact, teller state.DaemonID) {
+// applyFact applies a fact received from a peer.
+func (m *Membership) applyFact(f Fact, sender state.DaemonID) {
 	s := f.subject()
 	if h, ok := m.facts.byID[s]; ok {
 		c := f.compare(h.fact)
 		if c == 0 {
-			m.gossip.toldBy(s, teller)
+			m.broadcasts.markReceived(s, sender)
 		}
 		if c <= 0 {
 			return
 		}
 	}
-	if m.hold(f, teller) {
-		m.act(FactLearned{Fact: f})
+	if m.storeFact(f, sender) {
+		m.emit(FactLearned{Fact: f})
 	}
 }
 
-// hold keeps f while it lasts and passes it on.
-func (m *Membership) hold(f Fact, teller state.DaemonID) bool {
-	h := &held{fact: f, observed: m.now.Add(-time.Duration(f.AgeMS) * time.Millisecond)}
-	h.until = h.observed.Add(m.keep(f.Kind))
-	if !m.now.Before(h.until) {
+// storeFact stores f until it expires and queues it for gossip. It reports false for an expired
+// fact.
+func (m *Membership) storeFact(f Fact, sender state.DaemonID) bool {
+	h := &storedFact{fact: f, observed: m.now.Add(-time.Duration(f.AgeMS) * time.Millisecond)}
+	h.expiresAt = h.observed.Add(m.factTTL(f.Kind))
+	if !m.now.Before(h.expiresAt) {
 		return false
 	}
 	m.facts.put(h)
-	m.changed = m.changed || f.Kind != Notice // a view holds no notices
-	m.gossip.tellFact(f.subject(), teller, m.now)
+	m.changed = m.changed || f.Kind != Notice // a view contains no notices
+	m.broadcasts.queueFact(f.subject(), sender, m.now)
 	return true
 }
 
-// keep is how long a fact of a kind holds.
-func (m *Membership) keep(k FactKind) time.Duration {
+// factTTL returns how long a fact of kind k is valid.
+func (m *Membership) factTTL(k FactKind) time.Duration {
 	switch k {
 	case DocumentVersion:
 		return m.cfg.DocumentFactTTL
@@ -152,25 +153,25 @@
 	}
 }
 
-// notify makes a notice known. Said again it is told again, so that daemons that
-// count can: each has a version of its own.
+// notify broadcasts a notice. A repeated notice is sent again under a version of its own, so
+// that daemons can count the repeats.
 //
-// Guard (notice-lost): a message of a daemon's own to each other one would be lost
-// with its connection, and nobody would notice. A fact is told by several neighbours
-// to each daemon, and what still misses it gets it by an exchange.
+// Guard (notice-lost): a separate message to each daemon would be lost with its connection, and
+// nobody would notice. A fact reaches each daemon through several neighbours, and a daemon that
+// still misses it receives it in an exchange.
 func (m *Membership) notify(text string) {
 	f := Fact{Kind: Notice, Subject: text, Version: uint64(m.now.UnixMilli()), Reporter: m.self.member()}
 	if h, ok := m.facts.byID[f.subject()]; ok {
 		f.Version = max(f.Version, h.fact.Version+1)
 	}
-	m.hold(f, m.self.id)
+	m.storeFact(f, m.self.id)
 }
 
-// reportBackend makes this daemon's own observation known. The version follows
-// this daemon's clock and is above every version known, so that the newest
-// observation wins wherever clocks agree roughly, and a daemon that has seen a
-// fact can always override it. A fact that is already known and fresh is not
-// reported again: many daemons see one backend server fail.
+// reportBackend broadcasts the local daemon's observation. The version follows the local clock
+// and exceeds every known version, so the newest observation wins wherever clocks agree
+// roughly, and a daemon that has received a fact can always override it. A fact that is already
+// known and recent is not reported again, because many daemons observe the failure of one
+// backend server.
 func (m *Membership) reportBackend(id state.BackendID, kind FactKind) {
 	f := Fact{Kind: kind, Subject: string(id), Version: uint64(m.now.UnixMilli()), Reporter: m.self.member()}
 	if h, ok := m.facts.byID[f.subject()]; ok {
@@ -179,14 +180,14 @@
 		}
 		f.Version = max(f.Version, h.fact.Version+1)
 	}
-	m.hold(f, m.self.id)
+	m.storeFact(f, m.self.id)
 }
 
-// reportDocument makes a document version known unless a newer one is.
+// reportDocument broadcasts a document version unless a newer one is known.
 func (m *Membership) reportDocument(id state.ServiceID, v state.DocumentVersion) {
 	f := Fact{Kind: DocumentVersion, Subject: string(id), Version: uint64(v), Reporter: m.self.member()}
 	if h, ok := m.facts.byID[f.subject()]; ok && h.fact.Version >= f.Version {
 		return
 	}
-	m.hold(f, m.self.id)
+	m.storeFact(f, m.self.id)
 }
--- a/coordination/membership/fleet_test.go
+++ b/coordination/membership/fleet_test.go
@@ -13,7 +13,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// node is one daemon of a fleet in virtual time.
+// node is one daemon of a cluster in virtual time.
 type node struct {
 	id          state.DaemonID
 	self        membership.Self
@@ -24,13 +24,13 @@
 
 	bytes, messages int // sent
 	peers           map[string]bool
-	actions         []membership.Action // all but Send, since the last clear
+	actions         []membership.Action // all except Send, since the last clear
 }
 
-// delivery is a message or a tick on its way to a node.
+// delivery is a message or a tick that is scheduled for a node.
 type delivery struct {
 	at   time.Time
-	n    int // breaks ties in order of sending
+	seq  int // breaks ties in the order of sending
 	to   *node
 	from state.Member
 	msg  membership.Message // nil for a tick
@@ -41,7 +41,7 @@
 func (d deliveries) Len() int { return len(d) }
 func (d deliveries) Less(i, j int) bool {
 	if d[i].at.Equal(d[j].at) {
-		return d[i].n < d[j].n
+		return d[i].seq < d[j].seq
 	}
 	return d[i].at.Before(d[j].at)
 }
@@ -53,26 +53,26 @@
 	return last
 }
 
-// fleet runs daemons against each other in virtual time. Every message goes
-// through the peer codec, which also counts its bytes.
-type fleet struct {
-	now   time.Time
-	rng   *rand.Rand
-	cfg   membership.Config
-	queue deliveries
-	n     int
-	nodes []*node
-	at    map[string]*node
-	codec *peer.Registry
+// cluster runs daemons against each other in virtual time. Every message passes through the
+// peer codec, which also determines its size.
+type cluster struct {
+	now       time.Time
+	rng       *rand.Rand
+	cfg       membership.Config
+	queue     deliveries
+	pushed    int
+	nodes     []*node
+	byAddress map[string]*node
+	registry  *peer.Registry
 
-	loss   float64                   // share of messages lost
-	cut    func(from, to *node) bool // messages that never arrive
-	onStep func(n *node, as []membership.Action)
+	loss    float64                   // share of messages lost
+	blocked func(from, to *node) bool // selects messages that never arrive
+	onStep  func(n *node, as []membership.Action)
 }
 
 const firstKind peer.Kind = 1
 
-func newFleet(seed uint64, cfg membership.Config) *fleet {
+func newCluster(seed uint64, cfg membership.Config) *cluster {
 	r := peer.NewRegistry()
 	peer.Register[membership.Ping](r, firstKind)
 	peer.Register[membership.Ack](r, firstKind+1)
@@ -81,17 +81,17 @@
 	peer.Register[membership.Gossip](r, firstKind+4)
 	peer.Register[membership.ExchangeRequest](r, firstKind+5)
 	peer.Register[membership.ExchangeRecords](r, firstKind+6)
-	return &fleet{
-		now: epoch, rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, codec: r,
-		at: make(map[string]*node),
+	return &cluster{
+		now: epoch, rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, registry: r,
+		byAddress: make(map[string]*node),
 	}
 }
 
-// domainsPerRegion places nodes: 17 failure domains in 6 regions when there are
-// enough of them.
+// domainsPerRegion is the number of failure domains per region. Clusters of more than 50
+// daemons have 17 failure domains in 6 regions.
 const domainsPerRegion = 3
 
-func place(i, of int) (state.FailureDomain, state.Region) {
+func placement(i, of int) (state.FailureDomain, state.Region) {
 	domains := 3
 	if of > 50 {
 		domains = 17
@@ -100,9 +100,9 @@
 	return state.FailureDomain(fmt.Sprintf("domain-%d", d)), state.Region(fmt.Sprintf("region-%d", d/domainsPerRegion))
 }
 
-// add starts a daemon; a second one of the same number replaces the first.
-func (f *fleet) add(i, of int, inc state.Incarnation) *node {
-	domain, region := place(i, of)
+// add starts a daemon; a second one with the same number replaces the first.
+func (c *cluster) add(i, of int, inc state.Incarnation) *node {
+	domain, region := placement(i, of)
 	id := state.DaemonID(fmt.Sprintf("entry-%d", i))
 	addr := fmt.Sprintf("10.20.%d.%d:7300", i/250, i%250)
 	n := &node{id: id, peers: make(map[string]bool)}
@@ -114,64 +114,64 @@
 			Domain:        domain, Region: region,
 		},
 	}
-	n.m = membership.New(f.cfg, n.self, rand.New(rand.NewPCG(f.rng.Uint64(), 2)))
-	f.nodes = append(f.nodes, n)
-	f.at[addr] = n
+	n.m = membership.New(c.cfg, n.self, rand.New(rand.NewPCG(c.rng.Uint64(), 2)))
+	c.nodes = append(c.nodes, n)
+	c.byAddress[addr] = n
 	return n
 }
 
-// start adds n daemons that know the addresses of the first few, and lets them
-// find each other.
-func (f *fleet) start(n int, settle time.Duration) {
+// start adds n daemons that know the addresses of the first nine, and runs the cluster for
+// settle.
+func (c *cluster) start(n int, settle time.Duration) {
 	for i := range n {
-		f.add(i, n, 1)
+		c.add(i, n, 1)
 	}
 	var seeds []string
-	for _, n := range f.nodes[:min(n, 9)] {
+	for _, n := range c.nodes[:min(n, 9)] {
 		seeds = append(seeds, n.self.Meta.PeerAddress)
 	}
-	for _, n := range f.nodes {
-		f.step(n, membership.SetDigest{Digest: membership.Digest{DocumentsHash: f.rng.Uint64(), LoadPermille: 500}})
-		f.step(n, membership.Seeds{Addresses: seeds})
+	for _, n := range c.nodes {
+		c.step(n, membership.SetDigest{Digest: membership.Digest{DocumentsHash: c.rng.Uint64(), LoadPermille: 500}})
+		c.step(n, membership.Seeds{Addresses: seeds})
 	}
-	f.run(settle)
+	c.run(settle)
 }
 
-func (f *fleet) push(d delivery) {
-	f.n++
-	d.n = f.n
-	heap.Push(&f.queue, d)
+func (c *cluster) push(d delivery) {
+	c.pushed++
+	d.seq = c.pushed
+	heap.Push(&c.queue, d)
 }
 
-// step hands ev to n and carries out what comes of it.
-func (f *fleet) step(n *node, ev membership.Event) {
-	as := n.m.Step(f.now, ev)
+// step passes ev to n and performs the resulting actions.
+func (c *cluster) step(n *node, ev membership.Event) {
+	as := n.m.Step(c.now, ev)
 	for _, a := range as {
 		if s, ok := a.(membership.Send); ok {
-			f.send(n, s)
+			c.send(n, s)
 			continue
 		}
 		n.actions = append(n.actions, a)
 	}
-	if f.onStep != nil {
-		f.onStep(n, as)
+	if c.onStep != nil {
+		c.onStep(n, as)
 	}
-	if next := n.m.NextTick(); n.tickAt.IsZero() || next.Before(n.tickAt) || !n.tickAt.After(f.now) {
+	if next := n.m.NextTick(); n.tickAt.IsZero() || next.Before(n.tickAt) || !n.tickAt.After(c.now) {
 		n.tickAt = next
-		f.push(delivery{at: next, to: n})
+		c.push(delivery{at: next, to: n})
 	}
 }
 
-func (f *fleet) send(n *node, s membership.Send) {
+func (c *cluster) send(n *node, s membership.Send) {
 	addr := s.Address
 	if addr == "" {
-		for _, t := range f.nodes {
+		for _, t := range c.nodes {
 			if t.id == s.To {
 				addr = t.self.Meta.PeerAddress
 			}
 		}
 	}
-	kind, _ := f.codec.KindOf(s.Msg)
+	kind, _ := c.registry.KindOf(s.Msg)
 	frame, err := peer.AppendFrame(nil, peer.Envelope{Role: peer.RoleSend, Kind: kind}, s.Msg, peer.MaxFrame)
 	if err != nil {
 		panic(err)
@@ -179,8 +179,8 @@
 	n.bytes += len(frame)
 	n.messages++
 	n.peers[addr] = true
-	to, ok := f.at[addr]
-	if !ok || f.rng.Float64() < f.loss || f.cut != nil && f.cut(n, to) {
+	to, ok := c.byAddress[addr]
+	if !ok || c.rng.Float64() < c.loss || c.blocked != nil && c.blocked(n, to) {
 		return
 	}
 	const frameHead = 5 // length and version
@@ -188,70 +188,70 @@
 	if err != nil {
 		panic(err)
 	}
-	msg, err := f.codec.Decode(e)
+	msg, err := c.registry.Decode(e)
 	if err != nil {
 		panic(err)
 	}
-	delay := 200*time.Microsecond + time.Duration(f.rng.IntN(400))*time.Microsecond
+	delay := 200*time.Microsecond + time.Duration(c.rng.IntN(400))*time.Microsecond
 	if n.self.Meta.Region != to.self.Meta.Region {
 		delay += 60 * time.Millisecond
 	}
-	f.push(delivery{at: f.now.Add(delay), to: to, from: n.self.Member, msg: msg.(membership.Message)})
+	c.push(delivery{at: c.now.Add(delay), to: to, from: n.self.Member, msg: msg.(membership.Message)})
 }
 
-// run lets d of virtual time pass.
-func (f *fleet) run(d time.Duration) {
-	f.runUntil(d, func() bool { return false })
+// run advances virtual time by d.
+func (c *cluster) run(d time.Duration) {
+	c.runUntil(d, func() bool { return false })
 }
 
-// runUntil lets time pass until done holds, asked every 50 ms, or d has passed,
-// and gives the time that it took.
-func (f *fleet) runUntil(d time.Duration, done func() bool) (time.Duration, bool) {
+// runUntil advances virtual time until done, which is checked every 50 ms, returns true or d
+// has passed, and returns the elapsed time.
+func (c *cluster) runUntil(d time.Duration, done func() bool) (time.Duration, bool) {
 	const check = 50 * time.Millisecond
-	start := f.now
-	for f.now.Sub(start) < d {
-		until := f.now.Add(check)
-		for len(f.queue) > 0 && !f.queue[0].at.After(until) {
-			f.deliver(heap.Pop(&f.queue).(delivery))
+	start := c.now
+	for c.now.Sub(start) < d {
+		until := c.now.Add(check)
+		for len(c.queue) > 0 && !c.queue[0].at.After(until) {
+			c.deliver(heap.Pop(&c.queue).(delivery))
 		}
-		f.now = until
+		c.now = until
 		if done() {
-			return f.now.Sub(start), true
+			return c.now.Sub(start), true
 		}
 	}
 	return d, false
 }
 
-func (f *fleet) deliver(d delivery) {
+func (c *cluster) deliver(d delivery) {
 	n := d.to
 	if n.dead {
 		return
 	}
 	if d.at.Before(n.pausedUntil) {
-		// What reaches a paused process waits in its sockets.
+		// Messages to a paused process wait in its sockets.
 		d.at = n.pausedUntil
-		f.push(d)
+		c.push(d)
 		return
 	}
-	f.now = d.at
+	c.now = d.at
 	if d.msg != nil {
-		f.step(n, membership.Received{From: d.from, Msg: d.msg})
+		c.step(n, membership.Received{From: d.from, Msg: d.msg})
 		return
 	}
 	if d.at.Equal(n.tickAt) || n.tickAt.Before(d.at) {
 		n.tickAt = time.Time{}
-		f.step(n, membership.Tick{})
+		c.step(n, membership.Tick{})
 	}
 }
 
-func (f *fleet) pause(n *node, d time.Duration) {
-	n.pausedUntil = f.now.Add(d)
+func (c *cluster) pause(n *node, d time.Duration) {
+	n.pausedUntil = c.now.Add(d)
 }
 
-// living gives the nodes that run.
-func (f *fleet) living() []*node {
+// running returns the nodes that have not died.
+func (c *cluster) running() []*node {
 	var out []*node
-	for _, n := range f.nodes {
+	for _, n := range c.nodes {
 		if !n.dead {
 			out = append(out, n)
 		}
@@ -259,9 +259,9 @@
 	return out
 }
 
-// all reports whether every living node's view satisfies ok.
-func (f *fleet) all(ok func(n *node, v *membership.View) bool) bool {
-	for _, n := range f.living() {
+// everyView reports whether the view of every running node satisfies ok.
+func (c *cluster) everyView(ok func(n *node, v *membership.View) bool) bool {
+	for _, n := range c.running() {
 		if !ok(n, n.m.View()) {
 			return false
 		}
@@ -269,18 +269,18 @@
 	return true
 }
 
-// allSee reports whether every living node but id itself holds id in state s.
-func (f *fleet) allSee(id state.DaemonID, s membership.State) bool {
-	return f.all(func(n *node, v *membership.View) bool {
+// allHold reports whether every running node except id itself considers id to be in state s.
+func (c *cluster) allHold(id state.DaemonID, s membership.State) bool {
+	return c.everyView(func(n *node, v *membership.View) bool {
 		i, ok := v.Lookup(id)
 		return n.id == id || ok && i.State == s
 	})
 }
 
-// converged reports whether every living node holds exactly the living ones alive.
-func (f *fleet) converged() bool {
-	want := len(f.living())
-	return f.all(func(_ *node, v *membership.View) bool {
+// converged reports whether every running node considers exactly the running ones alive.
+func (c *cluster) converged() bool {
+	want := len(c.running())
+	return c.everyView(func(_ *node, v *membership.View) bool {
 		alive := 0
 		for _, i := range v.Members {
 			if i.State == membership.Alive {
@@ -291,14 +291,14 @@
 	})
 }
 
-// tally counts by kind what the nodes did since the last clear.
+// tally counts the nodes' actions by kind since the last clear.
 type tally struct {
-	suspected, died, refuted, late int
+	suspected, died, refuted, pauses int
 }
 
-func (f *fleet) tally() tally {
+func (c *cluster) tally() tally {
 	var t tally
-	for _, n := range f.nodes {
+	for _, n := range c.nodes {
 		for _, a := range n.actions {
 			switch a := a.(type) {
 			case membership.MemberChanged:
@@ -311,15 +311,15 @@
 			case membership.Refuted:
 				t.refuted++
 			case membership.PauseDetected:
-				t.late++
+				t.pauses++
 			}
 		}
 	}
 	return t
 }
 
-func (f *fleet) clear() {
-	for _, n := range f.nodes {
+func (c *cluster) clear() {
+	for _, n := range c.nodes {
 		n.actions, n.bytes, n.messages = nil, 0, 0
 	}
 }
--- a/coordination/membership/gossip.go
+++ b/coordination/membership/gossip.go
@@ -9,19 +9,19 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// minTellings is how often a rumour is told at least, over all neighbours: a small
-// fleet has few, and messages are lost.
-const minTellings = 8
+// minTransmissions is the minimum number of transmissions of a broadcast, over all neighbours:
+// small clusters have few neighbours, and messages are lost.
+const minTransmissions = 8
 
-// Sizes in bytes that bound what rumours cost; they lie on the high side of what
-// msgpack makes of them.
+// Upper estimates, in bytes, of the msgpack encoding of a broadcast's parts.
 const (
 	updateSize = 20
 	metaSize   = 6
 	factSize   = 28
 )
 
-// subject is what a rumour is about; a newer rumour on it replaces the older.
+// subject is what a broadcast is about; a newer broadcast replaces the older one about the same
+// subject.
 type subject struct {
 	kind subjectKind
 	id   string
@@ -30,48 +30,48 @@
 type subjectKind uint8
 
 const (
-	aboutMember subjectKind = iota
-	aboutBackend
-	aboutDocument
-	aboutNotice
+	subjectMember subjectKind = iota
+	subjectBackend
+	subjectDocument
+	subjectNotice
 )
 
 func memberSubject(id state.DaemonID) subject {
-	return subject{kind: aboutMember, id: string(id)}
+	return subject{kind: subjectMember, id: string(id)}
 }
 
 func (f Fact) subject() subject {
 	return subject{kind: f.Kind.subject(), id: f.Subject}
 }
 
-// rumour is one update or fact that some neighbours have not been told.
-type rumour struct {
-	subject subject
-	update  Update
-	size    int
-	sends   int
-	told    map[state.DaemonID]int
+// broadcast is an update or fact that has not yet been sent to every neighbour.
+type broadcast struct {
+	subject       subject
+	update        Update
+	size          int
+	transmissions int
+	sentTo        map[state.DaemonID]int
 }
 
-// gossip is the queue of rumours and the budget for telling them.
-type gossip struct {
-	queue    []*rumour
-	index    map[subject]*rumour
-	last     time.Time // of the last round
-	next     time.Time // of the next round; zero while the queue is empty
-	tokens   float64   // bytes that may be sent now
-	refilled time.Time
+// broadcastQueue is the queue of broadcasts with the token bucket that limits their rate.
+type broadcastQueue struct {
+	queue      []*broadcast
+	index      map[subject]*broadcast
+	lastRound  time.Time // time of the last round
+	nextRound  time.Time // time of the next round; zero while the queue is empty
+	tokens     float64   // bytes that may be sent now
+	refilledAt time.Time
 }
 
-func newGossip(burst int) gossip {
-	return gossip{index: make(map[subject]*rumour), tokens: float64(burst)}
+func newBroadcastQueue(burst int) broadcastQueue {
+	return broadcastQueue{index: make(map[subject]*broadcast), tokens: float64(burst)}
 }
 
-// tellUpdate queues u for every neighbour but the one that told it.
-func (g *gossip) tellUpdate(u Update, teller state.DaemonID, now time.Time) {
+// queueUpdate queues u for every neighbour except the one that sent it.
+func (q *broadcastQueue) queueUpdate(u Update, sender state.DaemonID, now time.Time) {
 	s := memberSubject(u.ID)
-	if old, ok := g.index[s]; ok && u.Meta == nil && old.update.Incarnation == u.Incarnation {
-		// The older rumour introduces the member, and still has to.
+	if old, ok := q.index[s]; ok && u.Meta == nil && old.update.Incarnation == u.Incarnation {
+		// The older broadcast introduces the member, and that is still necessary.
 		u.Meta = old.update.Meta
 	}
 	size := updateSize + len(u.ID) + len(u.Accuser)
@@ -79,167 +79,166 @@
 		size += metaSize + len(u.Meta.PeerAddress) + len(u.Meta.CallerAddress) +
 			len(u.Meta.Domain) + len(u.Meta.Region)
 	}
-	g.put(&rumour{subject: s, update: u, size: size}, teller, now)
+	q.put(&broadcast{subject: s, update: u, size: size}, sender, now)
 }
 
-// tellFact queues the fact on s, which lies in facts.
-func (g *gossip) tellFact(s subject, teller state.DaemonID, now time.Time) {
-	g.put(&rumour{subject: s, size: factSize + len(s.id)}, teller, now)
+// queueFact queues the fact about s, which is stored in facts.
+func (q *broadcastQueue) queueFact(s subject, sender state.DaemonID, now time.Time) {
+	q.put(&broadcast{subject: s, size: factSize + len(s.id)}, sender, now)
 }
 
-func (g *gossip) put(r *rumour, teller state.DaemonID, now time.Time) {
-	g.drop(r.subject)
-	r.told = map[state.DaemonID]int{teller: math.MaxInt32}
-	g.index[r.subject] = r
-	g.queue = append(g.queue, r)
-	if g.next.IsZero() {
-		g.next = now
+func (q *broadcastQueue) put(bc *broadcast, sender state.DaemonID, now time.Time) {
+	q.drop(bc.subject)
+	bc.sentTo = map[state.DaemonID]int{sender: math.MaxInt32}
+	q.index[bc.subject] = bc
+	q.queue = append(q.queue, bc)
+	if q.nextRound.IsZero() {
+		q.nextRound = now
 	}
 }
 
-// drop takes the rumour on s out, if there is one.
-func (g *gossip) drop(s subject) {
-	old, ok := g.index[s]
+// drop removes the broadcast about s, if there is one.
+func (q *broadcastQueue) drop(s subject) {
+	old, ok := q.index[s]
 	if !ok {
 		return
 	}
-	delete(g.index, s)
-	g.queue = slices.DeleteFunc(g.queue, func(r *rumour) bool { return r == old })
+	delete(q.index, s)
+	q.queue = slices.DeleteFunc(q.queue, func(bc *broadcast) bool { return bc == old })
 }
 
-// toldBy notes that who told us what we are telling, and so need not be told.
-func (g *gossip) toldBy(s subject, who state.DaemonID) {
-	if r, ok := g.index[s]; ok {
-		r.told[who] = math.MaxInt32
+// markReceived records that peer has what is queued about s, so that it is not sent there.
+func (q *broadcastQueue) markReceived(s subject, peer state.DaemonID) {
+	if bc, ok := q.index[s]; ok {
+		bc.sentTo[peer] = math.MaxInt32
 	}
 }
 
-// runGossip tells rumours to a few neighbours when a round is due, and drops those
-// that every neighbour was told.
+// runGossip sends broadcasts to a few neighbours when a round is due, and drops those that have
+// been sent to every neighbour.
 func (m *Membership) runGossip() {
-	g := &m.gossip
-	if g.next.IsZero() || m.now.Before(g.next) || m.now.Sub(g.last) < m.cfg.GossipInterval {
-		if !g.next.IsZero() {
-			g.next = later(g.next, g.last.Add(m.cfg.GossipInterval))
+	q := &m.broadcasts
+	if q.nextRound.IsZero() || m.now.Before(q.nextRound) || m.now.Sub(q.lastRound) < m.cfg.GossipInterval {
+		if !q.nextRound.IsZero() {
+			q.nextRound = later(q.nextRound, q.lastRound.Add(m.cfg.GossipInterval))
 		}
 		return
 	}
-	g.last = m.now
-	g.next = m.now.Add(m.cfg.GossipInterval)
-	near := m.neighbours()
-	m.forgetTold(near)
-	if len(g.queue) == 0 {
-		g.next = time.Time{}
+	q.lastRound = m.now
+	q.nextRound = m.now.Add(m.cfg.GossipInterval)
+	targets := m.neighbours()
+	m.dropSent(targets)
+	if len(q.queue) == 0 {
+		q.nextRound = time.Time{}
 		return
 	}
 	sent := 0
-	for i := range near {
+	for i := range targets {
 		if sent == m.cfg.Fanout {
 			return
 		}
-		e := near[(i+m.gossipStart(len(near)))%len(near)]
-		if rs := m.piggyback(e); len(rs.Updates)+len(rs.Facts) > 0 {
-			m.send(e, Gossip{Self: m.self.update(), Payload: rs})
+		e := targets[(i+m.firstTarget(len(targets)))%len(targets)]
+		if payload := m.piggyback(e); len(payload.Updates)+len(payload.Facts) > 0 {
+			m.send(e, Gossip{Self: m.self.update(), Payload: payload})
 			sent++
 		}
 	}
 }
 
-// gossipStart rotates the neighbour with which a round begins.
-func (m *Membership) gossipStart(n int) int {
+// firstTarget rotates the neighbour at which a round starts.
+func (m *Membership) firstTarget(n int) int {
 	return int(m.now.UnixNano()/int64(m.cfg.GossipInterval)) * m.cfg.Fanout % n
 }
 
-// repeat is how often each neighbour is told.
-func (m *Membership) repeat() int {
+// sendsPerNeighbour returns how often a broadcast is sent to each neighbour.
+func (m *Membership) sendsPerNeighbour() int {
 	n := max(1, len(m.neighbours()))
-	return (minTellings + n - 1) / n
+	return (minTransmissions + n - 1) / n
 }
 
-func (m *Membership) forgetTold(near []*entry) {
-	repeat := m.repeat()
-	keep := m.gossip.queue[:0]
-	for _, r := range m.gossip.queue {
-		if slices.ContainsFunc(near, func(e *entry) bool { return r.told[e.id] < repeat }) {
-			keep = append(keep, r)
+func (m *Membership) dropSent(targets []*entry) {
+	perNeighbour := m.sendsPerNeighbour()
+	keep := m.broadcasts.queue[:0]
+	for _, bc := range m.broadcasts.queue {
+		if slices.ContainsFunc(targets, func(e *entry) bool { return bc.sentTo[e.id] < perNeighbour }) {
+			keep = append(keep, bc)
 			continue
 		}
-		delete(m.gossip.index, r.subject)
+		delete(m.broadcasts.index, bc.subject)
 	}
-	clear(m.gossip.queue[len(keep):])
-	m.gossip.queue = keep
+	clear(m.broadcasts.queue[len(keep):])
+	m.broadcasts.queue = keep
 }
 
-// piggyback takes what e is to be told next, within the bytes of one message and
-// the byte rate: facts first, since someone waits for them, then what was told
-// least often.
+// piggyback takes the broadcasts to send to e next, within the size of one message and the byte
+// rate: facts first, because requests depend on them, then those with the fewest transmissions.
 func (m *Membership) piggyback(e *entry) GossipPayload {
-	g := &m.gossip
+	q := &m.broadcasts
 	out := GossipPayload{MembersHash: m.membersHash()}
-	if len(g.queue) == 0 || !m.isNear(e) {
+	if len(q.queue) == 0 || !m.isNeighbour(e) {
 		return out
 	}
 	m.refill()
-	room := min(m.cfg.GossipBytes, int(g.tokens))
-	if room < updateSize {
+	remaining := min(m.cfg.GossipBytes, int(q.tokens))
+	if remaining < updateSize {
 		return out
 	}
-	slices.SortStableFunc(g.queue, func(a, b *rumour) int {
+	slices.SortStableFunc(q.queue, func(a, b *broadcast) int {
 		return cmp.Or(
 			cmp.Compare(b.subject.kind, a.subject.kind),
-			cmp.Compare(a.sends, b.sends),
+			cmp.Compare(a.transmissions, b.transmissions),
 		)
 	})
-	repeat := m.repeat()
-	for _, r := range g.queue {
-		if r.told[e.id] >= repeat || r.size > room {
+	perNeighbour := m.sendsPerNeighbour()
+	for _, bc := range q.queue {
+		if bc.sentTo[e.id] >= perNeighbour || bc.size > remaining {
 			continue
 		}
-		r.told[e.id]++
-		r.sends++
-		room -= r.size
-		g.tokens -= float64(r.size)
-		if r.subject.kind == aboutMember {
-			out.Updates = append(out.Updates, r.update)
-		} else if f, ok := m.facts.get(r.subject, m.now); ok {
+		bc.sentTo[e.id]++
+		bc.transmissions++
+		remaining -= bc.size
+		q.tokens -= float64(bc.size)
+		if bc.subject.kind == subjectMember {
+			out.Updates = append(out.Updates, bc.update)
+		} else if f, ok := m.facts.get(bc.subject, m.now); ok {
 			out.Facts = append(out.Facts, f)
 		}
 	}
 	return out
 }
 
-func (m *Membership) isNear(e *entry) bool {
+func (m *Membership) isNeighbour(e *entry) bool {
 	return slices.Contains(m.neighbours(), e)
 }
 
 func (m *Membership) refill() {
-	g := &m.gossip
-	g.tokens += m.now.Sub(g.refilled).Seconds() * float64(m.cfg.GossipRate)
-	g.tokens = math.Min(g.tokens, float64(m.cfg.GossipBurst))
-	g.refilled = m.now
+	q := &m.broadcasts
+	q.tokens += m.now.Sub(q.refilledAt).Seconds() * float64(m.cfg.GossipRate)
+	q.tokens = math.Min(q.tokens, float64(m.cfg.GossipBurst))
+	q.refilledAt = m.now
 }
 
-// sameMembers notes that a peer knows the same live members as this daemon: it need not be
-// told of any. Hundreds of daemons that start together learn of each other by exchanges, and
-// would pass all these records on for a minute.
-func (m *Membership) sameMembers(peer state.DaemonID, hash uint64) {
-	if len(m.gossip.queue) == 0 || hash != m.membersHash() {
+// markMembersKnown records that a peer has the same live members as this daemon, so that they
+// need not be sent to it. Hundreds of daemons that start together receive each other's records
+// in exchanges, and would otherwise forward all of them for a minute.
+func (m *Membership) markMembersKnown(peer state.DaemonID, hash uint64) {
+	if len(m.broadcasts.queue) == 0 || hash != m.membersHash() {
 		return
 	}
-	for _, r := range m.gossip.queue {
-		if r.subject.kind == aboutMember && r.update.State == Alive {
-			r.told[peer] = math.MaxInt32
+	for _, bc := range m.broadcasts.queue {
+		if bc.subject.kind == subjectMember && bc.update.State == Alive {
+			bc.sentTo[peer] = math.MaxInt32
 		}
 	}
 }
 
-// learn takes in what a peer passes on.
-func (m *Membership) learn(teller state.DaemonID, rs GossipPayload) {
-	for _, u := range rs.Updates {
-		m.apply(u, teller, fromRumour)
+// applyPayload applies the updates and facts that a peer sent.
+func (m *Membership) applyPayload(sender state.DaemonID, payload GossipPayload) {
+	for _, u := range payload.Updates {
+		m.apply(u, sender, fromGossip)
 	}
-	for _, f := range rs.Facts {
-		m.applyFact(f, teller)
+	for _, f := range payload.Facts {
+		m.applyFact(f, sender)
 	}
 }
 
--- a/coordination/membership/health.go
+++ b/coordination/membership/health.go
@@ -4,64 +4,63 @@
 	"time"
 )
 
-// maxHealth bounds health.score: timeouts grow at most fourfold.
-const maxHealth = 3
+// maxHealthScore bounds health.score: timeouts grow at most fourfold.
+const maxHealthScore = 3
 
-// health is this daemon's doubt in itself: 0 is none. The idea is that of the
-// Lifeguard extensions of SWIM: a daemon whose probes fail, though helpers do not
-// confirm it, or that others suspect, gives its probes more time.
+// health is the local health score of the Lifeguard extensions to SWIM; 0 is healthy. A daemon
+// whose probes fail without confirmation by indirect probes, or that others suspect, gives its
+// probes more time.
 type health struct {
 	score int
-	// answered is when the last question that a peer answered was sent: the last
-	// time for which contact in both directions is proved. The time of the answer
-	// would not do: it may have waited in a socket while this daemon was paused.
-	answered time.Time
+	// lastAcked is the send time of the last request that a peer acknowledged: the last time at
+	// which contact in both directions is proved. The time of the reply is not usable, because
+	// the reply may have waited in a socket while this daemon was paused.
+	lastAcked time.Time
 }
 
-func (h *health) proved(sent time.Time) {
-	h.answered = later(h.answered, sent)
+func (h *health) recordAck(sent time.Time) {
+	h.lastAcked = later(h.lastAcked, sent)
 }
 
-func (h *health) worse() {
-	h.score = min(maxHealth, h.score+1)
+func (h *health) degrade() {
+	h.score = min(maxHealthScore, h.score+1)
 }
 
-func (h *health) better() {
+func (h *health) improve() {
 	h.score = max(0, h.score-1)
 }
 
-// stretch lengthens d by the doubt.
-func (h *health) stretch(d time.Duration) time.Duration {
+// scale multiplies d by the health score plus one.
+func (h *health) scale(d time.Duration) time.Duration {
 	return d * time.Duration(1+h.score)
 }
 
-// checkLate notices that this daemon did not run for a while.
+// detectPause detects that this daemon did not run for some time.
 //
-// Guard (paused daemon): after a pause every probe is past its deadline and every
-// suspicion has run out, so a daemon that went on would hold the whole fleet for
-// dead at once. The sign is a timer that runs later than it was due by more than
-// any busy control goroutine is late. What was waited for is then dropped and
-// suspicions get their full time again, so that nothing is concluded from silence
-// during which this daemon did not listen.
-func (m *Membership) checkLate() {
-	if m.wake.IsZero() {
+// Guard (daemon-paused): after a pause every probe is past its deadline and every suspicion has
+// expired, so a daemon that simply continued would declare all others dead at once. A pause is
+// detected by a timer that runs later than it was due by more than any busy control goroutine
+// is ever late. Pending probes are then dropped and suspicions get their full time again, so that
+// nothing is concluded from a time during which this daemon did not receive.
+func (m *Membership) detectPause() {
+	if m.wakeAt.IsZero() {
 		return
 	}
-	late := m.now.Sub(m.wake)
-	if late < m.cfg.PauseThreshold {
+	delay := m.now.Sub(m.wakeAt)
+	if delay < m.cfg.PauseThreshold {
 		return
 	}
-	m.act(PauseDetected{Delay: late})
-	m.probes.drop()
+	m.emit(PauseDetected{Delay: delay})
+	m.probes.reset()
 	m.probes.next = m.now
 	for _, e := range m.table.sorted {
 		if e.state == Suspect {
 			e.suspicion.start = m.now
 		}
 	}
-	m.health.score = maxHealth
+	m.health.score = maxHealthScore
 	m.nextExchange = m.now
 	m.nextReconnect = m.now
 	m.nextSweep = m.now
-	m.gossip.next = m.now
+	m.broadcasts.nextRound = m.now
 }
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -7,55 +7,55 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Self is this daemon as it introduces itself.
+// Self describes the local daemon to its peers.
 type Self struct {
 	Member state.Member
 	Meta   Meta
 }
 
-// Membership is one daemon's part in the protocol. It belongs to one goroutine.
+// Membership is the protocol state of one daemon. It is owned by one goroutine.
 type Membership struct {
 	cfg   Config
 	rng   *rand.Rand
 	table table
 	self  *entry
 
-	near      []*entry // neighbours by the present view
-	nearStale bool
+	neighbourCache  []*entry // neighbours in the current view
+	neighboursStale bool
 
-	probes probes
-	gossip gossip
-	facts  facts
-	health health
-	seeds  []string
+	probes     probes
+	broadcasts broadcastQueue
+	facts      facts
+	health     health
+	seeds      []string
 
-	joining bool // taking in the first records of the fleet
+	joining bool // applying the first records received from another daemon
 
-	nextExchange  time.Time
-	nextReconnect time.Time
-	nextSweep     time.Time
-	lastAsked     time.Time // of the last Compare because of an unknown member
+	nextExchange       time.Time
+	nextReconnect      time.Time
+	nextSweep          time.Time
+	lastRecordsRequest time.Time // last ExchangeRequest sent because of an unknown member
 
-	wake       time.Time // what NextTick last told; zero before the first Step
+	wakeAt     time.Time // last value returned by NextTick; zero before the first Step
 	superseded state.Incarnation
 
-	now     time.Time
-	actions []Action
-	changed bool   // View differs in members, states or facts
-	hash    uint64 // of the live members; 0 where it is to be worked out
-	view    *View
+	now              time.Time
+	actions          []Action
+	changed          bool   // members, states or facts differ from the last view
+	membersHashCache uint64 // hash of the live members; 0 if it has to be recomputed
+	view             *View
 }
 
 // New returns the membership of a daemon that knows only itself.
 func New(cfg Config, self Self, rng *rand.Rand) *Membership {
 	m := &Membership{
-		cfg:       cfg.withDefaults(),
-		rng:       rng,
-		table:     table{byID: make(map[state.DaemonID]*entry)},
-		nearStale: true,
-		facts:     newFacts(),
+		cfg:             cfg.withDefaults(),
+		rng:             rng,
+		table:           table{byID: make(map[state.DaemonID]*entry)},
+		neighboursStale: true,
+		facts:           newFacts(),
 	}
-	m.gossip = newGossip(m.cfg.GossipBurst)
+	m.broadcasts = newBroadcastQueue(m.cfg.GossipBurst)
 	m.self = &entry{
 		id:   self.Member.ID,
 		inc:  self.Member.Incarnation,
@@ -65,15 +65,14 @@
 	return m
 }
 
-// Step takes in one event and gives what is to be done about it. now never goes
-// back.
+// Step applies one event and returns the actions to perform. now must never go back.
 func (m *Membership) Step(now time.Time, ev Event) []Action {
 	m.now = now
 	m.actions = nil
-	if m.wake.IsZero() {
+	if m.wakeAt.IsZero() {
 		m.start()
 	}
-	m.checkLate()
+	m.detectPause()
 	if m.self.state != Left {
 		m.handle(ev)
 		m.runTimers()
@@ -81,26 +80,26 @@
 	if m.changed {
 		m.changed = false
 		m.view = nil
-		m.act(ViewChanged{})
+		m.emit(ViewChanged{})
 	}
-	m.wake = m.nextTick()
+	m.wakeAt = m.nextTick()
 	return m.actions
 }
 
-// NextTick is when Step next wants a Tick.
+// NextTick returns the time at which Step next needs a Tick.
 func (m *Membership) NextTick() time.Time {
-	return m.wake
+	return m.wakeAt
 }
 
-// start sets the timers off at random points, so that daemons started together
-// do not act in step.
+// start sets the timers to random times, so that daemons that start together do not act
+// simultaneously.
 func (m *Membership) start() {
 	m.nextSweep = m.now.Add(sweepInterval)
-	m.nextExchange = m.after(m.cfg.ExchangeInterval)
+	m.nextExchange = m.jittered(m.cfg.ExchangeInterval)
 	m.nextReconnect = m.now
-	m.probes.next = m.now.Add(m.part(m.cfg.ProbeInterval))
-	m.gossip.refilled = m.now
-	m.self.since = m.now
+	m.probes.next = m.now.Add(m.randomBelow(m.cfg.ProbeInterval))
+	m.broadcasts.refilledAt = m.now
+	m.self.stateSince = m.now
 }
 
 func (m *Membership) handle(ev Event) {
@@ -112,7 +111,7 @@
 		m.seeds = ev.Addresses
 		m.nextReconnect = m.now
 	case ConnectionLost:
-		m.doubt(ev.ID)
+		m.requestProbe(ev.ID)
 	case SetDigest:
 		m.self.digest = ev.Digest
 		m.view = nil
@@ -129,16 +128,16 @@
 	}
 }
 
-// receive takes in one message. Whatever it carries besides, it says that its
-// sender lives, in which revision, and what rumours it passes on.
+// receive handles one message. Every message shows that its sender is alive and at which
+// revision, and may carry a gossip payload.
 func (m *Membership) receive(from state.Member, msg Message) {
-	self, rumours := header(msg)
+	self, payload := header(msg)
 	if self.ID != from.ID || self.ID == m.self.id {
 		return
 	}
-	m.hear(self)
-	m.learn(from.ID, rumours)
-	m.sameMembers(from.ID, rumours.MembersHash)
+	m.handleSender(self)
+	m.applyPayload(from.ID, payload)
+	m.markMembersKnown(from.ID, payload.MembersHash)
 	switch msg := msg.(type) {
 	case Ping:
 		m.onPing(from.ID, msg)
@@ -149,15 +148,15 @@
 	case PingResult:
 		m.onPingResult(msg)
 	case ExchangeRequest:
-		m.onCompare(from.ID, msg)
+		m.onExchangeRequest(from.ID, msg)
 	case ExchangeRecords:
-		m.onRecords(from.ID, msg)
+		m.onExchangeRecords(from.ID, msg)
 	case Gossip:
-		m.accuse(self)
+		m.sendCorrection(self)
 	}
 }
 
-// header gives what every message carries.
+// header returns the fields that every message carries.
 func header(msg Message) (Update, GossipPayload) {
 	switch msg := msg.(type) {
 	case Ping:
@@ -178,15 +177,15 @@
 	return Update{}, GossipPayload{}
 }
 
-// hear takes in what the sender of a message says of itself.
-func (m *Membership) hear(self Update) {
-	m.apply(self, self.ID, fromRumour)
+// handleSender applies what the sender of a message reports about itself.
+func (m *Membership) handleSender(self Update) {
+	m.apply(self, self.ID, fromGossip)
 	if e, ok := m.table.get(self.ID); ok && e.inc == self.Incarnation {
-		e.heard = m.now
+		e.lastReceived = m.now
 	}
 }
 
-// drain makes it known that this daemon takes no new callers.
+// drain announces that this daemon accepts no new callers.
 func (m *Membership) drain() {
 	if m.self.draining {
 		return
@@ -194,14 +193,14 @@
 	m.self.draining = true
 	m.self.rev++
 	m.membersChanged()
-	m.tellSelf()
+	m.broadcastSelf()
 }
 
-// leave tells every neighbour at once: there is no later round.
+// leave notifies every neighbour immediately, because no later gossip round follows.
 func (m *Membership) leave() {
 	m.self.state = Left
 	m.self.rev++
-	m.self.since = m.now
+	m.self.stateSince = m.now
 	m.membersChanged()
 	msg := Gossip{Self: m.self.update()}
 	msg.Payload.Updates = []Update{m.self.update()}
@@ -210,36 +209,36 @@
 	}
 }
 
-// neighbours gives the members that this daemon watches, those in its present
-// view of the rings.
+// neighbours returns the members that this daemon monitors, according to the rings of its
+// current view.
 func (m *Membership) neighbours() []*entry {
-	if m.nearStale {
-		m.nearStale = false
-		m.near = neighbours(&m.table, m.self, m.cfg.rings(m.table.live()))
+	if m.neighboursStale {
+		m.neighboursStale = false
+		m.neighbourCache = neighbours(&m.table, m.self, m.cfg.ringCount(m.table.live()))
 	}
-	return m.near
+	return m.neighbourCache
 }
 
-// membersChanged notes that a member or its state is another.
+// membersChanged records that a member or its state has changed.
 func (m *Membership) membersChanged() {
 	m.changed = true
-	m.hash = 0
+	m.membersHashCache = 0
 }
 
-func (m *Membership) act(a Action) {
+func (m *Membership) emit(a Action) {
 	m.actions = append(m.actions, a)
 }
 
 func (m *Membership) send(to *entry, msg Message) {
-	m.act(Send{To: to.id, Address: to.meta.PeerAddress, Msg: msg})
+	m.emit(Send{To: to.id, Address: to.meta.PeerAddress, Msg: msg})
 }
 
-// after is a random time around d from now.
-func (m *Membership) after(d time.Duration) time.Time {
-	return m.now.Add(d/2 + m.part(d))
+// jittered returns a random time between 0.5 d and 1.5 d from now.
+func (m *Membership) jittered(d time.Duration) time.Time {
+	return m.now.Add(d/2 + m.randomBelow(d))
 }
 
-// part is a random part of d.
-func (m *Membership) part(d time.Duration) time.Duration {
+// randomBelow returns a random duration in [0, d).
+func (m *Membership) randomBelow(d time.Duration) time.Duration {
 	return time.Duration(m.rng.Int64N(int64(d)))
 }
--- a/coordination/membership/message.go
+++ b/coordination/membership/message.go
@@ -6,30 +6,30 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// State is what a daemon holds of one life of another. A draining daemon is
-// Alive with Update.Draining set.
+// State is a daemon's state as seen by another daemon. A draining daemon is Alive with
+// Update.Draining set.
 type State uint8
 
 // The states, in the order in which one overrides another at equal revision.
 const (
 	Alive   State = iota
-	Suspect       // did not answer; dead soon unless it refutes
+	Suspect       // did not answer; declared dead unless it refutes
 	Dead          // did not refute in time
-	Left          // said itself that it stopped
+	Left          // announced that it stopped
 )
 
-// String gives the state in lower case.
+// String returns the state in lower case.
 func (s State) String() string {
 	names := [...]string{Alive: "alive", Suspect: "suspect", Dead: "dead", Left: "left"}
 	return names[s]
 }
 
-// live tells members that take part from those that do not.
+// live reports whether a member in this state takes part in the protocol.
 func (s State) live() bool {
 	return s == Alive || s == Suspect
 }
 
-// Meta is what is constant through one life of a daemon.
+// Meta holds what is constant during one incarnation of a daemon.
 type Meta struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -39,17 +39,17 @@
 	Region        state.Region
 }
 
-// Update is what one daemon says of one life of a daemon. Updates of one daemon
-// are ordered by incarnation, revision, state; the greater wins everywhere.
+// Update is a statement about one incarnation of a daemon. Updates of one daemon are ordered by
+// incarnation, revision and state; the greatest wins everywhere.
 type Update struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	ID          state.DaemonID
 	Incarnation state.Incarnation
-	Revision    uint32 // raised only by the daemon itself: to refute, drain or leave
+	Revision    uint32 // incremented only by the daemon itself: to refute, drain or leave
 	State       State
 	Draining    bool
-	Accuser     state.DaemonID // who accuses; set for Suspect only
+	Accuser     state.DaemonID // daemon that suspects; set for Suspect only
 	Meta        *Meta          // nil where the receiver is expected to know it
 }
 
@@ -62,78 +62,78 @@
 	)
 }
 
-// FactKind says what a Fact is about.
+// FactKind is the kind of a Fact.
 type FactKind uint8
 
-// The kinds of facts. Those on backend servers override each other by Version.
+// The kinds of facts. Facts about backend servers override each other by Version.
 const (
-	BackendLeaving   FactKind = iota + 1 // Subject is a backend server that stops
+	BackendLeaving   FactKind = iota + 1 // Subject is a backend server that is stopping
 	BackendFailed                        // Subject is a backend server that does not answer
 	BackendAvailable                     // Subject is a backend server that is in use again
 	DocumentVersion                      // Subject is a service; Version is its document's
-	Notice                               // Subject is what the caller has to say, in whole
+	Notice                               // Subject is the complete text given by the caller
 )
 
-// subject names what a fact of this kind is about.
+// subject returns the kind of subject that facts of kind k have.
 func (k FactKind) subject() subjectKind {
 	switch k {
 	case DocumentVersion:
-		return aboutDocument
+		return subjectDocument
 	case Notice:
-		return aboutNotice
+		return subjectNotice
 	default:
-		return aboutBackend
+		return subjectBackend
 	}
 }
 
-// Fact is a small thing that every daemon should know soon, for a while.
+// Fact is a small statement that is broadcast to all daemons and expires.
 type Fact struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Kind     FactKind
 	Subject  string
-	Version  uint64       // orders facts of one subject; see Membership.report
-	Reporter state.Member // the daemon that first said so
+	Version  uint64       // orders facts about one subject; see reportBackend and notify
+	Reporter state.Member // the daemon that reported it first
 	AgeMS    uint32       // milliseconds since the reporter observed it
 }
 
-// Digest is a daemon's own summary. It goes to its neighbours on every probe and
-// answer and is not passed on.
+// Digest is a summary of one daemon. It is sent to its neighbours with every probe and
+// acknowledgement and is not forwarded.
 type Digest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
-	DocumentsHash uint64 // hash of the document versions in force
-	LoadPermille  uint16 // thousandths of its own capacity in use
-	Opaque        []byte // anything else, a few dozen bytes
+	DocumentsHash uint64 // hash of the active document versions
+	LoadPermille  uint16 // used share of the daemon's capacity, in thousandths
+	Opaque        []byte // a few dozen bytes that the caller interprets
 }
 
-// equal reports whether d and e say the same.
+// equal reports whether d and e are equal.
 func (d Digest) equal(e Digest) bool {
 	return d.DocumentsHash == e.DocumentsHash && d.LoadPermille == e.LoadPermille && string(d.Opaque) == string(e.Opaque)
 }
 
-// Rumours are updates and facts on their way through the fleet.
+// GossipPayload carries queued updates and facts.
 type GossipPayload struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Updates []Update
 	Facts   []Fact
-	// Members is a hash of the live members that the sender knows, with their revisions.
+	// MembersHash is a hash of the live members known to the sender, with their revisions.
 	MembersHash uint64
 }
 
-// Message is one message between daemons: Ping, Ack, PingRequest, PingResult,
-// Gossip, Compare or Records.
+// Message is a message between daemons: Ping, Ack, PingRequest, PingResult, Gossip,
+// ExchangeRequest or ExchangeRecords.
 type Message interface {
 	membershipMessage()
 }
 
-// Ping asks Target to answer with an Ack.
+// Ping asks Target to reply with an Ack.
 type Ping struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Seq     uint32
-	Self    Update // the sender's newest word on itself
+	Self    Update // the sender's current record
 	Target  state.DaemonID
 	Digest  Digest
 	Payload GossipPayload
@@ -149,7 +149,7 @@
 	Payload GossipPayload
 }
 
-// PingRequest asks a helper to ping Target and to say what came of it.
+// PingRequest asks the receiver to ping Target and to report the result.
 type PingRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -159,9 +159,9 @@
 	Address string
 }
 
-// PingResult answers the PingRequest with the same Seq. Answered is false when the
-// helper is in order but its own ping timed out: the asker then knows that the
-// fault is not its own.
+// PingResult answers the PingRequest with the same Seq. Answered is false when the relaying
+// daemon works but its own ping timed out, so the requester knows that the fault is not its
+// own.
 type PingResult struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -170,7 +170,7 @@
 	Answered bool
 }
 
-// Gossip carries rumours and wants no answer.
+// Gossip carries broadcasts and expects no reply.
 type Gossip struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -178,18 +178,18 @@
 	Payload GossipPayload
 }
 
-// Compare begins an exchange of state, and introduces a daemon to one that may not
-// know it: Self has Meta. Hashes has one hash a bucket of live members.
+// ExchangeRequest starts a state exchange and introduces the sender to a daemon that may not
+// know it: Self has Meta. BucketHashes has one hash per bucket of live members.
 type ExchangeRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Self         Update
 	BucketHashes []uint64
-	FactsHash    uint64 // hash of the facts held
+	FactsHash    uint64 // hash of the stored facts
 }
 
-// Records answers Compare with all that is known in the buckets that differ. With
-// Want the receiver answers with its own records of the same buckets.
+// ExchangeRecords answers ExchangeRequest with all records in the buckets that differ. With
+// WantRecords, the receiver replies with its own records of the same buckets.
 type ExchangeRecords struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -197,7 +197,7 @@
 	Buckets []uint8
 	Updates []Update
 	Facts   []Fact
-	// FactsDiffer asks the receiver for its facts as well.
+	// WantFacts asks the receiver for its facts as well.
 	WantFacts   bool
 	WantRecords bool
 }
--- a/coordination/membership/probe.go
+++ b/coordination/membership/probe.go
@@ -7,32 +7,32 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// probe is one question to one member whether it lives.
+// probe is a pending liveness check of one member.
 type probe struct {
-	seq    uint32
-	target *entry
-	inc    state.Incarnation
-	sent   time.Time
-	asked  bool // helpers were asked
-	direct time.Time
-	fails  time.Time
-	nacks  int // helpers that answered but could not reach the target
+	seq          uint32
+	target       *entry
+	inc          state.Incarnation
+	sent         time.Time
+	indirectSent bool // indirect probes have been sent
+	indirectAt   time.Time
+	failsAt      time.Time
+	nacks        int // relaying daemons that answered but could not reach the target
 }
 
-// relay is one question passed on for another daemon.
+// relay is an indirect probe on behalf of another daemon.
 type relay struct {
-	seq     uint32 // of the ping that this daemon sends
-	target  state.DaemonID
-	origin  state.DaemonID
-	origSeq uint32
-	expires time.Time
+	seq       uint32 // of the ping that this daemon sends
+	target    state.DaemonID
+	origin    state.DaemonID
+	originSeq uint32
+	expires   time.Time
 }
 
-// probes holds what is asked and not yet answered; at most a few of each.
+// probes holds the pending probes and relays, at most a few of each.
 type probes struct {
-	next    time.Time // when the next probe begins
+	next    time.Time // when the next probe starts
 	seq     uint32
-	order   []state.DaemonID // what is left of this round over the neighbours
+	round   []state.DaemonID // neighbours still to be probed in this round
 	pending []*probe
 	relays  []relay
 }
@@ -42,49 +42,50 @@
 	return p.seq
 }
 
-// drop forgets what was asked.
-func (p *probes) drop() {
+// reset drops all pending probes and relays.
+func (p *probes) reset() {
 	p.pending = nil
 	p.relays = nil
 }
 
-// runProbes ends probes whose time is up and begins the next one when it is due.
+// runProbes ends probes that are past their deadline and starts the next one when it is due.
 func (m *Membership) runProbes() {
 	for _, p := range slices.Clone(m.probes.pending) {
 		m.checkProbe(p)
 	}
-	m.endRelays()
+	m.expireRelays()
 	if m.now.Before(m.probes.next) {
 		return
 	}
-	m.probes.next = m.now.Add(m.health.stretch(m.cfg.ProbeInterval))
+	m.probes.next = m.now.Add(m.health.scale(m.cfg.ProbeInterval))
 	if e := m.nextTarget(); e != nil {
 		m.beginProbe(e)
 	}
 }
 
-// nextTarget takes a doubted member first, else the next of a random permutation
-// of the neighbours, which bounds the time between two probes of one neighbour.
+// nextTarget returns a member that has to be probed soon, otherwise the next one of a random
+// permutation of the neighbours. The permutation bounds the time between two probes of one
+// neighbour.
 func (m *Membership) nextTarget() *entry {
 	for _, e := range m.table.sorted {
-		if e.doubted && e.state.live() {
-			e.doubted = false
+		if e.probeSoon && e.state.live() {
+			e.probeSoon = false
 			return e
 		}
 	}
 	for range 2 {
-		for len(m.probes.order) > 0 {
-			id := m.probes.order[0]
-			m.probes.order = m.probes.order[1:]
+		for len(m.probes.round) > 0 {
+			id := m.probes.round[0]
+			m.probes.round = m.probes.round[1:]
 			if e, ok := m.table.get(id); ok && e.state.live() {
 				return e
 			}
 		}
 		for _, e := range m.neighbours() {
-			m.probes.order = append(m.probes.order, e.id)
+			m.probes.round = append(m.probes.round, e.id)
 		}
-		m.rng.Shuffle(len(m.probes.order), func(i, j int) {
-			o := m.probes.order
+		m.rng.Shuffle(len(m.probes.round), func(i, j int) {
+			o := m.probes.round
 			o[i], o[j] = o[j], o[i]
 		})
 	}
@@ -93,12 +94,12 @@
 
 func (m *Membership) beginProbe(e *entry) {
 	p := &probe{
-		seq:    m.probes.nextSeq(),
-		target: e,
-		inc:    e.inc,
-		sent:   m.now,
-		direct: m.now.Add(m.health.stretch(m.cfg.ProbeTimeout)),
-		fails:  m.now.Add(m.health.stretch(m.cfg.ProbeDeadline)),
+		seq:        m.probes.nextSeq(),
+		target:     e,
+		inc:        e.inc,
+		sent:       m.now,
+		indirectAt: m.now.Add(m.health.scale(m.cfg.ProbeTimeout)),
+		failsAt:    m.now.Add(m.health.scale(m.cfg.ProbeDeadline)),
 	}
 	m.probes.pending = append(m.probes.pending, p)
 	m.ping(e, p.seq)
@@ -115,21 +116,21 @@
 	m.send(e, msg)
 }
 
-// checkProbe asks helpers, or ends the probe, as its time has come.
+// checkProbe ends the probe or sends indirect probes when their time has come.
 func (m *Membership) checkProbe(p *probe) {
 	e := p.target
 	switch {
-	case e.inc != p.inc || !e.state.live() || e.heard.After(p.sent):
+	case e.inc != p.inc || !e.state.live() || e.lastReceived.After(p.sent):
 		m.endProbe(p.seq)
-	case !m.now.Before(p.fails):
+	case !m.now.Before(p.failsAt):
 		m.endProbe(p.seq)
 		if p.nacks == 0 {
-			m.health.worse()
+			m.health.degrade()
 		}
 		m.suspect(e)
-	case !p.asked && !m.now.Before(p.direct):
-		p.asked = true
-		m.askHelpers(p)
+	case !p.indirectSent && !m.now.Before(p.indirectAt):
+		p.indirectSent = true
+		m.sendIndirectProbes(p)
 		m.ping(e, p.seq)
 	}
 }
@@ -140,11 +141,10 @@
 	})
 }
 
-// askHelpers has neighbours probe the target. Helpers are of different failure
-// domains as far as there are, and not of this daemon's own if that can be had:
-// what stands between this daemon and the target then rarely stands between all of
-// them and it.
-func (m *Membership) askHelpers(p *probe) {
+// sendIndirectProbes asks neighbours to probe the target. They are taken from different failure
+// domains as far as possible, preferably not from this daemon's own: a fault between this
+// daemon and the target then rarely affects all of them.
+func (m *Membership) sendIndirectProbes(p *probe) {
 	var candidates []*entry
 	for _, e := range m.neighbours() {
 		if e.state == Alive && e != p.target {
@@ -154,7 +154,7 @@
 	m.rng.Shuffle(len(candidates), func(i, j int) {
 		candidates[i], candidates[j] = candidates[j], candidates[i]
 	})
-	for _, e := range spreadDomains(candidates, m.self.meta.Domain, m.cfg.IndirectProbes) {
+	for _, e := range pickAcrossDomains(candidates, m.self.meta.Domain, m.cfg.IndirectProbes) {
 		m.send(e, PingRequest{
 			Seq: p.seq, Self: m.self.update(),
 			Target: p.target.id, Address: p.target.meta.PeerAddress,
@@ -162,9 +162,9 @@
 	}
 }
 
-// spreadDomains picks up to n of candidates, first one of each failure domain
-// other than own, then whoever is left.
-func spreadDomains(candidates []*entry, own state.FailureDomain, n int) []*entry {
+// pickAcrossDomains picks up to n candidates, first one of each failure domain other than own,
+// then any others.
+func pickAcrossDomains(candidates []*entry, own state.FailureDomain, n int) []*entry {
 	used := map[state.FailureDomain]bool{own: true}
 	var picked, rest []*entry
 	for _, e := range candidates {
@@ -180,7 +180,7 @@
 }
 
 func (m *Membership) onPing(from state.DaemonID, msg Ping) {
-	m.noteDigest(from, msg.Digest)
+	m.updateDigest(from, msg.Digest)
 	e, ok := m.table.get(from)
 	if !ok {
 		return
@@ -189,48 +189,48 @@
 		Seq: msg.Seq, Self: m.self.update(),
 		Digest: m.self.digest, Payload: m.piggyback(e),
 	}
-	if u, ok := m.accusation(msg.Self); ok {
+	if u, ok := m.correction(msg.Self); ok {
 		ack.Payload.Updates = append(ack.Payload.Updates, u)
 	}
 	m.send(e, ack)
 }
 
 func (m *Membership) onAck(from state.DaemonID, msg Ack) {
-	m.noteDigest(from, msg.Digest)
-	m.answerRelay(from, msg.Seq)
+	m.updateDigest(from, msg.Digest)
+	m.completeRelay(from, msg.Seq)
 	for _, p := range m.probes.pending {
 		if p.seq == msg.Seq && p.target.id == from {
-			m.answered(p)
+			m.completeProbe(p)
 			break
 		}
 	}
-	m.accuse(msg.Self)
+	m.sendCorrection(msg.Self)
 }
 
-// answered ends a probe well.
-func (m *Membership) answered(p *probe) {
+// completeProbe ends an acknowledged probe.
+func (m *Membership) completeProbe(p *probe) {
 	m.endProbe(p.seq)
-	m.health.better()
-	m.health.proved(p.sent)
+	m.health.improve()
+	m.health.recordAck(p.sent)
 }
 
 func (m *Membership) onPingRequest(from state.DaemonID, msg PingRequest) {
-	m.accuse(msg.Self)
+	m.sendCorrection(msg.Self)
 	if _, ok := m.table.get(from); !ok {
 		return
 	}
 	r := relay{
 		seq: m.probes.nextSeq(), target: msg.Target,
-		origin: from, origSeq: msg.Seq,
+		origin: from, originSeq: msg.Seq,
 		expires: m.now.Add(m.cfg.ProbeTimeout),
 	}
 	m.probes.relays = append(m.probes.relays, r)
 	ping := Ping{Seq: r.seq, Self: m.self.update(), Target: msg.Target, Digest: m.self.digest}
-	m.act(Send{To: msg.Target, Address: msg.Address, Msg: ping})
+	m.emit(Send{To: msg.Target, Address: msg.Address, Msg: ping})
 }
 
-// answerRelay tells the origin that the target answered.
-func (m *Membership) answerRelay(from state.DaemonID, seq uint32) {
+// completeRelay reports to the origin that the target answered.
+func (m *Membership) completeRelay(from state.DaemonID, seq uint32) {
 	i := slices.IndexFunc(m.probes.relays, func(r relay) bool {
 		return r.seq == seq && r.target == from
 	})
@@ -239,58 +239,58 @@
 	}
 	r := m.probes.relays[i]
 	m.probes.relays = slices.Delete(m.probes.relays, i, i+1)
-	m.result(r, true)
+	m.sendPingResult(r, true)
 }
 
-// endRelays tells origins of pings that were not answered in time.
-func (m *Membership) endRelays() {
+// expireRelays reports to the origins of pings that were not answered in time.
+func (m *Membership) expireRelays() {
 	keep := m.probes.relays[:0]
 	for _, r := range m.probes.relays {
 		if m.now.Before(r.expires) {
 			keep = append(keep, r)
 			continue
 		}
-		m.result(r, false)
+		m.sendPingResult(r, false)
 	}
 	m.probes.relays = keep
 }
 
-func (m *Membership) result(r relay, ok bool) {
+func (m *Membership) sendPingResult(r relay, ok bool) {
 	if e, known := m.table.get(r.origin); known {
-		m.send(e, PingResult{Seq: r.origSeq, Self: m.self.update(), Answered: ok})
+		m.send(e, PingResult{Seq: r.originSeq, Self: m.self.update(), Answered: ok})
 	}
 }
 
 func (m *Membership) onPingResult(msg PingResult) {
-	m.accuse(msg.Self)
+	m.sendCorrection(msg.Self)
 	for _, p := range m.probes.pending {
 		if p.seq != msg.Seq {
 			continue
 		}
 		if msg.Answered {
-			m.answered(p)
+			m.completeProbe(p)
 			return
 		}
 		p.nacks++
-		m.health.proved(p.sent)
+		m.health.recordAck(p.sent)
 	}
 }
 
-// doubt has a member probed at once.
-func (m *Membership) doubt(id state.DaemonID) {
+// requestProbe has a member probed immediately.
+func (m *Membership) requestProbe(id state.DaemonID) {
 	if e, ok := m.table.get(id); ok && e != m.self && e.state.live() {
-		e.doubted = true
+		e.probeSoon = true
 		m.probes.next = m.now
 	}
 }
 
-// noteDigest keeps a neighbour's digest.
-func (m *Membership) noteDigest(from state.DaemonID, d Digest) {
+// updateDigest stores a neighbour's digest.
+func (m *Membership) updateDigest(from state.DaemonID, d Digest) {
 	e, ok := m.table.get(from)
 	if !ok || e.digestSeen && e.digest.equal(d) {
 		return
 	}
 	e.digest, e.digestSeen = d, true
 	m.view = nil
-	m.act(DigestChanged{From: e.member(), Digest: d})
+	m.emit(DigestChanged{From: e.member(), Digest: d})
 }
--- a/coordination/membership/rings.go
+++ b/coordination/membership/rings.go
@@ -23,20 +23,19 @@
 	return xxhash.Sum64String(string(id))
 }
 
-// position is where the daemon with hash h stands on a ring.
-func position(h uint64, ring int) uint64 {
+// ringPosition returns the position on a ring of the daemon whose ID hashes to h.
+func ringPosition(h uint64, ring int) uint64 {
 	return mix(h + uint64(ring+1)*mixStep)
 }
 
-// smallFleet is up to how many live members all are neighbours: a few rings over a
-// few members leave some with hardly any neighbour besides failing ones, and then a
-// suspect may not hear of its suspicion in time.
-const smallFleet = 17
+// maxFullMesh is the number of live members up to which all are neighbours. With few members, a
+// few rings leave some members with hardly any working neighbour when others fail, and a
+// suspect may then not be notified of its suspicion in time.
+const maxFullMesh = 17
 
-// neighbours gives self's successor and predecessor among the live members on
-// each of the rings, each member once; all of them in a small fleet. It is
-// symmetric between two daemons with equal views, so that a connection serves both
-// directions.
+// neighbours returns self's successor and predecessor among the live members on each ring,
+// without duplicates, or all live members up to maxFullMesh. The relation is symmetric between
+// two daemons with equal views, so one connection serves both directions.
 func neighbours(t *table, self *entry, rings int) []*entry {
 	var out []*entry
 	seen := map[state.DaemonID]bool{self.id: true}
@@ -46,7 +45,7 @@
 			out = append(out, e)
 		}
 	}
-	if t.live() <= smallFleet {
+	if t.live() <= maxFullMesh {
 		for _, e := range t.sorted {
 			if e.state.live() {
 				add(e)
@@ -62,16 +61,16 @@
 	return out
 }
 
-// adjacent finds the live members right after and right before self on one ring;
-// nil if there are none. Distances wrap around in the arithmetic of uint64.
+// adjacent finds the live members directly after and before self on one ring; nil if there are
+// none. Distances wrap around in uint64 arithmetic.
 func adjacent(t *table, self *entry, ring int) (next, prev *entry) {
-	at := position(self.hash, ring)
+	at := ringPosition(self.hash, ring)
 	var ahead, behind uint64
 	for _, e := range t.sorted {
 		if e == self || !e.state.live() {
 			continue
 		}
-		d := position(e.hash, ring) - at
+		d := ringPosition(e.hash, ring) - at
 		if next == nil || d < ahead {
 			next, ahead = e, d
 		}
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -8,32 +8,32 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// entry is what this daemon holds of one other daemon, or of itself.
+// entry is the local record of one daemon, which may be the local daemon itself.
 type entry struct {
-	id         state.DaemonID
-	inc        state.Incarnation
-	rev        uint32
-	state      State
-	draining   bool
-	meta       Meta
-	since      time.Time // when state was entered here
-	heard      time.Time // last message that the daemon itself sent us
-	suspicion  suspicion // of a Suspect
-	doubted    bool      // a peer holds it for dead: probe it soon
-	digest     Digest
-	digestSeen bool
-	hash       uint64 // of the ID, from which ring positions and buckets follow
+	id           state.DaemonID
+	inc          state.Incarnation
+	rev          uint32
+	state        State
+	draining     bool
+	meta         Meta
+	stateSince   time.Time // when the current state was entered locally
+	lastReceived time.Time // last message received from the daemon itself
+	suspicion    suspicion // if Suspect
+	probeSoon    bool      // a peer considers it dead: probe it at the next opportunity
+	digest       Digest
+	digestSeen   bool
+	hash         uint64 // of the ID; determines ring positions and bucket
 }
 
-// update gives e as an Update without Meta.
+// update returns e as an Update without Meta.
 func (e *entry) update() Update {
 	return Update{
 		ID: e.id, Incarnation: e.inc, Revision: e.rev, State: e.state, Draining: e.draining,
 	}
 }
 
-// full gives e as an Update with Meta.
-func (e *entry) full() Update {
+// fullUpdate returns e as an Update with Meta.
+func (e *entry) fullUpdate() Update {
 	u := e.update()
 	meta := e.meta
 	u.Meta = &meta
@@ -44,8 +44,8 @@
 	return state.Member{ID: e.id, Incarnation: e.inc}
 }
 
-// table holds the entries by ID, and in ID order so that every walk over them is
-// the same under replay.
+// table holds the entries by ID, and sorted by ID so that iteration order is deterministic
+// under replay.
 type table struct {
 	byID   map[state.DaemonID]*entry
 	sorted []*entry
@@ -76,7 +76,7 @@
 	})
 }
 
-// live counts members that take part, this daemon included.
+// live counts the members that are alive or suspect, including this daemon.
 func (t *table) live() int {
 	n := 0
 	for _, e := range t.sorted {
--- a/coordination/membership/view.go
+++ b/coordination/membership/view.go
@@ -6,47 +6,47 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Info is one member in a View.
+// Info describes one member in a View.
 type Info struct {
 	Member   state.Member
 	State    State
 	Draining bool
 	Meta     Meta
-	// Digest is the last one that came from the member itself; DigestSeen is
-	// false for members that this daemon does not watch.
+	// Digest is the last one received from the member itself. DigestSeen is false for members
+	// that this daemon does not monitor.
 	Digest     Digest
 	DigestSeen bool
 }
 
-// Live reports whether the member takes part, suspect or not.
+// Live reports whether the member is alive or suspect.
 func (i Info) Live() bool {
 	return i.State.live()
 }
 
-// BackendFact is what the fleet holds of one backend server.
+// BackendFact is the known state of one backend server.
 type BackendFact struct {
 	Kind     FactKind
 	Reporter state.Member
-	Observed time.Time // by this daemon's clock
+	Observed time.Time // on the local clock
 	Until    time.Time // when the fact expires
 }
 
-// Reach is how much of the fleet this daemon is in contact with.
+// Connectivity describes how much of the site this daemon is in contact with.
 type Connectivity struct {
-	// Answered is when the last probe that was answered went out: the last time
-	// for which contact in both directions is proved. Zero if there was none.
+	// LastAcked is when the last acknowledged probe was sent: the last time at which contact in
+	// both directions is proved. It is zero if there was none.
 	LastAcked time.Time
-	// Live of Known members are held alive, this daemon included. Known also has
-	// those held dead since less than Config.DeadKeep, who may be alive beyond a
-	// break, and the listed addresses at which nobody is known; not those that
+	// Live of Known members are considered alive, this daemon included. Known also counts
+	// members that were declared dead within Config.DeadRetention, which may be alive in
+	// another partition, and listed addresses at which no member is known, but not members that
 	// left.
 	Live, Known int
 	// Domains of KnownDomains failure domains have a live member.
 	Domains, KnownDomains int
 }
 
-// InTouch is the time up to which this daemon can vouch for its view: now if it
-// knows of nobody else.
+// ConfirmedUntil returns the time up to which this daemon can rely on its view: now if it knows
+// of no other daemon.
 func (r Connectivity) ConfirmedUntil(now time.Time) time.Time {
 	if r.Known <= 1 {
 		return now
@@ -54,8 +54,8 @@
 	return r.LastAcked
 }
 
-// Isolated reports whether contact is unproved for longer than silence, or less
-// than share of the known daemons is held alive.
+// Isolated reports whether contact has been unconfirmed for longer than silence, or less than
+// the given share of the known daemons is considered alive.
 func (r Connectivity) Isolated(now time.Time, silence time.Duration, share float64) bool {
 	if r.Known <= 1 {
 		return false
@@ -63,11 +63,10 @@
 	return now.Sub(r.LastAcked) > silence || float64(r.Live) < share*float64(r.Known)
 }
 
-// View is an immutable snapshot. It may be read by any goroutine; nobody may
-// change what it holds.
+// View is an immutable snapshot. Any goroutine may read it; none may modify its contents.
 type View struct {
 	Self         Info
-	Members      []Info // by ID, this daemon included, dead and left ones too
+	Members      []Info // by ID, including this daemon and dead and left members
 	Backends     map[state.BackendID]BackendFact
 	Connectivity Connectivity
 }
@@ -82,9 +81,9 @@
 	return Info{}, false
 }
 
-// View gives the present snapshot.
+// View returns the current snapshot.
 func (m *Membership) View() *View {
-	reach := m.reach()
+	reach := m.connectivity()
 	if m.view != nil && m.view.Connectivity == reach {
 		return m.view
 	}
@@ -112,20 +111,20 @@
 func (fs *facts) backends() map[state.BackendID]BackendFact {
 	out := make(map[state.BackendID]BackendFact)
 	for _, s := range fs.sorted {
-		if s.kind != aboutBackend {
+		if s.kind != subjectBackend {
 			continue
 		}
 		h := fs.byID[s]
 		out[state.BackendID(s.id)] = BackendFact{
 			Kind: h.fact.Kind, Reporter: h.fact.Reporter,
-			Observed: h.observed, Until: h.until,
+			Observed: h.observed, Until: h.expiresAt,
 		}
 	}
 	return out
 }
 
-func (m *Membership) reach() Connectivity {
-	r := Connectivity{LastAcked: m.health.answered, Known: len(m.strangers())}
+func (m *Membership) connectivity() Connectivity {
+	r := Connectivity{LastAcked: m.health.lastAcked, Known: len(m.unknownSeeds())}
 	domains := make(map[state.FailureDomain]bool)
 	for _, e := range m.table.sorted {
 		if e.state == Left {
