--- a/coordination/documents/documents.go
+++ b/coordination/documents/documents.go
@@ -11,42 +11,41 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Config tunes the machine.
+// Config holds the parameters of the state machine.
 type Config struct {
-	// PollEvery and PollPerMember give the time between polls of the store:
-	// the larger of PollEvery and PollPerMember times the live daemons, so that
-	// the site's polls stay under 1/PollPerMember a second at any size. A
-	// daemon without the greater part of its peers polls every PollEvery.
+	// The time between polls of the store is the larger of PollInterval and
+	// PollIntervalPerMember times the number of live daemons, so that the site polls less than
+	// 1/PollIntervalPerMember times per second at any size. A daemon that does not reach a
+	// majority polls every PollInterval.
 	PollInterval          time.Duration
 	PollIntervalPerMember time.Duration
 
-	// FirstFanout is how many daemons the one that accepted an edit tells of
-	// it, Fanout how many each other one that adopts it.
+	// OriginFanout is how many daemons an edit is announced to by the daemon that accepted it,
+	// Fanout by each other daemon that applies it.
 	OriginFanout int
 	Fanout       int
 
-	// CompareEvery bounds how often differing digests lead to a comparison.
-	// None starts within Quiet of an adoption, whose gossip may still be on
-	// its way; a longer Quiet would put comparisons off for ever while edits
-	// come quickly.
+	// CompareInterval limits how often differing digests cause a comparison. None starts within
+	// QuietPeriod of an applied version, because gossip about it may still be in flight; a
+	// longer QuietPeriod would postpone comparisons indefinitely during frequent edits.
 	CompareInterval time.Duration
 	QuietPeriod     time.Duration
 
-	MinBackoff time.Duration // back-off of store calls
+	MinBackoff time.Duration // bounds of the backoff of store calls
 	MaxBackoff time.Duration
 
-	// IsolateAfter is how long the daemon may be without both the store and
-	// the greater part of its peers before it is isolated.
+	// IsolateAfter is how long the daemon may reach neither the store nor a majority of its
+	// peers before it is isolated.
 	IsolateAfter time.Duration
 
-	// BootPeers is how many peers must tell what they have before a daemon
-	// that can't reach the store is ready.
+	// BootstrapPeers is how many ready peers must report their versions before a daemon that
+	// can't reach the store is ready.
 	BootstrapPeers int
 
-	MaxDocsBytes int // of texts in one message
+	MaxDocsBytes int // total size of the texts in one message
 }
 
-// DefaultConfig returns the values used by a daemon.
+// DefaultConfig returns the values that a daemon uses.
 func DefaultConfig() Config {
 	return Config{
 		PollInterval:          2 * time.Second,
@@ -71,116 +70,117 @@
 	callCommit
 )
 
-// pending is what a store call is for. edit is nil for the machine's own reads.
-type pending struct {
+// pendingCall records the purpose of a store call. edit is nil for reads of the state machine
+// itself.
+type pendingCall struct {
 	kind    callKind
 	service state.ServiceID
 	edit    *edit
 }
 
-// held is a document in force.
-type held struct {
+// activeDocument is the active version of a document.
+type activeDocument struct {
 	record   Record
-	revision uint64 // of its row, 0 where it came from a peer
-	patch    *Patch // from the version before, nil where unknown or large
+	revision uint64 // of its row, 0 if it was received from a peer
+	patch    *Patch // from the previous version, nil if unknown or large
 }
 
-// Documents is the machine of one daemon. It belongs to the control goroutine.
+// Documents is the state machine of one daemon. It is owned by the control goroutine.
 type Documents struct {
 	cfg  Config
 	rng  *rand.Rand
 	self state.Member
 
-	services map[state.ServiceID]*held
-	wanted   map[state.ServiceID]state.DocumentVersion // heard of, not held yet
-	hash     uint64
-	edits    []*edit
+	active  map[state.ServiceID]*activeDocument
+	missing map[state.ServiceID]state.DocumentVersion // versions known to exist and not yet received
+	hash    uint64
+	edits   []*edit
 
-	calls    map[store.CallID]pending
+	calls    map[store.CallID]pendingCall
 	lastCall store.CallID
 
-	live  []state.Member
-	known int
-
-	pollAt    time.Time
-	polling   bool
-	adoptedAt time.Time
-	comparing time.Time // the last comparison
-	pulledAt  time.Time
-
-	ready     bool
-	told      map[state.DaemonID]bool // ready peers that told their versions
-	askedAt   time.Time               // the last round of questions before ready
-	scannedOK bool                    // the store told all versions once
-	storeAt   time.Time               // the store last answered
-	majorAt   time.Time               // the greater part of the daemons was last in reach
-	isolated  bool
-	storeDown bool // the last poll was not answered
-
-	now time.Time
-	out []Action
+	live         []state.Member
+	totalMembers int
+
+	nextPoll   time.Time
+	polling    bool
+	appliedAt  time.Time
+	comparedAt time.Time // time of the last comparison
+	pulledAt   time.Time
+
+	ready              bool
+	readyReports       map[state.DaemonID]bool // ready peers that reported their versions
+	bootstrapQueriedAt time.Time               // time of the last round of queries before ready
+	scanSucceeded      bool                    // the store has returned all versions at least once
+	storeAnsweredAt    time.Time               // time of the store's last answer
+	majorityAt         time.Time               // time at which a majority was last reached
+	isolated           bool
+	storeDown          bool // the last poll was not answered
+
+	now     time.Time
+	actions []Action
 }
 
-// New returns the machine of a daemon that knows nothing yet.
+// New returns the state machine of a daemon that has no documents yet.
 func New(cfg Config, rng *rand.Rand, self state.Member, now time.Time) *Documents {
 	return &Documents{
-		cfg:      cfg,
-		rng:      rng,
-		self:     self,
-		services: make(map[state.ServiceID]*held),
-		wanted:   make(map[state.ServiceID]state.DocumentVersion),
-		calls:    make(map[store.CallID]pending),
-		told:     make(map[state.DaemonID]bool),
-		known:    1,
-		pollAt:   now,
+		cfg:          cfg,
+		rng:          rng,
+		self:         self,
+		active:       make(map[state.ServiceID]*activeDocument),
+		missing:      make(map[state.ServiceID]state.DocumentVersion),
+		calls:        make(map[store.CallID]pendingCall),
+		readyReports: make(map[state.DaemonID]bool),
+		totalMembers: 1,
+		nextPoll:     now,
 	}
 }
 
-// Digest returns what to send with heartbeats.
+// Digest returns the digest to send with heartbeats.
 func (d *Documents) Digest() Digest {
 	return Digest{Hash: d.hash}
 }
 
-// Ready reports whether the daemon has known the current documents once.
+// Ready reports whether the daemon has had the current documents at least once.
 func (d *Documents) Ready() bool {
 	return d.ready
 }
 
-// Isolated reports whether the daemon can't know that its documents are current.
+// Isolated reports whether the daemon can't know if its documents are current.
 func (d *Documents) Isolated() bool {
 	return d.isolated
 }
 
-// FreshUntil is when the daemon becomes isolated unless it hears more. Traffic
-// checks it against its own clock, so that a daemon that was paused takes no
-// work before its control goroutine has noticed.
+// FreshUntil is when the daemon becomes isolated unless it receives further evidence. The
+// traffic path checks it against its own clock, so that a daemon that was paused accepts no
+// requests before its control goroutine has detected the pause.
 func (d *Documents) FreshUntil() time.Time {
-	last := d.storeAt
-	if d.majorAt.After(last) {
-		last = d.majorAt
+	last := d.storeAnsweredAt
+	if d.majorityAt.After(last) {
+		last = d.majorityAt
 	}
 	return last.Add(d.cfg.IsolateAfter)
 }
 
-// InForce returns the versions in force here.
+// ActiveVersions returns the active version of each document.
 func (d *Documents) ActiveVersions() map[state.ServiceID]state.DocumentVersion {
-	m := make(map[state.ServiceID]state.DocumentVersion, len(d.services))
-	for id, h := range d.services {
-		m[id] = h.record.Version
+	m := make(map[state.ServiceID]state.DocumentVersion, len(d.active))
+	for id, entry := range d.active {
+		m[id] = entry.record.Version
 	}
 	return m
 }
 
-// Doc returns the document in force of a service.
+// Doc returns the active document of a service.
 func (d *Documents) Doc(id state.ServiceID) (Doc, bool) {
-	h := d.services[id]
-	if h == nil {
+	entry := d.active[id]
+	if entry == nil {
 		return Doc{}, false
 	}
-	return h.record.doc(id), true
+	return entry.record.doc(id), true
 }
 
-// NextTick returns when the machine next wants a Tick.
+// NextTick returns when the state machine next needs a Tick.
 func (d *Documents) NextTick() time.Time {
 	var next time.Time
 	earlier := func(t time.Time) {
@@ -192,79 +192,79 @@
 		earlier(d.FreshUntil())
 	}
 	if !d.polling {
-		earlier(d.pollAt)
+		earlier(d.nextPoll)
 	}
 	for _, e := range d.edits {
 		earlier(e.Deadline)
-		earlier(e.wakeAt)
+		earlier(e.retryAt)
 	}
 	if !d.ready && len(d.live) > 0 {
-		earlier(d.askedAt.Add(bootAskEvery))
+		earlier(d.bootstrapQueriedAt.Add(bootstrapQueryInterval))
 	}
-	if len(d.wanted) > 0 {
+	if len(d.missing) > 0 {
 		earlier(d.pulledAt.Add(d.cfg.CompareInterval))
 	}
 	return next
 }
 
-// Step applies one event and returns what is to be done, in order.
+// Step applies one event and returns the actions to perform, in order.
 func (d *Documents) Step(now time.Time, ev Event) []Action {
 	d.now = now
-	d.out = nil
+	d.actions = nil
 	switch ev := ev.(type) {
 	case SubmitEdit:
-		d.apply(ev)
+		d.submitEdit(ev)
 	case StoreResult:
-		d.answered(ev.Result)
+		d.handleStoreResult(ev.Result)
 	case Received:
-		d.received(ev.From, ev.Msg)
+		d.handleMessage(ev.From, ev.Msg)
 	case Members:
-		d.reach(ev)
+		d.setMembers(ev)
 	case Tick:
 	}
 	d.tickEdits()
 	d.poll()
-	d.boot()
-	d.repull()
+	d.bootstrap()
+	d.retryPull()
 	d.checkIsolation()
-	return d.out
+	return d.actions
 }
 
-func (d *Documents) call(req store.Request, p pending) {
+func (d *Documents) callStore(req store.Request, p pendingCall) {
 	d.lastCall++
 	d.calls[d.lastCall] = p
-	d.out = append(d.out, CallStore{Call: store.Call{ID: d.lastCall, Class: store.ClassDocument, Request: req}})
+	d.actions = append(d.actions, CallStore{Call: store.Call{ID: d.lastCall, Class: store.ClassDocument, Request: req}})
 }
 
-func (d *Documents) get(id state.ServiceID, e *edit) {
-	d.call(store.Get{Table: Table, Key: string(id)}, pending{kind: callGet, service: id, edit: e})
+func (d *Documents) readRow(id state.ServiceID, e *edit) {
+	d.callStore(store.Get{Table: Table, Key: string(id)}, pendingCall{kind: callGet, service: id, edit: e})
 }
 
-func (d *Documents) answered(res store.Result) {
+func (d *Documents) handleStoreResult(res store.Result) {
 	p, ok := d.calls[res.Call]
 	if !ok {
 		return
 	}
 	delete(d.calls, res.Call)
 	if p.kind == callCommit {
-		d.committed(p.edit, res)
+		d.handleCommit(p.edit, res)
 		return
 	}
 	if p.kind == callScan {
-		d.scanned(res)
+		d.handleScan(res)
 		return
 	}
 	if res.Status == store.Done {
-		d.heardStore()
-		d.sawRow(p.service, res)
+		d.storeResponded()
+		d.handleRow(p.service, res)
 	}
 	if p.edit != nil && slices.Contains(d.edits, p.edit) {
-		d.editRead(p.edit, res)
+		d.handleEditRead(p.edit, res)
 	}
 }
 
-// sawRow adopts a document row that is newer than what is held.
-func (d *Documents) sawRow(id state.ServiceID, res store.Result) {
+// handleRow applies a document row that is newer than the active version.
+func (d *Documents) handleRow(id state.ServiceID, res store.Result) {
 	row, ok := res.Row()
 	if !ok {
 		return
@@ -273,46 +273,45 @@
 	if err != nil {
 		return
 	}
-	d.adopt(id, rec, row.Revision, state.Member{})
+	d.applyRecord(id, rec, row.Revision, state.Member{})
 }
 
-// adopt puts a newer version into force and tells others of it. A version that
-// is not newer changes nothing: this is what keeps a daemon from ever going
-// back, whatever comes late and from wherever. from is the daemon that it came
-// from: a peer, which is not told again; this one, which accepted it; or none
-// where it was read from the store.
-func (d *Documents) adopt(id state.ServiceID, rec Record, revision uint64, from state.Member) {
-	h := d.services[id]
-	if h == nil {
-		h = &held{}
-		d.services[id] = h
+// applyRecord makes a newer version active and announces it. A version that is not newer
+// changes nothing: this ensures that a daemon never goes back to an older version, whatever
+// arrives late. from is the source: a peer, which is excluded from the announcement; this
+// daemon if it accepted the edit; or the zero Member for the store.
+func (d *Documents) applyRecord(id state.ServiceID, rec Record, revision uint64, from state.Member) {
+	entry := d.active[id]
+	if entry == nil {
+		entry = &activeDocument{}
+		d.active[id] = entry
 	}
-	if rec.Version <= h.record.Version {
-		if rec.Version == h.record.Version && revision != 0 {
-			h.record = rec // the same document, now with its marks
-			h.revision = revision
+	if rec.Version <= entry.record.Version {
+		if rec.Version == entry.record.Version && revision != 0 {
+			entry.record = rec // the same document, now with its accepted edits
+			entry.revision = revision
 		}
 		return
 	}
-	h.patch = nil
-	if h.record.Version+1 == rec.Version {
-		h.patch = makePatch(h.record.Version, h.record.Text, rec.Text)
+	entry.patch = nil
+	if entry.record.Version+1 == rec.Version {
+		entry.patch = makePatch(entry.record.Version, entry.record.Text, rec.Text)
 	}
-	d.hash ^= versionHash(id, h.record.Version) ^ versionHash(id, rec.Version)
-	h.record = rec
-	h.revision = revision
-	d.adoptedAt = d.now
-	if d.wanted[id] <= rec.Version {
-		delete(d.wanted, id)
+	d.hash ^= versionHash(id, entry.record.Version) ^ versionHash(id, rec.Version)
+	entry.record = rec
+	entry.revision = revision
+	d.appliedAt = d.now
+	if d.missing[id] <= rec.Version {
+		delete(d.missing, id)
 	}
-	d.out = append(d.out, Applied{Doc: rec.doc(id)})
+	d.actions = append(d.actions, Applied{Doc: rec.doc(id)})
 	if d.ready {
-		d.announce(id, h, from)
+		d.announce(id, entry, from)
 	}
 }
 
-// versionHash is a service's part of the digest: the parts are combined by XOR,
-// so that a change costs one service. Version 0 has no part.
+// versionHash is a service's contribution to the digest. Contributions are combined by XOR, so
+// that a change recomputes one service only. Version 0 contributes nothing.
 func versionHash(id state.ServiceID, v state.DocumentVersion) uint64 {
 	if v == 0 {
 		return 0
--- a/coordination/documents/edit.go
+++ b/coordination/documents/edit.go
@@ -8,48 +8,48 @@
 	"github.com/hibiscuswick/hibiscuswick/coordination/store"
 )
 
-// edit is one Apply on its way.
+// edit is a SubmitEdit in progress.
 type edit struct {
 	SubmitEdit
-	current  Record // the row as last read
-	revision uint64 // its revision
-	known    bool   // current and revision are set
-	maySent  bool   // a commit of it may have landed or may land
-	backoff  time.Duration
-	wakeAt   time.Time // zero while a call is under way
+	current          Record // the row as last read
+	revision         uint64 // revision of that row
+	rowRead          bool   // current and revision are set
+	mayHaveCommitted bool   // a commit of it may have taken effect or may still do so
+	backoff          time.Duration
+	retryAt          time.Time // zero while a call is in flight
 }
 
-func (d *Documents) apply(ev SubmitEdit) {
+func (d *Documents) submitEdit(ev SubmitEdit) {
 	e := &edit{SubmitEdit: ev}
 	d.edits = append(d.edits, e)
-	if held := d.services[ev.Service]; held != nil && held.revision != 0 && held.record.Version == ev.Base {
-		// What this daemon holds came from the store, so that the read can
-		// be spared: where it is old, the commit conflicts. It never answers
-		// an edit by itself, since the operator may know a newer version.
-		e.current = held.record
-		e.revision = held.revision
-		e.known = true
+	if entry := d.active[ev.Service]; entry != nil && entry.revision != 0 && entry.record.Version == ev.Base {
+		// The active document came from the store, so no read is needed: if it is outdated, the
+		// commit conflicts. It is never used to answer an edit by itself, because the operator
+		// may know a newer version.
+		e.current = entry.record
+		e.revision = entry.revision
+		e.rowRead = true
 	}
-	d.proceed(e)
+	d.advance(e)
 }
 
-// proceed sends the edit's next call, or answers it from the row.
-func (d *Documents) proceed(e *edit) {
-	e.wakeAt = time.Time{}
-	if !e.known {
-		d.get(e.Service, e)
+// advance sends the edit's next call, or answers it from the row.
+func (d *Documents) advance(e *edit) {
+	e.retryAt = time.Time{}
+	if !e.rowRead {
+		d.readRow(e.Service, e)
 		return
 	}
-	if m, ok := e.current.mark(e.EditID); ok {
+	if m, ok := e.current.acceptedEdit(e.EditID); ok {
 		if m.Sum != xxhash.Sum64(e.Text) {
-			d.conflict(e) // the edit id came before with another text
+			d.answerConflict(e) // the edit ID was used before with a different text
 			return
 		}
 		d.answer(e, EditAnswered{Status: EditAccepted, Version: m.Version})
 		return
 	}
 	if e.current.Version != e.Base {
-		d.outdated(e)
+		d.answerOutdated(e)
 		return
 	}
 	txn, err := e.current.next(e.EditID, e.Text).txn(e.Service, e.revision)
@@ -57,21 +57,21 @@
 		d.answer(e, EditAnswered{Status: EditUnavailable})
 		return
 	}
-	d.call(store.Commit{Txn: txn}, pending{kind: callCommit, service: e.Service, edit: e})
+	d.callStore(store.Commit{Txn: txn}, pendingCall{kind: callCommit, service: e.Service, edit: e})
 }
 
-// outdated answers an edit whose base is not what stands. A commit of it that
-// is still under way is conditioned on a revision that has passed, and can't
-// land; one that landed left its mark, unless that was pushed out since.
-func (d *Documents) outdated(e *edit) {
-	if e.maySent && !e.current.remembers(e.Base+1) {
+// answerOutdated answers an edit whose base is not the current version. A commit of it that is
+// still in flight is conditional on an earlier revision, and can't take effect; one that took
+// effect is recorded in the row, unless later edits displaced the record.
+func (d *Documents) answerOutdated(e *edit) {
+	if e.mayHaveCommitted && !e.current.remembers(e.Base+1) {
 		d.answer(e, EditAnswered{Status: EditUnknown})
 		return
 	}
-	d.conflict(e)
+	d.answerConflict(e)
 }
 
-func (d *Documents) conflict(e *edit) {
+func (d *Documents) answerConflict(e *edit) {
 	d.answer(e, EditAnswered{
 		Status:  EditConflict,
 		Version: e.current.Version,
@@ -79,7 +79,7 @@
 	})
 }
 
-func (d *Documents) committed(e *edit, res store.Result) {
+func (d *Documents) handleCommit(e *edit, res store.Result) {
 	switch res.Status {
 	case store.Done:
 		rec := e.current.next(e.EditID, e.Text)
@@ -87,29 +87,29 @@
 		if row, ok := res.Row(); ok {
 			revision = row.Revision
 		}
-		d.heardStore()
-		d.adopt(e.Service, rec, revision, d.self)
+		d.storeResponded()
+		d.applyRecord(e.Service, rec, revision, d.self)
 		d.answer(e, EditAnswered{Status: EditAccepted, Version: rec.Version})
 	case store.Conflict:
-		d.heardStore()
-		e.known = false
-		d.proceed(e)
+		d.storeResponded()
+		e.rowRead = false
+		d.advance(e)
 	case store.NotSent:
-		d.wait(e)
+		d.scheduleRetry(e)
 	case store.Unanswered:
-		e.maySent = true
-		e.known = false
-		d.wait(e)
+		e.mayHaveCommitted = true
+		e.rowRead = false
+		d.scheduleRetry(e)
 	}
 }
 
-// editRead takes the row that an edit asked for.
-func (d *Documents) editRead(e *edit, res store.Result) {
+// handleEditRead handles the row that an edit requested.
+func (d *Documents) handleEditRead(e *edit, res store.Result) {
 	if res.Status != store.Done {
-		d.wait(e)
+		d.scheduleRetry(e)
 		return
 	}
-	e.known = true
+	e.rowRead = true
 	e.current = Record{}
 	e.revision = 0
 	if row, ok := res.Row(); ok {
@@ -121,27 +121,27 @@
 		e.current = rec
 		e.revision = row.Revision
 	}
-	d.proceed(e)
+	d.advance(e)
 }
 
-func (d *Documents) wait(e *edit) {
+func (d *Documents) scheduleRetry(e *edit) {
 	e.backoff = min(max(2*e.backoff, d.cfg.MinBackoff), d.cfg.MaxBackoff)
-	e.wakeAt = d.now.Add(d.jitter(e.backoff))
+	e.retryAt = d.now.Add(d.jitter(e.backoff))
 }
 
-// tickEdits resumes edits whose back-off is over and answers those whose time
-// is up.
+// tickEdits resumes edits whose backoff has elapsed and answers those that are past their
+// deadline.
 func (d *Documents) tickEdits() {
 	for _, e := range append([]*edit(nil), d.edits...) {
 		switch {
 		case !d.now.Before(e.Deadline):
 			status := EditUnavailable
-			if e.maySent || d.committing(e) {
+			if e.mayHaveCommitted || d.committing(e) {
 				status = EditUnknown
 			}
 			d.answer(e, EditAnswered{Status: status})
-		case !e.wakeAt.IsZero() && !d.now.Before(e.wakeAt):
-			d.proceed(e)
+		case !e.retryAt.IsZero() && !d.now.Before(e.retryAt):
+			d.advance(e)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 		if o == e {
 			d.edits = append(d.edits[:i], d.edits[i+1:]...)
 			a.ID = e.ID
-			d.out = append(d.out, a)
+			d.actions = append(d.actions, a)
 			return
 		}
 	}
--- a/coordination/documents/events.go
+++ b/coordination/documents/events.go
@@ -7,23 +7,22 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Event is what the machine is told.
+// Event is an input to Step.
 type Event interface {
 	event()
 }
 
-// Apply is an operator's edit. Text is checked already. ID is the caller's
-// number for the answer.
+// SubmitEdit is an operator's edit with a validated text. ID identifies it in EditAnswered.
 type SubmitEdit struct {
 	ID       uint64
 	Service  state.ServiceID
 	Base     state.DocumentVersion // the version edited; 0 creates the document
-	EditID   string                // unique to the edit; a repeat of it is the same edit
+	EditID   string                // unique to the edit; a repeat with the same ID is the same edit
 	Text     []byte
 	Deadline time.Time // for the answer
 }
 
-// Answered is the result of a CallStore.
+// StoreResult is the result of a CallStore.
 type StoreResult struct {
 	Result store.Result
 }
@@ -34,15 +33,15 @@
 	Msg  Message
 }
 
-// Reach is the membership view: Live are the other daemons believed alive,
-// Known counts all that the platform lists, this one included. It comes about
-// once a second.
+// Members is the membership view: Live are the other daemons considered alive, Known is the
+// number of daemons that the platform lists, including this one. It is sent about once a
+// second.
 type Members struct {
 	Live  []state.Member
 	Known int
 }
 
-// Tick lets time pass.
+// Tick advances time.
 type Tick struct{}
 
 func (SubmitEdit) event()  {}
@@ -51,62 +50,60 @@
 func (Members) event()     {}
 func (Tick) event()        {}
 
-// Action is what the machine asks for.
+// Action is an output of Step for the caller to perform.
 type Action interface {
 	action()
 }
 
-// CallStore asks for one store call.
+// CallStore requests one store call.
 type CallStore struct {
 	Call store.Call
 }
 
-// Send sends a message to another daemon; it may be lost.
+// Send sends a message to another daemon. It may be lost.
 type Send struct {
 	To  state.Member
 	Msg Message
 }
 
-// Adopted puts a document into force at this daemon. The versions of one
-// service only grow.
+// Applied reports the new active document of a service. Versions of a service only increase.
 type Applied struct {
 	Doc Doc
 }
 
-// ReadyChanged reports that the daemon knows the documents and may serve.
+// ReadyChanged reports that the daemon has the current documents and may serve.
 type ReadyChanged struct{}
 
-// IsolatedChanged reports that the daemon can no longer know that its
-// documents are current, or can again.
+// IsolatedChanged reports that the daemon can no longer know whether its documents are current,
+// or can again.
 type IsolatedChanged struct {
 	Isolated bool
 }
 
-// EditStatus is what became of an edit.
+// EditStatus is the outcome of an edit.
 type EditStatus uint8
 
 // The values of EditStatus.
 const (
 	// EditAccepted: committed as Version.
 	EditAccepted EditStatus = iota + 1
-	// EditConflict: another edit came first, and this call did not commit and
-	// never will. Current is what stands. An edit with the same id that was
-	// accepted long ago, with 32 others since, is answered so as well.
+	// EditConflict: another edit was committed first; this call did not commit and never will.
+	// Current is the current document. A repeat of an edit that was accepted before the latest
+	// 32 edits has this result as well.
 	EditConflict
-	// EditUnavailable: the store could not be reached; not committed, and
-	// never will be.
+	// EditUnavailable: the store could not be reached; the edit did not commit and never will.
 	EditUnavailable
-	// EditUnknown: the store's answer was lost. A repeat with the same EditID
-	// tells.
+	// EditUnknown: the store's answer was lost. A repeat with the same EditID determines the
+	// outcome.
 	EditUnknown
 )
 
-// EditAnswered answers an Apply.
+// EditAnswered answers a SubmitEdit.
 type EditAnswered struct {
 	ID      uint64
 	Status  EditStatus
 	Version state.DocumentVersion
-	Current Doc // with EditConflict
+	Current Doc // set for EditConflict
 }
 
 func (CallStore) action()       {}
--- a/coordination/documents/export_test.go
+++ b/coordination/documents/export_test.go
@@ -1,4 +1,4 @@
 package documents
 
-// MakePatch lets tests build the patch of an Announce.
+// MakePatch lets tests create the patch of an Announce.
 var MakePatch = makePatch
--- a/coordination/documents/message.go
+++ b/coordination/documents/message.go
@@ -4,25 +4,25 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Message is what daemons tell each other about documents.
+// Message is a message between daemons about documents.
 type Message interface {
 	documentsMessage()
 }
 
-// Digest is a hash of the versions in force at a daemon: equal hashes, equal
-// versions. It rides on heartbeats.
+// Digest is a hash of a daemon's active versions: equal hashes mean equal versions. It is sent
+// with heartbeats.
 type Digest struct {
 	Hash uint64 `msgpack:"hash"`
 }
 
-// ServiceVersion is a service's version at a daemon.
+// ServiceVersion is a service's version at one daemon.
 type ServiceVersion struct {
 	Service state.ServiceID       `msgpack:"service"`
 	Version state.DocumentVersion `msgpack:"version"`
 }
 
-// Announce tells of a version just adopted. Patch leads to it from the one
-// before, where it is small.
+// Announce reports a version that the sender has just applied. Patch contains the change from
+// the previous version where it is small.
 type Announce struct {
 	Service state.ServiceID       `msgpack:"service"`
 	Version state.DocumentVersion `msgpack:"version"`
@@ -30,31 +30,30 @@
 	Patch   *Patch                `msgpack:"patch"`
 }
 
-// Versions lists what is in force at the sender, for comparison. A first one
-// (not Reply) is answered with the receiver's. Ready reports that the sender
-// itself knows that it is current.
+// Versions lists the sender's active versions for comparison. One without Reply is answered
+// with the receiver's versions. Ready reports that the sender knows that it is current.
 type Versions struct {
 	Have  []ServiceVersion `msgpack:"have"`
 	Ready bool             `msgpack:"ready"`
 	Reply bool             `msgpack:"reply"`
 }
 
-// Pull asks for the documents that are newer than Have.
+// Pull requests the documents that are newer than Have.
 type Pull struct {
 	Have []ServiceVersion `msgpack:"have"`
 }
 
-// Docs carries documents whole.
+// Docs carries complete documents.
 type Docs struct {
 	Docs []Doc `msgpack:"docs"`
 }
 
-// InForceAsk asks for the version of a service in force at the receiver.
+// VersionRequest requests the receiver's active version of a service.
 type VersionRequest struct {
 	Service state.ServiceID `msgpack:"service"`
 }
 
-// InForce answers InForceAsk; Version is 0 where there is none.
+// VersionResponse answers VersionRequest; Version is 0 if there is none.
 type VersionResponse struct {
 	Service state.ServiceID       `msgpack:"service"`
 	Version state.DocumentVersion `msgpack:"version"`
--- a/coordination/documents/patch.go
+++ b/coordination/documents/patch.go
@@ -6,12 +6,13 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// maxPatch bounds the bytes of a Patch's middle; a larger change is pulled.
-const maxPatch = 1024
+// maxPatchBytes bounds the size of Patch.Middle; a larger change is pulled as a complete
+// document.
+const maxPatchBytes = 1024
 
-// Patch is the difference between two versions of a text: a common prefix and
-// suffix, and what stands between. An edit mostly changes a number or two in a
-// text of many kilobytes.
+// Patch is the difference between two versions of a text: the lengths of the common prefix and
+// suffix, and the text between them. Most edits change one or two numbers in a text of many
+// kilobytes.
 type Patch struct {
 	From   state.DocumentVersion `msgpack:"from"`
 	Prefix int                   `msgpack:"prefix"` // bytes
@@ -20,7 +21,7 @@
 	Sum    uint64                `msgpack:"sum"` // xxhash of the result
 }
 
-// makePatch returns the patch between two texts, or nil where it is large.
+// makePatch returns the patch between two texts, or nil if it is large.
 func makePatch(from state.DocumentVersion, old, text string) *Patch {
 	p := 0
 	for p < len(old) && p < len(text) && old[p] == text[p] {
@@ -31,15 +32,15 @@
 		s++
 	}
 	middle := text[p : len(text)-s]
-	if len(middle) > maxPatch {
+	if len(middle) > maxPatchBytes {
 		return nil
 	}
 	return &Patch{From: from, Prefix: p, Suffix: s, Middle: []byte(middle), Sum: xxhash.Sum64String(text)}
 }
 
-// apply gives the new text, or false where old is not what p was made from: a
-// damaged message or a defect then costs a pull, not a document in force that
-// nobody wrote.
+// apply returns the new text, or false if old is not the text that p was made from. A corrupted
+// message or a defect then causes a pull instead of activating a document that no operator
+// wrote.
 func (p *Patch) apply(old string) ([]byte, bool) {
 	if p.Prefix < 0 || p.Suffix < 0 || p.Prefix > len(old) || p.Suffix > len(old)-p.Prefix {
 		return nil, false
--- a/coordination/documents/patch_test.go
+++ b/coordination/documents/patch_test.go
@@ -15,7 +15,7 @@
 			t.Fatalf("got %q, %v", got, ok)
 		}
 		if got, ok := p.apply(other); ok && string(got) != next {
-			t.Fatalf("on another text: got %q", got)
+			t.Fatalf("applied to a different text: got %q", got)
 		}
 	})
 }
--- a/coordination/documents/property_test.go
+++ b/coordination/documents/property_test.go
@@ -12,7 +12,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// editInput and content are the model of one document: a register of version
+// editInput and content form the linearizability model of one document: a register of version
 // and text that is changed by compare-and-set.
 type editInput struct {
 	base state.DocumentVersion
@@ -42,7 +42,7 @@
 			return nil
 		case documents.EditUnavailable:
 			return []any{s}
-		default: // it may have been committed, or not
+		default: // it may have been committed
 			if s.version == e.base {
 				return []any{s, applied}
 			}
@@ -51,15 +51,15 @@
 	},
 }
 
-// script is a random history: edits and faults.
-type script struct {
-	*fleet
+// scenario is a random sequence of edits and faults.
+type scenario struct {
+	*cluster
 	t    *rapid.T
 	ops  []porcupine.Operation
 	open map[uint64]int // index in ops
 }
 
-func (s *script) collect() {
+func (s *scenario) collectAnswers() {
 	for id, i := range s.open {
 		a, ok := s.answers[id]
 		if !ok {
@@ -74,7 +74,7 @@
 	}
 }
 
-func (s *script) act() {
+func (s *scenario) randomAction() {
 	d := s.daemons[rapid.IntRange(0, len(s.daemons)-1).Draw(s.t, "daemon")]
 	switch rapid.IntRange(0, 10).Draw(s.t, "op") {
 	case 0, 1, 2, 3:
@@ -93,70 +93,70 @@
 			Output: documents.EditAnswered{Status: documents.EditUnknown}, Return: 1 << 62,
 		})
 	case 4:
-		s.up = !s.up
+		s.storeUp = !s.storeUp
 	case 5:
-		s.loseIn = []float64{0, 0.3, 0.8}[rapid.IntRange(0, 2).Draw(s.t, "lose")]
+		s.answerLoss = []float64{0, 0.3, 0.8}[rapid.IntRange(0, 2).Draw(s.t, "lose")]
 	case 6:
-		d.cut = !d.cut
+		d.partitioned = !d.partitioned
 	case 7:
-		d.noStore = !d.noStore
+		d.storeUnreachable = !d.storeUnreachable
 	case 8:
-		s.parted = !s.parted
+		s.regionPartitioned = !s.regionPartitioned
 	case 9:
 		if !d.dead && len(s.daemons) < 9 {
 			d.dead = true
 			s.add(string(d.member.ID), d.member.Incarnation+1, d.region)
 		}
 	case 10:
-		s.lossy = []float64{0, 0.3}[rapid.IntRange(0, 1).Draw(s.t, "lossy")]
+		s.messageLoss = []float64{0, 0.3}[rapid.IntRange(0, 1).Draw(s.t, "lossy")]
 	}
 }
 
-func (s *script) heal() {
-	s.up, s.loseIn, s.parted, s.lossy = true, 0, false, 0
+func (s *scenario) heal() {
+	s.storeUp, s.answerLoss, s.regionPartitioned, s.messageLoss = true, 0, false, 0
 	for _, d := range s.daemons {
-		d.cut, d.noStore = false, false
+		d.partitioned, d.storeUnreachable = false, false
 	}
 }
 
-// checkAnswers compares what operators were told with what was committed.
-func (s *script) checkAnswers() {
+// checkAnswers compares the answers with the committed versions.
+func (s *scenario) checkAnswers() {
 	committed := map[string]state.DocumentVersion{}
 	for v := state.DocumentVersion(1); v <= s.store.version("s"); v++ {
-		committed[s.store.history[fmt.Sprintf("s/%d", v)]] = v
+		committed[s.store.committedTexts[fmt.Sprintf("s/%d", v)]] = v
 	}
 	for _, op := range s.ops {
 		a, v := op.Output.(documents.EditAnswered), committed[op.Input.(editInput).text]
 		switch {
 		case a.Status == documents.EditAccepted && v != a.Version:
-			s.t.Fatalf("accepted as %d, committed as %d", a.Version, v)
+			s.t.Fatalf("answer says accepted as version %d, but committed as version %d", a.Version, v)
 		case (a.Status == documents.EditConflict || a.Status == documents.EditUnavailable) && v != 0:
-			s.t.Fatalf("refused (%d) but committed as %d", a.Status, v)
+			s.t.Fatalf("answer says not committed (status %d), but committed as version %d", a.Status, v)
 		}
 	}
 }
 
 var _ = Describe("Edits under faults", Label("failure:concurrent-edits"), func() {
-	// Operators edit one document through several daemons while the store
-	// loses answers and goes down, regions part, messages are lost and
-	// daemons die and are replaced. No daemon ever goes back, none holds a
-	// text that was not committed, each answer is true, and within 8 s of the
-	// last fault all hold what the store holds.
+	// Operators edit one document through several daemons while the store loses answers and
+	// goes down, regions are partitioned, messages are lost, and daemons die and are replaced.
+	// No daemon may go back to an older version or have a text that was not committed, each
+	// answer must be true, and within 8 s of the last fault every daemon must have the store's
+	// version.
 	It("stays linearizable and never reverts", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			s := &script{t: t, open: map[uint64]int{}}
-			s.fleet = newFleet(5, rapid.Uint64().Draw(t, "seed"), t.Fatalf)
+			s := &scenario{t: t, open: map[uint64]int{}}
+			s.cluster = newCluster(5, rapid.Uint64().Draw(t, "seed"), t.Fatalf)
 			s.run(3 * time.Second)
 			for range rapid.IntRange(1, 25).Draw(t, "acts") {
-				s.act()
+				s.randomAction()
 				s.run(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
-				s.collect()
+				s.collectAnswers()
 			}
 			s.heal()
 			s.run(6 * time.Second) // late effects of lost calls, and the last answers
-			s.collect()
-			if _, ok := s.until(8*time.Second, func() bool { return s.all("s", s.store.version("s")) }); !ok {
-				t.Fatalf("not all daemons hold version %d", s.store.version("s"))
+			s.collectAnswers()
+			if _, ok := s.runUntil(8*time.Second, func() bool { return s.allHave("s", s.store.version("s")) }); !ok {
+				t.Fatalf("not all daemons have version %d", s.store.version("s"))
 			}
 			s.checkAnswers()
 			if !porcupine.CheckOperations(register.ToModel(), s.ops) {
--- a/coordination/documents/record.go
+++ b/coordination/documents/record.go
@@ -11,17 +11,17 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// The tables of service documents; the row key is the service's id in both.
+// Tables of service documents; the row key is the service's ID in both.
 const (
 	Table         = "documents"
 	VersionsTable = "document_versions"
 )
 
-// marksKept is how many of a service's latest edits its row remembers.
-const marksKept = 32
+// maxRememberedEdits is how many of a service's latest edits its row records.
+const maxRememberedEdits = 32
 
-// Doc is one accepted state of a service's document. Text is JSON, checked
-// before it comes here.
+// Doc is one accepted version of a service's document. Text is JSON that has been validated
+// before.
 type Doc struct {
 	Service state.ServiceID       `msgpack:"service"`
 	Version state.DocumentVersion `msgpack:"version"`
@@ -29,7 +29,7 @@
 	Text    []byte                `msgpack:"text"`
 }
 
-// Mark remembers one accepted edit.
+// AcceptedEdit records one accepted edit.
 type AcceptedEdit struct {
 	EditID  string                `json:"edit_id"`
 	Version state.DocumentVersion `json:"version"`
@@ -49,13 +49,13 @@
 	Version state.DocumentVersion `json:"version"`
 }
 
-// doc gives the document that the record holds.
+// doc returns the document in the record.
 func (r Record) doc(id state.ServiceID) Doc {
 	return Doc{Service: id, Version: r.Version, EditID: r.EditID, Text: []byte(r.Text)}
 }
 
-// mark returns the accepted edit of that id, if it is among those remembered.
-func (r Record) mark(editID string) (AcceptedEdit, bool) {
+// acceptedEdit returns the accepted edit with that ID, if the row still records it.
+func (r Record) acceptedEdit(editID string) (AcceptedEdit, bool) {
 	for _, m := range r.Edits {
 		if m.EditID == editID {
 			return m, true
@@ -64,33 +64,32 @@
 	return AcceptedEdit{}, false
 }
 
-// remembers reports whether an edit accepted as version v would still have its
-// mark in the row.
+// remembers reports whether an edit accepted as version v would still be recorded in the row.
 func (r Record) remembers(v state.DocumentVersion) bool {
-	return r.Version < v || r.Version-v < marksKept
+	return r.Version < v || r.Version-v < maxRememberedEdits
 }
 
-// next is the record after an edit of r.
+// next returns the record after an edit of r.
 func (r Record) next(editID string, text []byte) Record {
-	marks := append([]AcceptedEdit(nil), r.Edits...)
-	marks = append(marks, AcceptedEdit{EditID: editID, Version: r.Version + 1, Sum: xxhash.Sum64(text)})
-	if len(marks) > marksKept {
-		marks = marks[len(marks)-marksKept:]
+	edits := append([]AcceptedEdit(nil), r.Edits...)
+	edits = append(edits, AcceptedEdit{EditID: editID, Version: r.Version + 1, Sum: xxhash.Sum64(text)})
+	if len(edits) > maxRememberedEdits {
+		edits = edits[len(edits)-maxRememberedEdits:]
 	}
-	return Record{Version: r.Version + 1, EditID: editID, Edits: marks, Text: string(text)}
+	return Record{Version: r.Version + 1, EditID: editID, Edits: edits, Text: string(text)}
 }
 
-// DecodeRow reads a document row.
+// DecodeRow decodes a document row.
 func DecodeRow(row store.Row) (Record, error) {
 	var r Record
 	err := json.Unmarshal(row.Value, &r)
 	return r, err
 }
 
-// txn writes rec as the successor of the row at revision.
+// txn returns the transaction that writes r over the row at revision.
 //
-// The text is kept as a string, not as embedded JSON, which would come back
-// with other white space: patches and checksums need equal bytes everywhere.
+// The text is stored as a string and not as embedded JSON, which would be returned with
+// different white space: patches and checksums require identical bytes everywhere.
 func (r Record) txn(id state.ServiceID, revision uint64) (store.Txn, error) {
 	if !utf8.ValidString(r.Text) {
 		return store.Txn{}, fmt.Errorf("document %s is not UTF-8", id)
--- a/coordination/documents/rollout.go
+++ b/coordination/documents/rollout.go
@@ -8,24 +8,24 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// RolloutConfig tunes a Rollout.
+// RolloutConfig holds the parameters of a Rollout.
 type RolloutConfig struct {
-	BatchSize    int           // daemons asked at one time
-	PollInterval time.Duration // time between questions to one that lags
+	BatchSize    int           // daemons queried at one time
+	PollInterval time.Duration // time between queries to a lagging daemon
 }
 
-// DefaultRolloutConfig returns the values used by a daemon.
+// DefaultRolloutConfig returns the values that a daemon uses.
 func DefaultRolloutConfig() RolloutConfig {
 	return RolloutConfig{BatchSize: 64, PollInterval: 250 * time.Millisecond}
 }
 
-// Rollout waits until all live daemons have a version of a service in force; it
-// is the machine behind "apply --wait", and lives only while someone waits.
+// Rollout determines when all live daemons have an active version of a service. It implements
+// "apply --wait" and exists only while a caller waits.
 type Rollout struct {
 	cfg     RolloutConfig
 	service state.ServiceID
 	version state.DocumentVersion
-	lagging map[state.Member]time.Time // when last asked
+	lagging map[state.Member]time.Time // time of the last query
 }
 
 // NewRollout returns a Rollout over the other live daemons.
@@ -37,12 +37,12 @@
 	return r
 }
 
-// Done reports whether all have the version.
+// Done reports whether all daemons have the version.
 func (r *Rollout) Done() bool {
 	return len(r.lagging) == 0
 }
 
-// Lagging lists the daemons not known to have the version, by name.
+// Lagging returns the daemons not known to have the version, sorted by ID.
 func (r *Rollout) Lagging() []state.Member {
 	list := make([]state.Member, 0, len(r.lagging))
 	for m := range r.lagging {
@@ -52,19 +52,19 @@
 	return list
 }
 
-// Heard takes a daemon's answer.
+// HandleResponse handles a daemon's answer.
 func (r *Rollout) HandleResponse(from state.Member, msg VersionResponse) {
 	if msg.Service == r.service && msg.Version >= r.version {
 		delete(r.lagging, from)
 	}
 }
 
-// Gone drops a daemon that died or left: what it had no longer matters.
+// Remove removes a daemon that died or left, whose version no longer matters.
 func (r *Rollout) Remove(m state.Member) {
 	delete(r.lagging, m)
 }
 
-// Ask returns the questions that are due, to be called every AskEvery or so.
+// NextRequests returns the queries that are due. It has to be called about every PollInterval.
 func (r *Rollout) NextRequests(now time.Time) []Send {
 	var out []Send
 	for _, m := range r.Lagging() {
--- a/coordination/documents/suite_test.go
+++ b/coordination/documents/suite_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestDocuments(t *testing.T) {
-	// The histories are cheap and the faults many: more than rapid's usual
-	// hundred, unless the command line says otherwise.
+	// The scenarios are cheap and the fault combinations many, so run more checks than rapid's
+	// default of 100 unless the command line specifies a number.
 	if f := flag.Lookup("rapid.checks"); f.Value.String() == f.DefValue {
 		_ = flag.Set("rapid.checks", "400")
 	}
