--- a/coordination/store/store.go
+++ b/coordination/store/store.go
@@ -1,13 +1,13 @@
-// Package store holds the values by which decisions talk to the platform's
-// table service: a machine returns a Call as an action and is later given the
-// Result of the same number. They mirror protocol/platform field by field, so
-// that a daemon maps them one to one.
+// Package store defines the values with which state machines access the platform's table
+// service: a state machine returns a Call as an action and later receives the Result with the
+// same ID. The types mirror protocol/platform field by field, so that a daemon converts them
+// one to one.
 package store
 
-// CallID numbers one call of one machine; it is never 0.
+// CallID identifies one call of one state machine; it is never 0.
 type CallID uint64
 
-// Row is one row of a table. Revision grows with each write of the row, from 1.
+// Row is one row of a table. Revision starts at 1 and is incremented by each write of the row.
 type Row struct {
 	Table    string
 	Key      string
@@ -15,15 +15,15 @@
 	Revision uint64
 }
 
-// Condition must hold when a transaction commits: the row has Revision, or does
-// not exist when Revision is 0.
+// Condition must hold when a transaction commits: the row has Revision, or does not exist if
+// Revision is 0.
 type Condition struct {
 	Table    string
 	Key      string
 	Revision uint64
 }
 
-// Write puts a row, or deletes it.
+// Write puts or deletes a row.
 type Write struct {
 	Table  string
 	Key    string
@@ -31,43 +31,42 @@
 	Delete bool
 }
 
-// Txn is a set of writes that take effect together if all conditions hold.
+// Txn is a set of writes that are committed atomically if all conditions hold.
 type Txn struct {
 	Conditions []Condition
 	Writes     []Write
 }
 
-// Class says what a call is for; the budget serves lower values first.
+// Class is the purpose of a call; the store budget serves lower values first.
 type Class uint8
 
 // The values of Class, most urgent first.
 const (
 	ClassClaim      Class = iota // claims of never-repeat requests
-	ClassLease                   // controllers' leases
+	ClassLease                   // leases of controllers
 	ClassDocument                // edits and polls of service documents
-	ClassPresence                // daemons' presence rows
-	ClassBackground              // terminal outcomes, sweeps: may wait
-	NumClasses      = 5          // how many there are
+	ClassPresence                // presence rows of daemons
+	ClassBackground              // terminal outcomes and sweeps, which may be delayed
+	NumClasses      = 5          // number of classes
 )
 
-// Request is what a call asks: Commit, Get or Scan.
+// Request is the operation of a call: Commit, Get or Scan.
 type Request interface {
 	request()
 }
 
-// Commit applies Txn whole or not at all; Done carries the written rows in the
-// order of Txn.Writes.
+// Commit applies Txn atomically. A Done result has the written rows in the order of Txn.Writes.
 type Commit struct {
 	Txn Txn
 }
 
-// Get reads one row; Done carries one row, or none where there is no such row.
+// Get reads one row. A Done result has one row, or none if the row does not exist.
 type Get struct {
 	Table string
 	Key   string
 }
 
-// Scan reads the rows of a table whose key begins with Prefix, in order.
+// Scan reads the rows whose key starts with Prefix, in key order.
 type Scan struct {
 	Table  string
 	Prefix string
@@ -77,28 +76,28 @@
 func (Get) request()    {}
 func (Scan) request()   {}
 
-// Call is one call to the table service. The caller of a machine answers each
-// exactly once; after its own timeout the answer is Unanswered.
+// Call is one call to the table service. The caller of a state machine answers each call
+// exactly once, with Unanswered after its own timeout.
 type Call struct {
 	ID      CallID
 	Class   Class
 	Request Request
 }
 
-// Writes reports whether the call spends the store's write budget.
+// Writes reports whether the call counts against the store's write budget.
 func (c Call) Writes() bool {
 	_, ok := c.Request.(Commit)
 	return ok
 }
 
-// Status is how a call ended. The zero value promises least.
+// Status is the outcome of a call. The zero value guarantees least.
 type Status uint8
 
 // The values of Status.
 const (
 	// Unanswered: a write may have taken effect, or may still do so later.
 	Unanswered Status = iota
-	// Done: the call took effect; Rows holds what was written or read.
+	// Done: the call took effect; Rows contains the rows written or read.
 	Done
 	// Conflict proves that a condition did not hold and nothing was written.
 	Conflict
@@ -106,14 +105,14 @@
 	NotSent
 )
 
-// Result answers the Call of the same number.
+// Result answers the Call with the same ID.
 type Result struct {
 	Call   CallID
 	Status Status
 	Rows   []Row
 }
 
-// Row returns the only row of a Done Get, or false where there is none.
+// Row returns the only row of a Done Get, or false if there is none.
 func (r Result) Row() (Row, bool) {
 	if len(r.Rows) == 0 {
 		return Row{}, false
