--- a/coordination/catalog/catalog.go
+++ b/coordination/catalog/catalog.go
@@ -13,37 +13,36 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Config is a daemon's settings.
+// Config holds the parameters of a daemon's catalog.
 type Config struct {
-	Fanout            int           // peers told of a change at once
-	CompareInterval   time.Duration // between comparisons with one peer
-	PullRetryInterval time.Duration // until an unanswered Want may be sent again
-	MaxLogLength      int           // changes kept per service, to answer Want with
-	PartSize          int           // replicas in one message
+	Fanout            int           // peers notified immediately of a change
+	CompareInterval   time.Duration // time between comparisons with one peer
+	PullRetryInterval time.Duration // time until an unanswered Pull may be sent again
+	MaxLogLength      int           // changes kept per service for answering Pull
+	PartSize          int           // maximum number of replicas in one message
 }
 
-// DefaultConfig returns the settings that docs/design/leases-and-orders.md works
-// out.
+// DefaultConfig returns the parameters derived in docs/design/leases-and-orders.md.
 func DefaultConfig() Config {
 	return Config{Fanout: 3, CompareInterval: time.Second, PullRetryInterval: 500 * time.Millisecond, MaxLogLength: 64, PartSize: 64}
 }
 
-// entry is one service's table.
+// entry holds one service's table.
 type entry struct {
-	table   controller.ReplicaTable
-	log     []Delta // changes that led here, each From the To before
-	parts   []Delta // of a Delta that has not come whole
-	wanted  Version
-	askedAt time.Time
+	table        controller.ReplicaTable
+	log          []Delta // the changes up to table; each From is the previous To
+	pendingParts []Delta // parts received of an incomplete Delta
+	requested    Version
+	requestedAt  time.Time
 }
 
-// Catalog holds the tables in force at one daemon.
+// Catalog holds one daemon's active table of each service.
 type Catalog struct {
-	cfg     Config
-	rng     *rand.Rand
-	live    []state.DaemonID
-	entries map[state.ServiceID]*entry
-	next    time.Time
+	cfg         Config
+	rng         *rand.Rand
+	live        []state.DaemonID
+	entries     map[state.ServiceID]*entry
+	nextCompare time.Time
 }
 
 // New returns an empty catalog.
@@ -51,7 +50,7 @@
 	return &Catalog{cfg: cfg, rng: rng, entries: make(map[state.ServiceID]*entry)}
 }
 
-// Get returns the table in force of a service.
+// Get returns the active table of a service.
 func (c *Catalog) Get(service state.ServiceID) (controller.ReplicaTable, bool) {
 	e, ok := c.entries[service]
 	if !ok {
@@ -60,12 +59,12 @@
 	return e.table, true
 }
 
-// NextTick says when the catalog next wants a Tick.
+// NextTick returns when the catalog next needs a Tick.
 func (c *Catalog) NextTick() time.Time {
-	return c.next
+	return c.nextCompare
 }
 
-// Step takes in one event and returns what is to be done.
+// Step applies one event and returns the actions to perform.
 func (c *Catalog) Step(now time.Time, ev Event) []Action {
 	var out []Action
 	switch ev := ev.(type) {
@@ -73,20 +72,20 @@
 	case Members:
 		c.live = slices.Clone(ev.Live)
 	case OfferTable:
-		out = c.offered(ev.Table)
+		out = c.offer(ev.Table)
 	case Received:
-		out = c.received(now, ev)
+		out = c.handleMessage(now, ev)
 	default:
 		panic(fmt.Sprintf("catalog: unknown event %T", ev))
 	}
-	if now.Before(c.next) {
+	if now.Before(c.nextCompare) {
 		return out
 	}
-	c.next = now.Add(c.cfg.CompareInterval)
-	return c.tell(out, 1, Versions{Services: c.held(), All: true})
+	c.nextCompare = now.Add(c.cfg.CompareInterval)
+	return c.sendToRandom(out, 1, Versions{Services: c.versions(), All: true})
 }
 
-func (c *Catalog) held() []ServiceVersion {
+func (c *Catalog) versions() []ServiceVersion {
 	ids := lo.Keys(c.entries)
 	slices.Sort(ids)
 	return lo.Map(ids, func(id state.ServiceID, _ int) ServiceVersion {
@@ -94,8 +93,8 @@
 	})
 }
 
-// tell sends a message to n random peers.
-func (c *Catalog) tell(out []Action, n int, msg Message) []Action {
+// sendToRandom sends a message to n random peers.
+func (c *Catalog) sendToRandom(out []Action, n int, msg Message) []Action {
 	for _, i := range c.rng.Perm(len(c.live))[:min(n, len(c.live))] {
 		out = append(out, Send{To: c.live[i], Msg: msg})
 	}
@@ -111,8 +110,8 @@
 	return e
 }
 
-// offered takes in a whole table if it is newer.
-func (c *Catalog) offered(t controller.ReplicaTable) []Action {
+// offer installs a complete table if it is newer than the active one.
+func (c *Catalog) offer(t controller.ReplicaTable) []Action {
 	e := c.entry(t.Service)
 	if !t.Newer(e.table) {
 		return nil
@@ -123,59 +122,59 @@
 func (c *Catalog) install(e *entry, t controller.ReplicaTable) []Action {
 	t.Replicas = slices.Clone(t.Replicas)
 	slices.SortFunc(t.Replicas, byID)
-	e.log = append(e.log, difference(e.table, t))
+	e.log = append(e.log, diff(e.table, t))
 	if len(e.log) > c.cfg.MaxLogLength {
 		e.log = slices.Clone(e.log[1:])
 	}
 	e.table = t
-	e.parts = nil
+	e.pendingParts = nil
 	out := []Action{TableChanged{Table: t}}
-	return c.tell(out, c.cfg.Fanout, Versions{Services: []ServiceVersion{{Service: t.Service, Version: versionOf(t)}}})
+	return c.sendToRandom(out, c.cfg.Fanout, Versions{Services: []ServiceVersion{{Service: t.Service, Version: versionOf(t)}}})
 }
 
 func byID(a, b controller.Replica) int {
 	return cmp.Compare(a.Chain.ID, b.Chain.ID)
 }
 
-func (c *Catalog) received(now time.Time, ev Received) []Action {
+func (c *Catalog) handleMessage(now time.Time, ev Received) []Action {
 	switch msg := ev.Msg.(type) {
 	case Versions:
-		return c.compare(now, ev.From.ID, msg)
+		return c.handleVersions(now, ev.From.ID, msg)
 	case Pull:
-		return c.answer(ev.From.ID, msg)
+		return c.handlePull(ev.From.ID, msg)
 	case Delta:
-		return c.delta(msg)
+		return c.handleDelta(msg)
 	default:
 		panic(fmt.Sprintf("catalog: unknown message %T", msg))
 	}
 }
 
-// compare asks for what the peer has newer and, of a full list, tells what it has
-// older.
-func (c *Catalog) compare(now time.Time, from state.DaemonID, msg Versions) []Action {
+// handleVersions pulls what the peer has newer and, if the peer sent a complete list, announces
+// the services for which it has an older version.
+func (c *Catalog) handleVersions(now time.Time, from state.DaemonID, msg Versions) []Action {
 	var out []Action
 	var newer []ServiceVersion
 	theirs := make(map[state.ServiceID]Version, len(msg.Services))
-	for _, h := range msg.Services {
-		theirs[h.Service] = h.Version
-		e := c.entry(h.Service)
+	for _, sv := range msg.Services {
+		theirs[sv.Service] = sv.Version
+		e := c.entry(sv.Service)
 		mine := versionOf(e.table)
-		if !h.Version.newer(mine) {
+		if !sv.Version.newer(mine) {
 			continue
 		}
-		asked := e.wanted == h.Version || e.wanted.newer(h.Version)
-		if asked && now.Sub(e.askedAt) < c.cfg.PullRetryInterval {
-			continue // several peers tell of one change; one of them is enough
+		alreadyRequested := e.requested == sv.Version || e.requested.newer(sv.Version)
+		if alreadyRequested && now.Sub(e.requestedAt) < c.cfg.PullRetryInterval {
+			continue // several peers announce one change; one Pull is enough
 		}
-		e.wanted, e.askedAt = h.Version, now
-		out = append(out, Send{To: from, Msg: Pull{Service: h.Service, Have: mine}})
+		e.requested, e.requestedAt = sv.Version, now
+		out = append(out, Send{To: from, Msg: Pull{Service: sv.Service, Have: mine}})
 	}
 	if !msg.All {
 		return out
 	}
-	for _, h := range c.held() {
-		if h.Version.newer(theirs[h.Service]) {
-			newer = append(newer, h)
+	for _, sv := range c.versions() {
+		if sv.Version.newer(theirs[sv.Service]) {
+			newer = append(newer, sv)
 		}
 	}
 	if len(newer) > 0 {
@@ -184,16 +183,16 @@
 	return out
 }
 
-// answer sends the changes since the peer's version, or the whole table if they
-// are not kept any more.
-func (c *Catalog) answer(to state.DaemonID, msg Pull) []Action {
+// handlePull sends the changes since the peer's version, or the complete table if they are no
+// longer in the log.
+func (c *Catalog) handlePull(to state.DaemonID, msg Pull) []Action {
 	e, ok := c.entries[msg.Service]
 	if !ok || !versionOf(e.table).newer(msg.Have) {
 		return nil
 	}
-	d, ok := since(e.log, msg.Have)
+	d, ok := changesSince(e.log, msg.Have)
 	if !ok {
-		d = difference(controller.ReplicaTable{Service: msg.Service}, e.table)
+		d = diff(controller.ReplicaTable{Service: msg.Service}, e.table)
 	}
 	var out []Action
 	sets := lo.Chunk(d.Set, c.cfg.PartSize)
@@ -211,23 +210,23 @@
 	return out
 }
 
-// delta applies a change once all its parts are there. One that does not fit the
-// table held is dropped; the next comparison asks again.
-func (c *Catalog) delta(d Delta) []Action {
+// handleDelta applies a change when all of its parts have arrived. A change that does not apply
+// to the active table is dropped; the next comparison causes another Pull.
+func (c *Catalog) handleDelta(d Delta) []Action {
 	e := c.entry(d.Service)
 	mine := versionOf(e.table)
 	if !d.To.newer(mine) || (d.From != mine && d.From != Version{}) || d.Parts < 1 {
 		return nil
 	}
-	if len(e.parts) > 0 && (e.parts[0].To != d.To || e.parts[0].From != d.From || e.parts[0].Parts != d.Parts) {
-		e.parts = nil
+	if len(e.pendingParts) > 0 && (e.pendingParts[0].To != d.To || e.pendingParts[0].From != d.From || e.pendingParts[0].Parts != d.Parts) {
+		e.pendingParts = nil
 	}
-	if lo.ContainsBy(e.parts, func(p Delta) bool { return p.Part == d.Part }) {
+	if lo.ContainsBy(e.pendingParts, func(p Delta) bool { return p.Part == d.Part }) {
 		return nil
 	}
-	e.parts = append(e.parts, d)
-	if len(e.parts) < d.Parts {
+	e.pendingParts = append(e.pendingParts, d)
+	if len(e.pendingParts) < d.Parts {
 		return nil
 	}
-	return c.install(e, apply(e.table, e.parts))
+	return c.install(e, applyParts(e.table, e.pendingParts))
 }
--- a/coordination/catalog/catalog_test.go
+++ b/coordination/catalog/catalog_test.go
@@ -17,17 +17,17 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// fleet runs catalogs that talk to each other in virtual time.
-type fleet struct {
-	rng      *rand.Rand
-	now      time.Time
-	nodes    []*catalog.Catalog
-	late     []delivery
-	lost     float64
-	bytes    int
-	messages int
-	backward string
-	seen     []map[state.ServiceID]controller.ReplicaTable
+// cluster runs catalogs that exchange messages in virtual time.
+type cluster struct {
+	rng        *rand.Rand
+	now        time.Time
+	nodes      []*catalog.Catalog
+	inFlight   []delivery
+	loss       float64
+	bytes      int
+	messages   int
+	violation  string
+	lastTables []map[state.ServiceID]controller.ReplicaTable
 }
 
 type delivery struct {
@@ -38,11 +38,11 @@
 
 func id(i int) state.DaemonID { return state.DaemonID(fmt.Sprintf("entry-%03d", i)) }
 
-func newFleet(seed uint64, n int) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(0, 0)}
+func newCluster(seed uint64, n int) *cluster {
+	cl := &cluster{rng: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(0, 0)}
 	for i := range n {
-		f.nodes = append(f.nodes, catalog.New(catalog.DefaultConfig(), rand.New(rand.NewPCG(seed, uint64(i)))))
-		f.seen = append(f.seen, map[state.ServiceID]controller.ReplicaTable{})
+		cl.nodes = append(cl.nodes, catalog.New(catalog.DefaultConfig(), rand.New(rand.NewPCG(seed, uint64(i)))))
+		cl.lastTables = append(cl.lastTables, map[state.ServiceID]controller.ReplicaTable{})
 	}
 	for i := range n {
 		var peers []state.DaemonID
@@ -51,46 +51,46 @@
 				peers = append(peers, id(j))
 			}
 		}
-		f.step(i, catalog.Members{Live: peers})
+		cl.step(i, catalog.Members{Live: peers})
 	}
-	return f
+	return cl
 }
 
-func (f *fleet) step(i int, ev catalog.Event) {
-	for _, a := range f.nodes[i].Step(f.now, ev) {
+func (cl *cluster) step(i int, ev catalog.Event) {
+	for _, a := range cl.nodes[i].Step(cl.now, ev) {
 		switch a := a.(type) {
 		case catalog.TableChanged:
-			if !a.Table.Newer(f.seen[i][a.Table.Service]) {
-				f.backward = fmt.Sprintf("%s went back to %d/%d", id(i), a.Table.Fencing, a.Table.Serial)
+			if !a.Table.Newer(cl.lastTables[i][a.Table.Service]) {
+				cl.violation = fmt.Sprintf("%s went back to fencing number %d, serial number %d", id(i), a.Table.Fencing, a.Table.Serial)
 			}
-			f.seen[i][a.Table.Service] = a.Table
+			cl.lastTables[i][a.Table.Service] = a.Table
 		case catalog.Send:
 			b, _ := msgpack.Marshal(a.Msg)
-			f.bytes += len(b)
-			f.messages++
+			cl.bytes += len(b)
+			cl.messages++
 			var to int
 			_, _ = fmt.Sscanf(string(a.To), "entry-%d", &to)
-			if f.rng.Float64() >= f.lost {
-				f.late = append(f.late, delivery{f.now.Add(time.Duration(f.rng.IntN(40)+1) * time.Millisecond), i, to, a.Msg})
+			if cl.rng.Float64() >= cl.loss {
+				cl.inFlight = append(cl.inFlight, delivery{cl.now.Add(time.Duration(cl.rng.IntN(40)+1) * time.Millisecond), i, to, a.Msg})
 			}
 		}
 	}
 }
 
-func (f *fleet) run(d time.Duration) {
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(10 * time.Millisecond) {
-		due := f.late
-		f.late = nil
+func (cl *cluster) run(d time.Duration) {
+	for end := cl.now.Add(d); cl.now.Before(end); cl.now = cl.now.Add(10 * time.Millisecond) {
+		due := cl.inFlight
+		cl.inFlight = nil
 		for _, x := range due {
-			if x.at.After(f.now) {
-				f.late = append(f.late, x)
+			if x.at.After(cl.now) {
+				cl.inFlight = append(cl.inFlight, x)
 				continue
 			}
-			f.step(x.to, catalog.Received{From: state.Member{ID: id(x.from)}, Msg: x.msg})
+			cl.step(x.to, catalog.Received{From: state.Member{ID: id(x.from)}, Msg: x.msg})
 		}
-		for i, c := range f.nodes {
-			if !f.now.Before(c.NextTick()) {
-				f.step(i, catalog.Tick{})
+		for i, c := range cl.nodes {
+			if !cl.now.Before(c.NextTick()) {
+				cl.step(i, catalog.Tick{})
 			}
 		}
 	}
@@ -111,13 +111,13 @@
 	return controller.Replica{Chain: c, Leaving: leaving}
 }
 
-// TestAllConverge publishes random tables by holders whose numbers grow, some of
-// them stale, over a network that loses and reorders, and checks that no daemon
-// goes back and that all end with the newest table.
+// TestAllConverge publishes random tables from lease holders with increasing fencing numbers,
+// some of them stale, over a network that loses and reorders messages. It checks that no daemon
+// goes back to an older table and that all end with the newest one.
 func TestAllConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 9).Draw(t, "daemons"))
-		f.lost = rapid.Float64Range(0, 0.5).Draw(t, "lost")
+		cl := newCluster(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 9).Draw(t, "daemons"))
+		cl.loss = rapid.Float64Range(0, 0.5).Draw(t, "lost")
 		newest := table("drafts", 0, 0)
 		serials := map[state.FencingNumber]uint64{}
 		for range rapid.IntRange(1, 100).Draw(t, "tables") {
@@ -130,15 +130,15 @@
 			if next.Newer(newest) {
 				newest = next
 			}
-			f.step(rapid.IntRange(0, len(f.nodes)-1).Draw(t, "at"), catalog.OfferTable{Table: next})
-			f.run(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
+			cl.step(rapid.IntRange(0, len(cl.nodes)-1).Draw(t, "at"), catalog.OfferTable{Table: next})
+			cl.run(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 		}
-		f.lost = 0
-		f.run(15 * time.Second)
-		if f.backward != "" {
-			t.Fatal(f.backward)
+		cl.loss = 0
+		cl.run(15 * time.Second)
+		if cl.violation != "" {
+			t.Fatal(cl.violation)
 		}
-		for i, c := range f.nodes {
+		for i, c := range cl.nodes {
 			got, _ := c.Get("drafts")
 			if fmt.Sprint(got) != fmt.Sprint(newest) {
 				t.Fatalf("%s has %v, want %v", id(i), got, newest)
@@ -147,49 +147,49 @@
 	})
 }
 
-// change runs n daemons that hold a table of 800 replicas and changes one. It
-// returns when all had it, and the bytes that each sent, for the change and in a
-// second without one.
-func change(seed uint64, n int) (took time.Duration, bytes, idle float64) {
-	f := newFleet(seed, n)
+// measureChange runs n daemons with a table of 800 replicas and changes one replica. It returns
+// the time until all daemons have the change, and the bytes sent per daemon for the change and
+// in one second without changes.
+func measureChange(seed uint64, n int) (took time.Duration, bytes, idle float64) {
+	cl := newCluster(seed, n)
 	first := table("drafts", 1, 1)
 	for i := range 800 {
 		first.Replicas = append(first.Replicas, replica(i, false))
 	}
 	for i := range n {
-		f.step(i, catalog.OfferTable{Table: first})
+		cl.step(i, catalog.OfferTable{Table: first})
 	}
-	f.run(2 * time.Second)
-	f.bytes = 0
-	f.run(2 * time.Second)
-	idle = float64(f.bytes) / 2 / float64(n)
-	f.bytes = 0
+	cl.run(2 * time.Second)
+	cl.bytes = 0
+	cl.run(2 * time.Second)
+	idle = float64(cl.bytes) / 2 / float64(n)
+	cl.bytes = 0
 	next := table("drafts", 1, 2, slices.Clone(first.Replicas)...)
 	next.Replicas[17].Leaving = true
-	begin := f.now
-	f.step(0, catalog.OfferTable{Table: next})
-	for reached := 0; reached < n && f.now.Sub(begin) < time.Minute; {
-		f.run(10 * time.Millisecond)
+	begin := cl.now
+	cl.step(0, catalog.OfferTable{Table: next})
+	for reached := 0; reached < n && cl.now.Sub(begin) < time.Minute; {
+		cl.run(10 * time.Millisecond)
 		reached = 0
-		for _, c := range f.nodes {
+		for _, c := range cl.nodes {
 			if got, _ := c.Get("drafts"); got.Serial == 2 {
 				reached++
 			}
 		}
 	}
-	took = f.now.Sub(begin)
-	return took, float64(f.bytes)/float64(n) - idle*took.Seconds(), idle
+	took = cl.now.Sub(begin)
+	return took, float64(cl.bytes)/float64(n) - idle*took.Seconds(), idle
 }
 
 var _ = Describe("catalog", func() {
-	// A chain dies at plan size. Callers of every daemon are routed to it until
-	// the change has come there, so it must come to all within seconds and cost
-	// little, whatever the number of daemons.
-	It("brings a change to 420 daemons", func() {
+	// A chain dies in a site of the planned size. Every daemon keeps sending requests to it
+	// until the daemon receives the change, so the change must reach all daemons within
+	// seconds, at a cost that does not grow with the number of daemons.
+	It("propagates a change to 420 daemons", func() {
 		for _, n := range []int{9, 50, 150, 420} {
 			longest, bytes, idle := time.Duration(0), 0.0, 0.0
 			for seed := range uint64(4) {
-				took, b, i := change(seed, n)
+				took, b, i := measureChange(seed, n)
 				longest, bytes, idle = max(longest, took), max(bytes, b), max(idle, i)
 			}
 			AddReportEntry(fmt.Sprintf("%d daemons", n), fmt.Sprintf(
@@ -198,17 +198,17 @@
 		}
 	})
 
-	// The store is down when a daemon starts: it knows no table, and gets all
+	// The store is down when a daemon starts: it has no tables, and must receive all of them
 	// from a peer.
-	It("fills a new daemon from a peer alone", Label("failure:daemon-replaced-during-store-outage"), func() {
-		f := newFleet(5, 3)
+	It("populates a new daemon from a peer alone", Label("failure:daemon-replaced-during-store-outage"), func() {
+		cl := newCluster(5, 3)
 		first := table("drafts", 1, 1)
 		for i := range 800 {
 			first.Replicas = append(first.Replicas, replica(i, false))
 		}
-		f.step(0, catalog.OfferTable{Table: first})
-		f.run(3 * time.Second)
-		got, ok := f.nodes[2].Get("drafts")
+		cl.step(0, catalog.OfferTable{Table: first})
+		cl.run(3 * time.Second)
+		got, ok := cl.nodes[2].Get("drafts")
 		Expect(ok).To(BeTrue())
 		Expect(got).To(Equal(first))
 	})
--- a/coordination/catalog/delta.go
+++ b/coordination/catalog/delta.go
@@ -9,9 +9,9 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// difference is the change from a to b. A replica's chain never changes under its
-// ID, so only its coming, leaving and going tell.
-func difference(a, b controller.ReplicaTable) Delta {
+// diff returns the change from a to b. The chain of a replica ID never changes, so only added
+// replicas, removed replicas and changes of Leaving are compared.
+func diff(a, b controller.ReplicaTable) Delta {
 	d := Delta{Service: b.Service, From: versionOf(a), To: versionOf(b), Document: b.Document, Parts: 1}
 	old := make(map[state.ReplicaID]bool, len(a.Replicas))
 	for _, r := range a.Replicas {
@@ -32,36 +32,35 @@
 	return d
 }
 
-// since joins the changes of the log from a version on.
-func since(log []Delta, have Version) (Delta, bool) {
+// changesSince merges the changes in the log that follow a version.
+func changesSince(log []Delta, have Version) (Delta, bool) {
 	_, at, ok := lo.FindIndexOf(log, func(d Delta) bool { return d.From == have })
 	if !ok {
 		return Delta{}, false
 	}
-	sum := log[at]
+	merged := log[at]
 	set := make(map[state.ReplicaID]controller.Replica)
-	gone := make(map[state.ReplicaID]bool)
+	removed := make(map[state.ReplicaID]bool)
 	for _, d := range log[at:] {
 		for _, r := range d.Set {
 			set[r.Chain.ID] = r
-			delete(gone, r.Chain.ID)
+			delete(removed, r.Chain.ID)
 		}
 		for _, id := range d.Removed {
 			delete(set, id)
-			gone[id] = true
+			removed[id] = true
 		}
-		sum.To, sum.Document = d.To, d.Document
+		merged.To, merged.Document = d.To, d.Document
 	}
-	sum.Set = lo.Values(set)
-	slices.SortFunc(sum.Set, byID)
-	sum.Removed = lo.Keys(gone)
-	slices.Sort(sum.Removed)
-	return sum, true
+	merged.Set = lo.Values(set)
+	slices.SortFunc(merged.Set, byID)
+	merged.Removed = lo.Keys(removed)
+	slices.Sort(merged.Removed)
+	return merged, true
 }
 
-// apply changes t by the parts of one Delta. A change from the empty table
-// replaces t.
-func apply(t controller.ReplicaTable, parts []Delta) controller.ReplicaTable {
+// applyParts applies the parts of one Delta to t. A change from the empty table replaces t.
+func applyParts(t controller.ReplicaTable, parts []Delta) controller.ReplicaTable {
 	d := parts[0]
 	next := controller.ReplicaTable{Service: d.Service, Document: d.Document, Fencing: d.To.Fencing, Serial: d.To.Serial}
 	replaced := make(map[state.ReplicaID]bool)
--- a/coordination/catalog/messages.go
+++ b/coordination/catalog/messages.go
@@ -5,8 +5,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Table is the name of the table that holds the rows; a row's key is the
-// service.
+// Table is the name of the table that holds the rows; the row key is the service ID.
 const Table = "replicas"
 
 // Version orders the tables of one service.
@@ -26,30 +25,30 @@
 	return v.Serial > o.Serial
 }
 
-// Message is what daemons tell each other about tables.
+// Message is a message between daemons about tables.
 type Message interface{ message() }
 
-// Held is one service's version at the sender.
+// ServiceVersion is the version of one service's table at the sender.
 type ServiceVersion struct {
 	Service state.ServiceID `msgpack:"service"`
 	Version Version         `msgpack:"version"`
 }
 
-// Have tells versions. All says that it lists every service, so that the receiver
-// answers with what it has newer.
+// Versions lists versions of tables. All means that every service is listed, so that the
+// receiver announces those for which it has a newer version.
 type Versions struct {
 	Services []ServiceVersion `msgpack:"held"`
 	All      bool             `msgpack:"all"`
 }
 
-// Want asks for what changed since Have.
+// Pull requests the changes since version Have.
 type Pull struct {
 	Service state.ServiceID `msgpack:"service"`
 	Have    Version         `msgpack:"have"`
 }
 
-// Delta turns the table of version From into that of version To. The zero From
-// is the empty table. Parts of one Delta are applied together.
+// Delta turns the table of version From into that of version To. The zero From is the empty
+// table. All parts of one Delta are applied together.
 type Delta struct {
 	Service  state.ServiceID       `msgpack:"service"`
 	From     Version               `msgpack:"from"`
@@ -65,19 +64,20 @@
 func (Pull) message()     {}
 func (Delta) message()    {}
 
-// Event is what the machine is stepped with.
+// Event is an input to Step.
 type Event interface{ event() }
 
-// Tick says that NextTick has come.
+// Tick is needed at NextTick.
 type Tick struct{}
 
-// Members names the other live daemons.
+// Members lists the other live daemons.
 type Members struct{ Live []state.DaemonID }
 
-// Offered is a whole table from this daemon's own controller or from the store.
+// OfferTable supplies a complete table from the local controller or the store. It is installed
+// if it is newer than the active one.
 type OfferTable struct{ Table controller.ReplicaTable }
 
-// Received is a message of another daemon.
+// Received is a message from another daemon.
 type Received struct {
 	From state.Member
 	Msg  Message
@@ -88,16 +88,16 @@
 func (OfferTable) event() {}
 func (Received) event()   {}
 
-// Action is what the daemon is to do.
+// Action is an output of Step for the daemon to perform.
 type Action interface{ action() }
 
-// Send carries a message to one daemon.
+// Send sends a message to one daemon.
 type Send struct {
 	To  state.DaemonID
 	Msg Message
 }
 
-// Changed says that a table is in force here from now on.
+// TableChanged reports the new active table of a service.
 type TableChanged struct{ Table controller.ReplicaTable }
 
 func (Send) action()         {}
