--- a/coordination/lease/act.go
+++ b/coordination/lease/act.go
@@ -8,37 +8,37 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// maxAttempts bounds the writes remembered while none of them is proved done. A
-// forgotten one that takes effect costs a term without a holder.
+// maxAttempts bounds the number of recorded writes while none of them is confirmed. If a dropped
+// one takes effect, the service has no holder for one lease duration.
 const maxAttempts = 64
 
-// act returns everything that is due at now.
-func (m *Machine) act(now time.Time) []Action {
+// dueActions returns all actions that are due at now.
+func (m *Machine) dueActions(now time.Time) []Action {
 	var out []Action
-	out = m.writes(out, now)
-	out = m.reads(out, now)
-	return m.tell(out, now)
+	out = m.appendWrites(out, now)
+	out = m.appendReads(out, now)
+	return m.appendStatuses(out, now)
 }
 
-// writes renews and releases all due rows in one transaction, and takes each
-// free one in its own, so that a lost race costs nothing else.
-func (m *Machine) writes(out []Action, now time.Time) []Action {
+// appendWrites renews and releases all due rows in one transaction, and acquires each free row
+// in a separate one, so that a conflict on one does not affect the others.
+func (m *Machine) appendWrites(out []Action, now time.Time) []Action {
 	var batch []Write
 	due := m.renewalDue(now)
-	for _, id := range m.order {
+	for _, id := range m.serviceIDs {
 		l := m.leases[id]
-		if l.writing || l.doubt || !l.known || now.Before(l.nextTry) {
+		if l.writeInFlight || l.unresolved || !l.everRead || now.Before(l.writeAfter) {
 			continue
 		}
 		switch {
-		case l.owned(m.cfg.Self) && l.releasing:
+		case l.renewableBy(m.cfg.Self) && l.releasing:
 			batch = append(batch, m.releaseWrite(l, now))
-		case l.owned(m.cfg.Self):
+		case l.renewableBy(m.cfg.Self):
 			if due {
 				batch = append(batch, m.renewWrite(l, now))
 			}
-		case m.mayTake(l, now):
-			out = append(out, m.commit(now, []Write{m.takeWrite(l, now)}))
+		case m.mayAcquire(l, now):
+			out = append(out, m.commit(now, []Write{m.acquireWrite(l, now)}))
 		}
 	}
 	if len(batch) > 0 {
@@ -47,11 +47,11 @@
 	return out
 }
 
-// renewalDue reports whether some row must be renewed now; others then join the
-// same transaction.
+// renewalDue reports whether any row must be renewed now; others then join the same
+// transaction.
 func (m *Machine) renewalDue(now time.Time) bool {
 	for _, l := range m.leases {
-		if l.owned(m.cfg.Self) && !now.Before(l.renewed.Add(m.cfg.RenewInterval)) {
+		if l.renewableBy(m.cfg.Self) && !now.Before(l.renewalSentAt.Add(m.cfg.RenewInterval)) {
 			return true
 		}
 	}
@@ -59,38 +59,38 @@
 }
 
 func (m *Machine) renewWrite(l *lease, now time.Time) Write {
-	row := l.seen.Row
-	l.counter++
-	row.Renewals = l.counter
-	if row.Fencing <= l.above {
-		row.Fencing = l.above + 1
+	row := l.observed.Row
+	l.renewalCount++
+	row.Renewals = l.renewalCount
+	if row.Fencing <= l.fencingFloor {
+		row.Fencing = l.fencingFloor + 1
 	}
-	l.renewed = now
+	l.renewalSentAt = now
 	return m.write(l, row, now)
 }
 
 func (m *Machine) releaseWrite(l *lease, now time.Time) Write {
-	row := l.seen.Row
-	l.counter++
-	row.Renewals = l.counter
+	row := l.observed.Row
+	l.renewalCount++
+	row.Renewals = l.renewalCount
 	row.Holder = state.Member{}
-	row.Clean = l.relClean
+	row.Clean = l.releaseClean
 	return m.write(l, row, now)
 }
 
-func (m *Machine) takeWrite(l *lease, now time.Time) Write {
+func (m *Machine) acquireWrite(l *lease, now time.Time) Write {
 	row := Row{
 		Holder:  m.cfg.Self,
-		Fencing: l.seen.Row.Fencing + 1,
+		Fencing: l.observed.Row.Fencing + 1,
 		Nonce:   state.Nonce(fmt.Sprintf("%016x", m.rng.Uint64())),
 	}
-	l.renewed = now
+	l.renewalSentAt = now
 	l.releasing = false
 	return m.write(l, row, now)
 }
 
-// write notes the attempt before the call leaves, so that its row is recognized
-// whenever it shows up.
+// write records the attempt before the call is sent, so that its row is recognized whenever it
+// is read.
 func (m *Machine) write(l *lease, row Row, now time.Time) Write {
 	if len(l.attempts) == maxAttempts {
 		l.attempts = slices.Delete(l.attempts, 0, 1)
@@ -100,59 +100,59 @@
 		renewals: row.Renewals,
 		sent:     now,
 	})
-	return Write{Service: l.service, Revision: l.seen.Revision, Row: row}
+	return Write{Service: l.service, Revision: l.observed.Revision, Row: row}
 }
 
 func (m *Machine) commit(now time.Time, writes []Write) Commit {
 	ids := make([]state.ServiceID, len(writes))
 	for i, w := range writes {
 		ids[i] = w.Service
-		m.leases[w.Service].writing = true
+		m.leases[w.Service].writeInFlight = true
 	}
 	m.nextCall++
 	m.calls[m.nextCall] = call{services: ids, write: true, sent: now}
 	return Commit{Call: m.nextCall, Writes: writes}
 }
 
-// mayTake reports whether the row is free for this daemon at now. The row must
-// have been read since it became free: a daemon that reads it rarely would else
-// send a write that can only fail.
-func (m *Machine) mayTake(l *lease, now time.Time) bool {
-	at, ok := m.takeAt(l)
-	return ok && !now.Before(at) && !l.readAt.Before(at)
+// mayAcquire reports whether this daemon may take the row at now. The row must have been read
+// after it became free: a daemon that reads it rarely would otherwise send a write that can
+// only fail.
+func (m *Machine) mayAcquire(l *lease, now time.Time) bool {
+	at, ok := m.acquireAt(l)
+	return ok && !now.Before(at) && !l.answeredAt.Before(at)
 }
 
-// takeAt is when this daemon may try to take a row that is not its own, if
-// nothing changes.
-func (m *Machine) takeAt(l *lease) (time.Time, bool) {
-	if m.draining || !l.known || l.owned(m.cfg.Self) {
+// acquireAt returns when this daemon may try to take a row that it does not hold, if the row
+// does not change.
+func (m *Machine) acquireAt(l *lease) (time.Time, bool) {
+	if m.draining || !l.everRead || l.renewableBy(m.cfg.Self) {
 		return time.Time{}, false
 	}
 	if l.rank < 0 {
 		return time.Time{}, false
 	}
 	wait := time.Duration(min(l.rank, m.cfg.Watchers)) * m.cfg.TakeoverStagger
-	if l.seen.Revision > 0 && !l.seen.Row.Released() {
+	if l.observed.Revision > 0 && !l.observed.Row.Released() {
 		wait += m.cfg.LeaseDuration
 	}
-	return l.since.Add(wait), true
+	return l.observedAt.Add(wait), true
 }
 
-// reads asks, in one call, for all rows that are due or nearly so.
-func (m *Machine) reads(out []Action, now time.Time) []Action {
+// appendReads requests all rows that are due or almost due in one call.
+func (m *Machine) appendReads(out []Action, now time.Time) []Action {
 	due := false
-	for _, id := range m.order {
+	for _, id := range m.serviceIDs {
 		l := m.leases[id]
-		due = due || (m.wantsRead(l) && !now.Before(l.nextRead))
+		due = due || (m.needsRead(l) && !now.Before(l.nextRead))
 	}
 	if !due {
 		return out
 	}
 	var ids []state.ServiceID
-	for _, id := range m.order {
+	for _, id := range m.serviceIDs {
 		l := m.leases[id]
-		if m.wantsRead(l) && !now.Add(m.nearly(l)).Before(l.nextRead) {
-			l.reading = true
+		if m.needsRead(l) && !now.Add(m.coalesceWindow(l)).Before(l.nextRead) {
+			l.readInFlight = true
 			ids = append(ids, id)
 		}
 	}
@@ -161,46 +161,46 @@
 	return append(out, Read{Call: m.nextCall, Services: ids})
 }
 
-// nearly is how long before its time a row may join a read that goes anyway.
-func (m *Machine) nearly(l *lease) time.Duration {
-	if m.watches(l) {
+// coalesceWindow returns how long before it is due a row may join a read that is sent anyway.
+func (m *Machine) coalesceWindow(l *lease) time.Duration {
+	if m.isWatcher(l) {
 		return m.cfg.PollInterval / 4
 	}
 	return m.cfg.SlowPollInterval / 4
 }
 
-// wantsRead leaves out rows that are ours and not in doubt: the next renewal's
-// answer tells more than a read.
-func (m *Machine) wantsRead(l *lease) bool {
-	if l.reading || l.writing {
+// needsRead excludes rows that this daemon holds and that have no unresolved write: the answer
+// to the next renewal gives more information than a read.
+func (m *Machine) needsRead(l *lease) bool {
+	if l.readInFlight || l.writeInFlight {
 		return false
 	}
-	if l.doubt {
+	if l.unresolved {
 		return true
 	}
-	return !m.draining && !l.owned(m.cfg.Self)
+	return !m.draining && !l.renewableBy(m.cfg.Self)
 }
 
-// tell reports each lease whose status changed, and hands on what was released.
-func (m *Machine) tell(out []Action, now time.Time) []Action {
-	for _, id := range m.order {
+// appendStatuses reports each lease whose status changed, and hands off released leases.
+func (m *Machine) appendStatuses(out []Action, now time.Time) []Action {
+	for _, id := range m.serviceIDs {
 		l := m.leases[id]
-		if l.releasing && !l.owned(m.cfg.Self) {
+		if l.releasing && !l.renewableBy(m.cfg.Self) {
 			l.releasing = false
-			if next, ok := m.successor(id); ok && l.seen.Row.Released() {
+			if next, ok := m.successor(id); ok && l.observed.Row.Released() {
 				out = append(out, Send{To: next, Msg: Handoff{Service: id}})
 			}
 		}
 		s := m.status(l, now)
-		if s != l.told && (s.State != None || l.told.State != None) {
-			l.told = s
+		if s != l.lastStatus && (s.State != None || l.lastStatus.State != None) {
+			l.lastStatus = s
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// NextTick says when the machine next wants a Tick; the zero time means never.
+// NextTick returns when the state machine next needs a Tick; the zero time means never.
 func (m *Machine) NextTick() time.Time {
 	var next time.Time
 	sooner := func(t time.Time) {
@@ -212,11 +212,11 @@
 		sooner(c.sent.Add(m.cfg.CallTimeout))
 	}
 	for _, l := range m.leases {
-		if m.wantsRead(l) {
+		if m.needsRead(l) {
 			sooner(l.nextRead)
 		}
-		if !l.proved.IsZero() && l.told.State == Held {
-			sooner(l.proved.Add(m.cfg.span()))
+		if !l.confirmedSentAt.IsZero() && l.lastStatus.State == Held {
+			sooner(l.confirmedSentAt.Add(m.cfg.holderLeaseDuration()))
 		}
 		if at, ok := m.nextWrite(l); ok {
 			sooner(at)
@@ -226,20 +226,20 @@
 }
 
 func (m *Machine) nextWrite(l *lease) (time.Time, bool) {
-	if l.writing || l.doubt || !l.known {
+	if l.writeInFlight || l.unresolved || !l.everRead {
 		return time.Time{}, false
 	}
 	var at time.Time
 	switch {
-	case l.owned(m.cfg.Self) && l.releasing:
-	case l.owned(m.cfg.Self):
-		at = l.renewed.Add(m.cfg.RenewInterval)
+	case l.renewableBy(m.cfg.Self) && l.releasing:
+	case l.renewableBy(m.cfg.Self):
+		at = l.renewalSentAt.Add(m.cfg.RenewInterval)
 	default:
-		t, ok := m.takeAt(l)
-		if !ok || l.readAt.Before(t) {
+		t, ok := m.acquireAt(l)
+		if !ok || l.answeredAt.Before(t) {
 			return time.Time{}, false
 		}
 		at = t
 	}
-	return slices.MaxFunc([]time.Time{at, l.nextTry}, time.Time.Compare), true
+	return slices.MaxFunc([]time.Time{at, l.writeAfter}, time.Time.Compare), true
 }
--- a/coordination/lease/events.go
+++ b/coordination/lease/events.go
@@ -6,43 +6,43 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// CallNumber joins a store call to its result.
+// CallID matches a store call with its result.
 type CallID uint64
 
-// Event is what the machine is stepped with.
+// Event is an input to Step.
 type Event interface{ event() }
 
-// Tick says that NextTick has come.
+// Tick is needed at NextTick.
 type Tick struct{}
 
-// Services names the services whose leases this daemon may hold.
+// Services lists the services whose leases this daemon may hold.
 type Services struct{ IDs []state.ServiceID }
 
-// Members names the daemons that may hold leases: live and not draining. Whether
-// it is right bears on who tries first only, never on safety.
+// Members lists the daemons that may hold leases: live and not draining. Errors in the list
+// affect only which daemon tries first, never safety.
 type Members struct{ Live []state.DaemonID }
 
-// Drain says that this daemon is stopping: it takes no lease any more.
+// Drain reports that this daemon is stopping: it takes no further leases.
 type Drain struct{}
 
-// Release hands a lease on. Holds is false from this step on. Clean says that no
-// order is under way, so that a successor need not wait one out.
+// Release hands a lease off. Holds is false from this step on. Clean means that no order is in
+// flight, so that the successor need not wait until one has expired.
 type Release struct {
 	Service state.ServiceID
 	Clean   bool
 }
 
-// Refused says that a backend server refused a fencing number as old. While this
-// daemon holds the lease the higher number is another service's, which had the
-// server before: the holder raises its own above it. Once the lease has lapsed it
-// may be a successor's: the daemon gives the lease up.
+// FencingRejected reports that a backend server rejected a fencing number as outdated. While
+// this daemon holds the lease, the higher fencing number belongs to another service that used
+// the server before, and the holder raises its own above it. Once the lease has lapsed, it may
+// belong to a successor, and the daemon gives up the lease.
 type FencingRejected struct {
 	Service state.ServiceID
-	Fencing state.FencingNumber // the number that was refused
-	Seen    state.FencingNumber // the higher one
+	Fencing state.FencingNumber // the rejected fencing number
+	Seen    state.FencingNumber // the higher fencing number that the server has accepted
 }
 
-// ReadDone answers a Read with the rows asked for, in any order.
+// ReadDone answers a Read with the requested rows, in any order.
 type ReadDone struct {
 	Call CallID
 	Rows []StoredRow
@@ -57,10 +57,10 @@
 // Conflicted answers a Commit that wrote nothing.
 type Conflicted struct{ Call CallID }
 
-// Unanswered says that a call's fate is unknown.
+// Unanswered reports that the outcome of a call is unknown.
 type Unanswered struct{ Call CallID }
 
-// Received is a message of another daemon.
+// Received is a message from another daemon.
 type Received struct {
 	From state.Member
 	Msg  Message
@@ -78,47 +78,47 @@
 func (Unanswered) event()      {}
 func (Received) event()        {}
 
-// Message is what daemons tell each other about leases.
+// Message is a message between daemons about leases.
 type Message interface{ message() }
 
-// HandOn says that a lease was released, so that the receiver reads the row at
-// once instead of at its next poll. It proves nothing.
+// Handoff reports that a lease was released, so that the receiver reads the row immediately
+// instead of at its next poll. It proves nothing about the row.
 type Handoff struct {
 	Service state.ServiceID `msgpack:"service"`
 }
 
 func (Handoff) message() {}
 
-// Action is what the daemon is to do.
+// Action is an output of Step for the daemon to perform.
 type Action interface{ action() }
 
-// Read asks for the rows of some services, in one call.
+// Read requests the rows of some services in one call.
 type Read struct {
 	Call     CallID
 	Services []state.ServiceID
 }
 
-// Commit asks for one transaction of conditional writes.
+// Commit requests one transaction of conditional writes.
 type Commit struct {
 	Call   CallID
 	Writes []Write
 }
 
-// Send carries a message to one daemon.
+// Send sends a message to one daemon.
 type Send struct {
 	To  state.DaemonID
 	Msg Message
 }
 
-// Status tells what this daemon may do for a service from now on. It is emitted
-// on each change, renewals included.
+// Status describes what this daemon may do for a service from now on. It is emitted on each
+// change, including renewals.
 type Status struct {
 	Service state.ServiceID
 	State   State
-	TermID  state.Nonce // changes with each takeover, not with a raised number
+	TermID  state.Nonce // of the term; raising the fencing number does not change it
 	Fencing state.FencingNumber
-	Until   time.Time // Holds is false from then on; only with Held and Lapsed
-	Clean   bool      // no order of an earlier holder can be under way
+	Until   time.Time // Holds is false from then on; set for Held and Lapsed only
+	Clean   bool      // no order of an earlier holder can be in flight
 }
 
 func (Read) action()   {}
@@ -126,21 +126,21 @@
 func (Send) action()   {}
 func (Status) action() {}
 
-// Standing is a daemon's right to order the backend servers of a service.
+// State is a daemon's right to send orders to the backend servers of a service.
 type State int
 
-// The values of Standing.
+// The values of State.
 const (
-	// None: another daemon may hold the lease; order nothing.
+	// None: another daemon may hold the lease; no orders may be sent.
 	None State = iota
-	// Lapsed: the lease ran out, and no successor is known. Only backend
-	// servers that check fencing numbers may be ordered.
+	// Lapsed: the lease has expired, and no successor is known. Orders may be sent only to
+	// backend servers that check fencing numbers.
 	Lapsed
 	// Held: no other daemon holds the lease.
 	Held
 )
 
-// String names the standing.
+// String returns the lease state in lower case.
 func (s State) String() string {
 	switch s {
 	case Held:
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -16,174 +16,173 @@
 
 const drafts = state.ServiceID("drafts")
 
-// TestNeverTwoHolders drives random pauses, delays, lost requests and lost
-// answers over clocks that drift by up to 1%, and checks after each event that at
-// most one daemon finds Holds true and that numbers grow with each takeover. Once
-// the faults end, some daemon must hold the lease again.
+// TestNeverTwoHolders simulates random pauses, delays, lost requests and lost answers with
+// clocks that drift by up to 1%. It checks after each event that Holds is true on at most one
+// daemon and that each takeover increases the fencing number. After the faults end, some daemon
+// must hold the lease again.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drifts := rapid.SliceOfN(rapid.SampledFrom([]float64{-0.01, 0, 0.01}), 2, 4).Draw(t, "drifts")
 		poll := rapid.SampledFrom([]time.Duration{200 * time.Millisecond, time.Second, time.Second}).Draw(t, "poll")
 		stagger := rapid.SampledFrom([]time.Duration{0, 1500 * time.Millisecond}).Draw(t, "stagger")
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), drifts, func(c *lease.Config) {
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), drifts, func(c *lease.Config) {
 			c.PollInterval = poll
 			c.TakeoverStagger = stagger
 		}, drafts, "checks")
-		w.faults = faults{
+		sim.faults = faults{
 			lostRequest: rapid.Float64Range(0, 0.4).Draw(t, "lostRequest"),
 			lostReply:   rapid.Float64Range(0, 0.4).Draw(t, "lostReply"),
 			maxDelay:    time.Duration(rapid.SampledFrom([]int64{0, int64(time.Second), int64(20 * time.Second)}).Draw(t, "maxDelay")),
 		}
 		for range rapid.IntRange(0, 10).Draw(t, "faults") {
-			n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")]
+			n := sim.nodes[rapid.IntRange(0, len(sim.nodes)-1).Draw(t, "node")]
 			switch rapid.IntRange(0, 4).Draw(t, "fault") {
 			case 0, 1:
-				n.paused = w.now + time.Duration(rapid.Int64Range(0, int64(40*time.Second)).Draw(t, "pause"))
+				n.pausedUntil = sim.now + time.Duration(rapid.Int64Range(0, int64(40*time.Second)).Draw(t, "pause"))
 			case 2:
-				n.cut = !n.cut
+				n.storeUnreachable = !n.storeUnreachable
 			case 3:
-				w.faults.storeDown = !w.faults.storeDown
+				sim.faults.storeDown = !sim.faults.storeDown
 			case 4:
-				if n.paused <= w.now {
+				if n.pausedUntil <= sim.now {
 					n.step(lease.Release{Service: drafts, Clean: true})
 				}
 			}
-			w.runUntil(w.now + time.Duration(rapid.Int64Range(0, int64(15*time.Second)).Draw(t, "run")))
+			sim.runUntil(sim.now + time.Duration(rapid.Int64Range(0, int64(15*time.Second)).Draw(t, "run")))
 		}
-		w.faults = faults{}
-		for _, n := range w.nodes {
-			n.cut = false
+		sim.faults = faults{}
+		for _, n := range sim.nodes {
+			n.storeUnreachable = false
 		}
-		for end := w.now + 80*time.Second; w.now < end && len(w.holders(drafts))+len(w.holders("checks")) < 2; {
-			w.runUntil(w.now + time.Second)
+		for end := sim.now + 80*time.Second; sim.now < end && len(sim.holdersOf(drafts))+len(sim.holdersOf("checks")) < 2; {
+			sim.runUntil(sim.now + time.Second)
 		}
-		if w.broken != "" {
-			t.Fatal(w.broken)
+		if sim.violation != "" {
+			t.Fatal(sim.violation)
 		}
-		if len(w.holders(drafts)) != 1 || len(w.holders("checks")) != 1 {
-			t.Fatalf("no holder long after the last fault")
+		if len(sim.holdersOf(drafts)) != 1 || len(sim.holdersOf("checks")) != 1 {
+			t.Fatalf("no single holder long after the last fault")
 		}
 	})
 }
 
-func asIs(*lease.Config) {}
+func defaultConfig(*lease.Config) {}
 
-// settled returns a world of n daemons in which the lease is held, its holder
-// and the rest.
-func settled(n int) (*world, *node, []*node) {
-	w := newWorld(7, make([]float64, n), asIs, drafts)
-	w.runUntil(20 * time.Second)
-	Expect(w.holders(drafts)).To(HaveLen(1))
-	holder := w.holders(drafts)[0]
+// settled returns a simulation of n daemons in which the lease is held, its holder and the
+// other nodes.
+func settled(n int) (*simulation, *node, []*node) {
+	sim := newSimulation(7, make([]float64, n), defaultConfig, drafts)
+	sim.runUntil(20 * time.Second)
+	Expect(sim.holdersOf(drafts)).To(HaveLen(1))
+	holder := sim.holdersOf(drafts)[0]
 	var rest []*node
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		if n != holder {
 			rest = append(rest, n)
 		}
 	}
-	return w, holder, rest
+	return sim, holder, rest
 }
 
-// untilHeld runs until another daemon holds the lease and returns how long it
-// took.
-func untilHeld(w *world, not *node) time.Duration {
-	begin := w.now
-	for w.now < begin+time.Minute {
-		w.runUntil(w.now + 10*time.Millisecond)
-		if hs := w.holders(drafts); len(hs) == 1 && hs[0] != not {
-			return w.now - begin
+// runUntilHeld runs until a daemon other than exclude holds the lease and returns the elapsed
+// time.
+func runUntilHeld(sim *simulation, exclude *node) time.Duration {
+	begin := sim.now
+	for sim.now < begin+time.Minute {
+		sim.runUntil(sim.now + 10*time.Millisecond)
+		if hs := sim.holdersOf(drafts); len(hs) == 1 && hs[0] != exclude {
+			return sim.now - begin
 		}
 	}
-	Fail("nobody took the lease")
+	Fail("no other daemon took the lease")
 	return 0
 }
 
 var _ = Describe("lease", func() {
-	// An operator sees two daemons load different versions on one server. The
-	// holder stands still for half a minute; its lease lapses and another takes
-	// it; then it wakes with an order it had decided on before. Cause: a process
-	// can't notice that it was not running.
-	It("is not held by a holder that wakes after its pause", Label("failure:lease-lapses-while-paused"), func() {
-		w, old, _ := settled(3)
-		before := old.status[drafts]
-		old.paused = w.now + 40*time.Second
-		took := untilHeld(w, old)
+	// Two daemons make one server load different versions. The holder is paused for longer than
+	// its lease, which expires, and another daemon takes it; then the holder resumes with an
+	// order that it decided on before. A process can't detect that it was not running.
+	It("is not held by a holder that resumes after a pause", Label("failure:lease-lapses-while-paused"), func() {
+		sim, former, _ := settled(3)
+		before := former.status[drafts]
+		former.pausedUntil = sim.now + 40*time.Second
+		took := runUntilHeld(sim, former)
 		AddReportEntry("takeover after a pause", took)
 		Expect(took).To(BeNumerically("<", 13*time.Second))
-		w.runUntil(old.paused - time.Millisecond)
-		Expect(old.m.Holds(drafts, old.local())).To(BeFalse(), "before a single event reached it")
-		Expect(old.m.Status(drafts, old.local()).State).To(Equal(lease.Lapsed))
-		w.runUntil(old.paused + 5*time.Second)
-		Expect(old.status[drafts].State).To(Equal(lease.None))
-		Expect(w.holders(drafts)[0].status[drafts].Fencing).To(Equal(before.Fencing + 1))
-		Expect(w.broken).To(BeEmpty())
+		sim.runUntil(former.pausedUntil - time.Millisecond)
+		Expect(former.m.Holds(drafts, former.localTime())).To(BeFalse(), "before any event has reached it")
+		Expect(former.m.Status(drafts, former.localTime()).State).To(Equal(lease.Lapsed))
+		sim.runUntil(former.pausedUntil + 5*time.Second)
+		Expect(former.status[drafts].State).To(Equal(lease.None))
+		Expect(sim.holdersOf(drafts)[0].status[drafts].Fencing).To(Equal(before.Fencing + 1))
+		Expect(sim.violation).To(BeEmpty())
 	})
 
-	// The worst pair of clocks: the holder's is slow by 1%, the observer's fast by
-	// 1%, and the observer reads the last renewal as soon as it is written. The
-	// holder is cut off from the store then. For an instant both would order the
-	// same servers if the holder's span left the drift out.
-	It("is never held twice by clocks that drift apart", Label("failure:lease-lapses-while-paused"), func() {
-		w := newWorld(1, []float64{-0.01, -0.01, 0.01}, func(c *lease.Config) {
+	// The worst combination of clocks: the holder's is slow by 1%, the observer's fast by 1%,
+	// and the observer reads the last renewal as soon as it is written. Then the holder can't
+	// reach the store any more. If the holder's lease duration ignored the drift, both daemons
+	// would briefly send orders to the same servers.
+	It("is never held by two daemons whose clocks drift apart", Label("failure:lease-lapses-while-paused"), func() {
+		sim := newSimulation(1, []float64{-0.01, -0.01, 0.01}, func(c *lease.Config) {
 			c.PollInterval = 10 * time.Millisecond
 			c.TakeoverStagger = 0
 		}, drafts)
-		for _, n := range w.nodes[1:] {
-			n.paused = time.Second // so that node 0 is the first holder
+		for _, n := range sim.nodes[1:] {
+			n.pausedUntil = time.Second // so that node 0 is the first holder
 		}
-		w.runUntil(20 * time.Second)
-		Expect(w.holders(drafts)).To(ConsistOf(w.nodes[0]))
-		w.nodes[0].cut = true
-		untilHeld(w, w.nodes[0])
-		w.runUntil(w.now + 20*time.Second)
-		Expect(w.broken).To(BeEmpty())
+		sim.runUntil(20 * time.Second)
+		Expect(sim.holdersOf(drafts)).To(ConsistOf(sim.nodes[0]))
+		sim.nodes[0].storeUnreachable = true
+		runUntilHeld(sim, sim.nodes[0])
+		sim.runUntil(sim.now + 20*time.Second)
+		Expect(sim.violation).To(BeEmpty())
 	})
 
-	// A holder that was cut off from the store alone sends an order with its old
-	// number; the server, which has seen its successor's, refuses it. The holder
-	// must stop at once and not wait until it can read the row.
-	It("is given up when a server calls its number old", Label("failure:stale-holder-acts"), func() {
-		w, old, _ := settled(3)
-		old.cut = true
-		untilHeld(w, old)
-		w.runUntil(w.now + time.Second)
-		Expect(old.m.Status(drafts, old.local()).State).To(Equal(lease.Lapsed))
-		old.step(lease.FencingRejected{Service: drafts, Fencing: old.status[drafts].Fencing, Seen: 99})
-		Expect(old.m.Status(drafts, old.local()).State).To(Equal(lease.None))
+	// A holder that can't reach the store sends an order with its former fencing number; the
+	// server, which has accepted its successor's, rejects the order. The holder must stop
+	// immediately instead of waiting until it can read the row.
+	It("is given up when a server rejects its fencing number", Label("failure:stale-holder-acts"), func() {
+		sim, former, _ := settled(3)
+		former.storeUnreachable = true
+		runUntilHeld(sim, former)
+		sim.runUntil(sim.now + time.Second)
+		Expect(former.m.Status(drafts, former.localTime()).State).To(Equal(lease.Lapsed))
+		former.step(lease.FencingRejected{Service: drafts, Fencing: former.status[drafts].Fencing, Seen: 99})
+		Expect(former.m.Status(drafts, former.localTime()).State).To(Equal(lease.None))
 	})
 
-	// A server that another service's controller ordered before refuses the
-	// first orders of its new service. The holder, which knows that it holds,
-	// raises its number and keeps the lease.
-	It("raises its number above another service's", func() {
-		w, holder, _ := settled(3)
+	// A server that received orders from another service's controller before rejects the first
+	// orders of its new service. The holder, whose lease is valid, raises its fencing number
+	// and keeps the lease.
+	It("raises its fencing number above another service's", func() {
+		sim, holder, _ := settled(3)
 		before := holder.status[drafts]
 		holder.step(lease.FencingRejected{Service: drafts, Fencing: before.Fencing, Seen: 41})
-		w.runUntil(w.now + 100*time.Millisecond)
+		sim.runUntil(sim.now + 100*time.Millisecond)
 		after := holder.status[drafts]
 		Expect(after.Fencing).To(BeEquivalentTo(42))
 		Expect(after.TermID).To(Equal(before.TermID))
-		Expect(w.holders(drafts)).To(ConsistOf(holder))
+		Expect(sim.holdersOf(drafts)).To(ConsistOf(holder))
 	})
 
-	// Renewals take effect but no answer to a write comes back, as when a link
-	// to the store fails one way. Without reading back, the holder would drop a
-	// lease that it still has, and nobody else could take it before its term.
-	It("is kept through lost answers to writes", Label("failure:store-answer-lost"), func() {
-		w, holder, _ := settled(3)
-		number := holder.status[drafts].Fencing
-		w.faults.lostReply = 0.5
+	// Renewals take effect but answers to writes are lost, as when a link to the store fails in
+	// one direction. Without reading the row back, the holder would give up a lease that it
+	// still has, and no other daemon could take it before the lease duration has passed.
+	It("is kept while answers to writes are lost", Label("failure:store-answer-lost"), func() {
+		sim, holder, _ := settled(3)
+		fencing := holder.status[drafts].Fencing
+		sim.faults.lostReply = 0.5
 		for range 600 {
-			w.runUntil(w.now + 100*time.Millisecond)
-			Expect(w.holders(drafts)).To(ConsistOf(holder))
+			sim.runUntil(sim.now + 100*time.Millisecond)
+			Expect(sim.holdersOf(drafts)).To(ConsistOf(holder))
 		}
-		Expect(holder.status[drafts].Fencing).To(Equal(number))
+		Expect(holder.status[drafts].Fencing).To(Equal(fencing))
 	})
 
-	// The write that takes the lease is held up; it is given up and tried again.
-	// Then the first one takes effect after all. Were it not recognized, nobody
-	// would act for the service until its row had stood for a whole term.
-	It("is recognized when a write that was given up takes effect", Label("failure:store-answer-lost"), func() {
+	// The write that takes the lease is delayed, considered failed and tried again. Then the
+	// first one takes effect. If it were not recognized, no daemon would act for the service
+	// until the row had been unchanged for a lease duration.
+	It("is recognized when a write that was considered failed takes effect", Label("failure:store-answer-lost"), func() {
 		self := state.Member{ID: "entry-0", Incarnation: 1}
 		m := lease.New(lease.DefaultConfig(self), rand.New(rand.NewPCG(1, 2)))
 		now := time.Unix(0, 0)
@@ -215,67 +214,67 @@
 		Expect(s.Until).To(BeTemporally("<", time.Unix(10, 0)), "counted from the first write")
 	})
 
-	// The store is gone for two minutes. Nobody can renew or take a lease. The
-	// last holder may go on with servers that check numbers; when the store is
-	// back it holds on with the same number.
+	// The store is down for two minutes, so no daemon can renew or take a lease. The last
+	// holder may continue with servers that check fencing numbers; when the store is available
+	// again, the holder continues with the same fencing number.
 	It("lapses without a successor while the store is down", Label("failure:store-down"), func() {
-		w, holder, rest := settled(3)
-		number := holder.status[drafts].Fencing
-		w.faults.storeDown = true
-		w.runUntil(w.now + 2*time.Minute)
+		sim, holder, rest := settled(3)
+		fencing := holder.status[drafts].Fencing
+		sim.faults.storeDown = true
+		sim.runUntil(sim.now + 2*time.Minute)
 		Expect(holder.status[drafts].State).To(Equal(lease.Lapsed))
 		for _, n := range rest {
-			Expect(n.m.Status(drafts, n.local()).State).To(Equal(lease.None))
+			Expect(n.m.Status(drafts, n.localTime()).State).To(Equal(lease.None))
 		}
-		w.faults.storeDown = false
-		begin := w.now
-		for len(w.holders(drafts)) == 0 && w.now < begin+time.Minute {
-			w.runUntil(w.now + 10*time.Millisecond)
+		sim.faults.storeDown = false
+		begin := sim.now
+		for len(sim.holdersOf(drafts)) == 0 && sim.now < begin+time.Minute {
+			sim.runUntil(sim.now + 10*time.Millisecond)
 		}
-		AddReportEntry("held again after the store's return", w.now-begin)
-		Expect(w.holders(drafts)).To(HaveLen(1))
-		Expect(w.holders(drafts)[0].status[drafts].Fencing).To(BeNumerically("<=", number+1))
-		Expect(w.now - begin).To(BeNumerically("<", 5*time.Second))
+		AddReportEntry("time until held again after the store outage", sim.now-begin)
+		Expect(sim.holdersOf(drafts)).To(HaveLen(1))
+		Expect(sim.holdersOf(drafts)[0].status[drafts].Fencing).To(BeNumerically("<=", fencing+1))
+		Expect(sim.now - begin).To(BeNumerically("<", 5*time.Second))
 	})
 
-	// A daemon is stopped on purpose. Its service would go without a controller
-	// for a whole term; the release and the message to the next in line make
-	// it some store round trips.
-	It("is handed on at once by a planned stop", Label("failure:planned-stop"), func() {
-		w, old, rest := settled(5)
-		for _, n := range w.nodes {
+	// A daemon is stopped deliberately. Without the release and the message to the successor,
+	// its service would have no controller for a lease duration; with them it is without one
+	// for a few store round trips.
+	It("is handed off immediately by a planned stop", Label("failure:planned-stop"), func() {
+		sim, former, rest := settled(5)
+		for _, n := range sim.nodes {
 			n.step(lease.Members{Live: []state.DaemonID{rest[0].id, rest[1].id, rest[2].id, rest[3].id}})
 		}
-		old.step(lease.Drain{})
-		old.step(lease.Release{Service: drafts, Clean: true})
-		Expect(old.m.Holds(drafts, old.local())).To(BeFalse())
-		took := untilHeld(w, old)
+		former.step(lease.Drain{})
+		former.step(lease.Release{Service: drafts, Clean: true})
+		Expect(former.m.Holds(drafts, former.localTime())).To(BeFalse())
+		took := runUntilHeld(sim, former)
 		AddReportEntry("takeover after a release", took)
 		Expect(took).To(BeNumerically("<=", 50*time.Millisecond))
-		next := w.holders(drafts)[0]
+		next := sim.holdersOf(drafts)[0]
 		Expect(next.status[drafts].Clean).To(BeTrue())
 		Expect(next.id).To(Equal(lease.RendezvousOrder(drafts, []state.DaemonID{rest[0].id, rest[1].id, rest[2].id, rest[3].id})[0]))
 	})
 
-	It("renews all its leases in one transaction and spreads them", func() {
+	It("renews all leases of a daemon in one transaction and distributes leases", func() {
 		services := []state.ServiceID{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o"}
-		w := newWorld(3, make([]float64, 9), asIs, services...)
-		w.runUntil(30 * time.Second)
+		sim := newSimulation(3, make([]float64, 9), defaultConfig, services...)
+		sim.runUntil(30 * time.Second)
 		held := map[state.DaemonID]int{}
 		for _, s := range services {
-			Expect(w.holders(s)).To(HaveLen(1))
-			held[w.holders(s)[0].id]++
+			Expect(sim.holdersOf(s)).To(HaveLen(1))
+			held[sim.holdersOf(s)[0].id]++
 		}
-		Expect(w.takeover).To(Equal(len(services)), "no second take-over")
-		before := w.txns
-		w.runUntil(w.now + 100*time.Second)
-		AddReportEntry("transactions a second, 15 services, 9 daemons", float64(w.txns-before)/100)
-		Expect(w.txns - before).To(BeNumerically("<=", len(held)*41))
+		Expect(sim.takeoverCount).To(Equal(len(services)), "no second takeover")
+		before := sim.commits
+		sim.runUntil(sim.now + 100*time.Second)
+		AddReportEntry("transactions a second, 15 services, 9 daemons", float64(sim.commits-before)/100)
+		Expect(sim.commits - before).To(BeNumerically("<=", len(held)*41))
 	})
 })
 
-// BenchmarkStoreLoad reports, per second of virtual time, what the leases of 15
-// services cost the store.
+// BenchmarkStoreLoad reports the load that the leases of 15 services put on the store, per
+// second of virtual time.
 func BenchmarkStoreLoad(b *testing.B) {
 	for _, n := range []int{9, 50, 150, 420} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -284,14 +283,14 @@
 				services = append(services, state.ServiceID(fmt.Sprint("s", i)))
 			}
 			for b.Loop() {
-				w := newWorld(3, make([]float64, n), asIs, services...)
-				w.runUntil(40 * time.Second)
-				txns, reads, rows, takeovers := w.txns, w.reads, w.rowsRead, w.takeover
-				w.runUntil(100 * time.Second)
-				b.ReportMetric(float64(w.txns-txns)/60, "commits/s")
-				b.ReportMetric(float64(w.reads-reads)/60, "reads/s")
-				b.ReportMetric(float64(w.rowsRead-rows)/60, "rows-read/s")
-				b.ReportMetric(float64(w.takeover-takeovers), "takeovers")
+				sim := newSimulation(3, make([]float64, n), defaultConfig, services...)
+				sim.runUntil(40 * time.Second)
+				txns, reads, rows, takeovers := sim.commits, sim.reads, sim.rowsRead, sim.takeoverCount
+				sim.runUntil(100 * time.Second)
+				b.ReportMetric(float64(sim.commits-txns)/60, "commits/s")
+				b.ReportMetric(float64(sim.reads-reads)/60, "reads/s")
+				b.ReportMetric(float64(sim.rowsRead-rows)/60, "rows-read/s")
+				b.ReportMetric(float64(sim.takeoverCount-takeovers), "takeovers")
 			}
 		})
 	}
@@ -320,9 +319,9 @@
 				actions = append(actions, m.Step(now, ev)...)
 			case lease.Commit:
 				ev := lease.Committed{Call: a.Call}
-				for _, w := range a.Writes {
-					rows[w.Service] = lease.StoredRow{Service: w.Service, Revision: w.Revision + 1, Row: w.Row}
-					ev.Rows = append(ev.Rows, rows[w.Service])
+				for _, wr := range a.Writes {
+					rows[wr.Service] = lease.StoredRow{Service: wr.Service, Revision: wr.Revision + 1, Row: wr.Row}
+					ev.Rows = append(ev.Rows, rows[wr.Service])
 				}
 				actions = append(actions, m.Step(now, ev)...)
 			}
--- a/coordination/lease/machine.go
+++ b/coordination/lease/machine.go
@@ -11,34 +11,34 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Config is a daemon's lease settings. Term and Drift must be the same on all
-// daemons.
+// Config holds a daemon's lease parameters. LeaseDuration and MaxClockDrift must be the same on
+// all daemons.
 type Config struct {
 	Self state.Member
 
-	// Term is how long an observer must see a row unchanged before it takes
-	// the lease.
+	// LeaseDuration is how long an observer must see a row unchanged before it takes the lease.
 	LeaseDuration time.Duration
-	// Drift bounds how far a clock's rate is from true, as a share of it.
+	// MaxClockDrift bounds the deviation of a clock's rate from true time, as a fraction.
 	MaxClockDrift float64
-	// Renew is the time between renewals.
+	// RenewInterval is the time between renewals.
 	RenewInterval time.Duration
-	// Poll is the time between reads of a row by its Watchers; SlowPoll by
-	// all others.
+	// PollInterval is the time between reads of a row by its Watchers; SlowPollInterval is that
+	// of all other daemons.
 	PollInterval     time.Duration
 	SlowPollInterval time.Duration
-	// Watchers is how many members, in rendezvous order, watch a row closely.
+	// Watchers is how many members, in rendezvous order, read a row every PollInterval.
 	Watchers int
-	// Stagger is how much later each member tries than the one before it.
+	// TakeoverStagger is the additional delay of each member after the previous one in
+	// rendezvous order before it tries to take a lease.
 	TakeoverStagger time.Duration
-	// CallTimeout is when a store call without an answer counts as unanswered.
+	// CallTimeout is the time after which a store call without an answer counts as unanswered.
 	CallTimeout time.Duration
-	// Retry is the pause after a store call that failed.
+	// RetryDelay is the initial delay after an unanswered store call; it doubles with each
+	// further one, up to the poll interval.
 	RetryDelay time.Duration
 }
 
-// DefaultConfig returns the settings that docs/design/leases-and-orders.md
-// works out.
+// DefaultConfig returns the parameters derived in docs/design/leases-and-orders.md.
 func DefaultConfig(self state.Member) Config {
 	return Config{
 		Self:             self,
@@ -54,37 +54,37 @@
 	}
 }
 
-// span is how long after sending a write its holder may rely on it. A holder's
-// clock that is slow by Drift stretches span by 1/(1-Drift) in true time, an
-// observer's that is fast shrinks Term by 1/(1+Drift).
-func (c Config) span() time.Duration {
+// holderLeaseDuration is how long after sending a write its holder may rely on it. A holder's
+// clock that is slow by MaxClockDrift extends the duration by 1/(1-MaxClockDrift) in true time;
+// an observer's clock that is fast shortens LeaseDuration by 1/(1+MaxClockDrift).
+func (c Config) holderLeaseDuration() time.Duration {
 	return time.Duration(float64(c.LeaseDuration) * (1 - c.MaxClockDrift) / (1 + c.MaxClockDrift))
 }
 
-// maxDoublings bounds the growth of the pause after unanswered calls.
+// maxDoublings bounds the growth of the delay after unanswered calls.
 const maxDoublings = 10
 
-// call is a store call under way.
+// call is a store call in flight.
 type call struct {
 	services []state.ServiceID
 	write    bool
 	sent     time.Time
 }
 
-// Machine holds what one daemon knows of all leases. It belongs to the control
+// Machine is the lease state machine of one daemon for all services. It is owned by the control
 // goroutine.
 type Machine struct {
-	cfg      Config
-	rng      *rand.Rand
-	leases   map[state.ServiceID]*lease
-	order    []state.ServiceID // keys of leases, sorted, for equal runs
-	live     []state.DaemonID
-	draining bool
-	calls    map[CallID]call
-	nextCall CallID
+	cfg        Config
+	rng        *rand.Rand
+	leases     map[state.ServiceID]*lease
+	serviceIDs []state.ServiceID // keys of leases, sorted for deterministic runs
+	live       []state.DaemonID
+	draining   bool
+	calls      map[CallID]call
+	nextCall   CallID
 }
 
-// New returns the machine of a daemon that knows no service yet.
+// New returns the state machine of a daemon that knows no service yet.
 func New(cfg Config, rng *rand.Rand) *Machine {
 	return &Machine{
 		cfg:    cfg,
@@ -94,8 +94,8 @@
 	}
 }
 
-// Holds reports whether this daemon, and no other, holds the service's lease at
-// now. It must be asked before each order.
+// Holds reports whether this daemon, and no other, holds the service's lease at now. It must be
+// called before each order.
 func (m *Machine) Holds(service state.ServiceID, now time.Time) bool {
 	return m.Status(service, now).State == Held
 }
@@ -111,13 +111,13 @@
 
 func (m *Machine) status(l *lease, now time.Time) Status {
 	s := Status{Service: l.service}
-	if l.proved.IsZero() || l.releasing || l.overtaken {
+	if l.confirmedSentAt.IsZero() || l.releasing || l.fencingRejected {
 		return s
 	}
 	s.State = Lapsed
 	s.TermID = l.nonce
-	s.Fencing = l.seen.Row.Fencing
-	s.Until = l.proved.Add(m.cfg.span())
+	s.Fencing = l.observed.Row.Fencing
+	s.Until = l.confirmedSentAt.Add(m.cfg.holderLeaseDuration())
 	s.Clean = l.clean
 	if now.Before(s.Until) {
 		s.State = Held
@@ -125,18 +125,17 @@
 	return s
 }
 
-// Holder returns who held the service's lease when its row was last read or
-// written; false where nobody did. Members that don't watch the row closely
-// learn of a change late.
+// Holder returns the holder of the service's lease when its row was last read or written, or
+// false if there was none. Members that are not watchers of the row detect a change late.
 func (m *Machine) Holder(service state.ServiceID) (state.Member, bool) {
 	l, ok := m.leases[service]
-	if !ok || !l.known || l.seen.Revision == 0 || l.seen.Row.Released() {
+	if !ok || !l.everRead || l.observed.Revision == 0 || l.observed.Row.Released() {
 		return state.Member{}, false
 	}
-	return l.seen.Row.Holder, true
+	return l.observed.Row.Holder, true
 }
 
-// Step takes in one event and returns what is to be done.
+// Step applies one event and returns the actions to perform.
 func (m *Machine) Step(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Tick:
@@ -144,32 +143,32 @@
 		m.setServices(now, ev.IDs)
 	case Members:
 		m.live = slices.Clone(ev.Live)
-		m.setRanks()
+		m.updateRanks()
 	case Drain:
 		m.draining = true
 	case Release:
 		m.release(ev)
 	case FencingRejected:
-		m.refused(now, ev)
+		m.handleFencingRejected(now, ev)
 	case ReadDone:
 		m.readDone(now, ev)
 	case Committed:
 		m.committed(now, ev)
 	case Conflicted:
-		m.failed(now, ev.Call, false)
+		m.callFailed(now, ev.Call, false)
 	case Unanswered:
-		m.failed(now, ev.Call, true)
+		m.callFailed(now, ev.Call, true)
 	case Received:
-		m.received(now, ev)
+		m.handleMessage(now, ev)
 	default:
 		panic(fmt.Sprintf("lease: unknown event %T", ev))
 	}
 	m.expireCalls(now)
-	return m.act(now)
+	return m.dueActions(now)
 }
 
-// setServices keeps the row of a service that was dropped as long as it is ours,
-// so that it is released by the caller and not forgotten.
+// setServices keeps the row of a removed service while this daemon holds it, so that the caller
+// can still release it.
 func (m *Machine) setServices(now time.Time, ids []state.ServiceID) {
 	for _, id := range ids {
 		if _, ok := m.leases[id]; !ok {
@@ -177,40 +176,40 @@
 		}
 	}
 	for id, l := range m.leases {
-		if !slices.Contains(ids, id) && !l.mine(m.cfg.Self) {
+		if !slices.Contains(ids, id) && !l.isHolder(m.cfg.Self) {
 			delete(m.leases, id)
 		}
 	}
-	m.order = lo.Keys(m.leases)
-	slices.Sort(m.order)
-	m.setRanks()
+	m.serviceIDs = lo.Keys(m.leases)
+	slices.Sort(m.serviceIDs)
+	m.updateRanks()
 }
 
 func (m *Machine) release(ev Release) {
-	if l, ok := m.leases[ev.Service]; ok && l.mine(m.cfg.Self) {
+	if l, ok := m.leases[ev.Service]; ok && l.isHolder(m.cfg.Self) {
 		l.releasing = true
-		l.relClean = ev.Clean
+		l.releaseClean = ev.Clean
 	}
 }
 
-// refused raises the number of a lease that is held, and gives up one that has
-// lapsed before the row itself could be read: a holder that was paused, or cut
-// off from the store alone, finds out this way.
-func (m *Machine) refused(now time.Time, ev FencingRejected) {
+// handleFencingRejected raises the fencing number of a held lease, and gives up a lapsed one
+// before the row itself can be read: this is how a holder that was paused, or that reaches
+// everything except the store, detects its successor.
+func (m *Machine) handleFencingRejected(now time.Time, ev FencingRejected) {
 	l, ok := m.leases[ev.Service]
-	if !ok || l.proved.IsZero() || l.seen.Row.Fencing != ev.Fencing {
+	if !ok || l.confirmedSentAt.IsZero() || l.observed.Row.Fencing != ev.Fencing {
 		return
 	}
 	if m.status(l, now).State == Held {
-		l.above = max(l.above, ev.Seen)
-		l.renewed = time.Time{}
+		l.fencingFloor = max(l.fencingFloor, ev.Seen)
+		l.renewalSentAt = time.Time{}
 		return
 	}
-	l.overtaken = true
+	l.fencingRejected = true
 	l.nextRead = now
 }
 
-func (m *Machine) received(now time.Time, ev Received) {
+func (m *Machine) handleMessage(now time.Time, ev Received) {
 	switch msg := ev.Msg.(type) {
 	case Handoff:
 		if l, ok := m.leases[msg.Service]; ok {
@@ -221,10 +220,10 @@
 	}
 }
 
-// readDone takes in rows, and settles the writes that were in doubt when the
-// read was sent.
+// readDone observes the rows, and resolves the writes that were unresolved when the read was
+// sent.
 func (m *Machine) readDone(now time.Time, ev ReadDone) {
-	c, ok := m.take(ev.Call)
+	c, ok := m.endCall(ev.Call)
 	if !ok {
 		return
 	}
@@ -233,9 +232,9 @@
 		if !ok || !slices.Contains(c.services, s.Service) {
 			continue
 		}
-		l.learn(now, s, m.cfg.Self)
-		l.readAt = now
-		l.doubt = false
+		l.observe(now, s, m.cfg.Self)
+		l.answeredAt = now
+		l.unresolved = false
 		l.failures = 0
 	}
 	for _, id := range c.services {
@@ -246,20 +245,20 @@
 }
 
 func (m *Machine) committed(now time.Time, ev Committed) {
-	if _, ok := m.take(ev.Call); !ok {
-		return // given up before; the read-back settles it
+	if _, ok := m.endCall(ev.Call); !ok {
+		return // the call timed out before; reading the row back resolves it
 	}
 	for _, s := range ev.Rows {
 		if l, ok := m.leases[s.Service]; ok {
-			l.learn(now, s, m.cfg.Self)
+			l.observe(now, s, m.cfg.Self)
 		}
 	}
 }
 
-// failed puts the rows of a call in doubt. A conflict too: an earlier write of
-// ours whose answer was lost may be its cause.
-func (m *Machine) failed(now time.Time, number CallID, unanswered bool) {
-	c, ok := m.take(number)
+// callFailed marks the rows of a failed write as unresolved. This includes conflicts, because
+// the cause may be an earlier write of this daemon whose answer was lost.
+func (m *Machine) callFailed(now time.Time, callID CallID, unanswered bool) {
+	c, ok := m.endCall(callID)
 	if !ok {
 		return
 	}
@@ -268,49 +267,49 @@
 		if !ok {
 			continue
 		}
-		var pause time.Duration
+		var delay time.Duration
 		if unanswered {
-			pause = m.backoff(l)
+			delay = m.backoff(l)
 		}
-		l.nextRead = now.Add(pause)
+		l.nextRead = now.Add(delay)
 		if c.write {
-			l.doubt = true
-			l.nextTry = now.Add(pause)
-			l.renewed = time.Time{}
+			l.unresolved = true
+			l.writeAfter = now.Add(delay)
+			l.renewalSentAt = time.Time{}
 		}
 	}
 }
 
-// backoff grows to the poll interval, so that a fleet whose store comes back
-// does not ask more often than it does on an ordinary day.
+// backoff grows up to the poll interval, so that when the store is available again, the site
+// does not read it more often than in normal operation.
 func (m *Machine) backoff(l *lease) time.Duration {
-	pause := m.cfg.RetryDelay << min(l.failures, maxDoublings)
+	delay := m.cfg.RetryDelay << min(l.failures, maxDoublings)
 	l.failures++
-	return min(pause, m.pollEvery(l))
+	return min(delay, m.pollInterval(l))
 }
 
-// take ends a call and frees its rows.
-func (m *Machine) take(number CallID) (call, bool) {
-	c, ok := m.calls[number]
+// endCall removes a call and clears the in-flight state of its rows.
+func (m *Machine) endCall(callID CallID) (call, bool) {
+	c, ok := m.calls[callID]
 	if !ok {
 		return call{}, false
 	}
-	delete(m.calls, number)
+	delete(m.calls, callID)
 	for _, id := range c.services {
 		l, ok := m.leases[id]
 		switch {
 		case !ok:
 		case c.write:
-			l.writing = false
+			l.writeInFlight = false
 		default:
-			l.reading = false
+			l.readInFlight = false
 		}
 	}
 	return c, true
 }
 
-// expireCalls counts calls that got no answer in time as unanswered, so that a
-// result that never comes can't stop renewals for good.
+// expireCalls treats calls without a timely answer as unanswered, so that a result that never
+// arrives can't stop renewals permanently.
 func (m *Machine) expireCalls(now time.Time) {
 	var late []CallID
 	for n, c := range m.calls {
@@ -320,6 +319,6 @@
 	}
 	slices.Sort(late)
 	for _, n := range late {
-		m.failed(now, n, true)
+		m.callFailed(now, n, true)
 	}
 }
--- a/coordination/lease/rank.go
+++ b/coordination/lease/rank.go
@@ -10,9 +10,9 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Order returns the daemons in the order in which they should try to take the
-// service's lease: rendezvous hashing, so that the leases of a daemon that died
-// go to different successors and no other lease moves.
+// RendezvousOrder returns the daemons in the order in which they should try to take the
+// service's lease. It uses rendezvous hashing, so that the leases of a dead daemon go to
+// different successors and no other lease moves.
 func RendezvousOrder(service state.ServiceID, daemons []state.DaemonID) []state.DaemonID {
 	out := slices.Clone(daemons)
 	slices.SortFunc(out, func(a, b state.DaemonID) int {
@@ -25,16 +25,15 @@
 	return xxhash.Sum64String(string(service) + "\x00" + string(daemon))
 }
 
-// setRanks is done on each change of the members and not on each step, since it
-// hashes every member for every service.
-func (m *Machine) setRanks() {
+// updateRanks is called when the members change and not on each step, because it hashes every
+// member for every service.
+func (m *Machine) updateRanks() {
 	for id, l := range m.leases {
 		l.rank = m.rank(id)
 	}
 }
 
-// rank is how many live daemons come before this one, or -1 if it is not among
-// them.
+// rank returns how many live daemons precede this one, or -1 if it is not among them.
 func (m *Machine) rank(service state.ServiceID) int {
 	self := weight(service, m.cfg.Self.ID)
 	before, found := 0, false
@@ -54,7 +53,7 @@
 	return before
 }
 
-// successor is the first live daemon in order other than this one.
+// successor returns the first live daemon in rendezvous order other than this one.
 func (m *Machine) successor(service state.ServiceID) (state.DaemonID, bool) {
 	for _, d := range RendezvousOrder(service, m.live) {
 		if d != m.cfg.Self.ID {
@@ -64,29 +63,29 @@
 	return "", false
 }
 
-// watches reports whether this daemon is one of those that watch a row closely.
-func (m *Machine) watches(l *lease) bool {
+// isWatcher reports whether this daemon is one of the Watchers of a row.
+func (m *Machine) isWatcher(l *lease) bool {
 	return l.rank >= 0 && l.rank < m.cfg.Watchers
 }
 
-// pollEvery is the time between reads of a row. All but the first members read
-// it rarely, with jitter: at 420 daemons a close watch by all would use up the
-// store's reads.
-func (m *Machine) pollEvery(l *lease) time.Duration {
-	if m.watches(l) {
+// pollInterval returns the time between reads of a row. All daemons except the watchers read it
+// rarely, with jitter: at 420 daemons, frequent reads by all would use up the store's read
+// capacity.
+func (m *Machine) pollInterval(l *lease) time.Duration {
+	if m.isWatcher(l) {
 		return m.cfg.PollInterval
 	}
 	return m.cfg.SlowPollInterval + time.Duration(m.rng.Int64N(int64(m.cfg.SlowPollInterval)/4+1))
 }
 
-// nextPoll is when to read the row again after a read at now. A close watcher
-// also reads it at the moment when it may take it.
+// nextPoll returns when to read the row again after a read at now. A watcher also reads it at
+// the moment when it may take it.
 func (m *Machine) nextPoll(l *lease, now time.Time) time.Time {
-	next := now.Add(m.pollEvery(l))
-	if !m.watches(l) {
+	next := now.Add(m.pollInterval(l))
+	if !m.isWatcher(l) {
 		return next
 	}
-	if at, ok := m.takeAt(l); ok && now.Before(at) && at.Before(next) {
+	if at, ok := m.acquireAt(l); ok && now.Before(at) && at.Before(next) {
 		return at
 	}
 	return next
