--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -1,9 +1,9 @@
-// Package registry keeps the records of other daemons' requests for a while, so
-// that a caller whose daemon died finds its answer again.
+// Package registry keeps copies of the records of other daemons' requests for a limited time, so
+// that a caller whose daemon died can still get its answer.
 //
-// The records are soft state: one that is lost costs the caller a new request
-// under its idempotency key, never a second execution. Memory is bounded by the
-// number of records and by their age.
+// The records are soft state: losing one costs the caller a new request under its idempotency key,
+// never a second execution. Memory is bounded by the number of records, their total size and their
+// age.
 package registry
 
 import (
@@ -15,18 +15,18 @@
 
 // Config bounds a Registry.
 type Config struct {
-	MaxRecords int           // the oldest is dropped beyond it
-	MaxBytes   int           // of all records together, by the caller's measure
-	TTL        time.Duration // since the last Put of the request
+	MaxRecords int           // the oldest records are evicted beyond it
+	MaxBytes   int           // total size of all records, as given to Put
+	TTL        time.Duration // counted from the last Put of the request
 }
 
-// DefaultConfig returns the bounds used by a daemon: one of 420 daemons at 11,000
-// requests a second is registrar of 52 a second.
+// DefaultConfig returns the bounds that a daemon uses. With 420 daemons and 11,000 requests per
+// second, each daemon is the registrar of about 52 requests per second.
 func DefaultConfig() Config {
 	return Config{MaxRecords: 20_000, MaxBytes: 64 << 20, TTL: 2 * time.Minute}
 }
 
-// Registry holds values of type R by request. It belongs to one goroutine.
+// Registry holds values of type R by request ID. It must be used by one goroutine only.
 type Registry[R any] struct {
 	cfg   Config
 	byID  map[state.RequestID]*list.Element
@@ -47,9 +47,8 @@
 	return &Registry[R]{cfg: cfg, byID: make(map[state.RequestID]*list.Element), order: list.New()}
 }
 
-// Put stores a record of about size bytes, unless one with a higher epoch is
-// held: the late word of an owner that was overtaken must not hide its
-// successor.
+// Put stores a record of about size bytes. It does nothing if a record with a higher epoch is held:
+// a late update from a superseded owner must not replace the record of its successor.
 func (r *Registry[R]) Put(now time.Time, id state.RequestID, epoch state.Epoch, size int, record R) {
 	if el, ok := r.byID[id]; ok {
 		if el.Value.(*entry[R]).epoch > epoch {
@@ -72,12 +71,12 @@
 	return none, false
 }
 
-// Len counts the records held.
+// Len returns the number of records held.
 func (r *Registry[R]) Len() int {
 	return r.order.Len()
 }
 
-// trim drops what is too old or too much, the oldest first.
+// trim evicts records that are too old or exceed the bounds, oldest first.
 func (r *Registry[R]) trim(now time.Time) {
 	for el := r.order.Front(); el != nil; el = r.order.Front() {
 		over := r.order.Len() > r.cfg.MaxRecords || r.bytes > r.cfg.MaxBytes
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -12,8 +12,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// TestBoundsAndEpochs holds a registry to a plain model under random use: the
-// highest epoch of a request stays, records end by age and by their bounds, oldest
+// TestBoundsAndEpochs compares a registry with a simple model under random operations: the record
+// with the highest epoch of a request is kept, records are evicted by age and by the bounds, oldest
 // first, and nothing else is lost.
 func TestBoundsAndEpochs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -47,7 +47,7 @@
 	value int
 }
 
-// model keeps its records in the order of their last Put.
+// model keeps its records in the order of their last put.
 type model struct {
 	cfg     registry.Config
 	records []record
@@ -90,8 +90,8 @@
 	return 0, false
 }
 
-// BenchmarkPut measures one record, and what the registry itself keeps for each
-// beside the record, at three sizes.
+// BenchmarkPut measures one Put, and the memory that the registry itself uses per record in
+// addition to the record, at three sizes.
 //
 //	go test ./coordination/registry -run xxx -bench Put
 func BenchmarkPut(b *testing.B) {
