--- a/coordination/relay/doc.go
+++ b/coordination/relay/doc.go
@@ -1,7 +1,7 @@
-// Package relay decides what follows when an attempt to have a request answered by
-// a backend server has ended: whether its answer is passed on, another server is
-// tried, or the caller is told, and what may then be claimed.
+// Package relay decides what happens after an attempt to get a request answered by a backend server
+// has ended: whether the answer is passed on, another server is tried, or the caller gets an error,
+// and what that error may claim.
 //
-// The promise that the whole package serves: a refusal says that the request has
-// not run and won't, and is given only where that is proved.
+// The package maintains one guarantee: a refusal states that the request has not run and will not
+// run, and is given only where that is proven.
 package relay
--- a/coordination/relay/relay_test.go
+++ b/coordination/relay/relay_test.go
@@ -21,23 +21,23 @@
 		r = relay.Retrier{MaxAttempts: 2, SpendRetry: func(time.Time) bool { budget--; return budget >= 0 }}
 	})
 
-	// A plain server runs a request that may run once and its answer is lost. The
-	// caller gets 502, which promises nothing. Cause: a refusal would claim that it
-	// has not run, and a second server would run it again.
-	It("neither repeats nor refuses what may have run once", Label("failure:answer-lost"), func() {
+	// Guards against a second execution of a request that may run only once: a plain server runs
+	// the request and its answer is lost. The caller gets 502, which promises nothing. A refusal
+	// would claim that the request has not run, and a second server would run it again.
+	It("neither retries nor refuses a run-once request that may have run", Label("failure:answer-lost"), func() {
 		r.Repeat = fleet.RunOnce
 		d := r.AttemptEnded(now, relay.Broken, "a")
 		Expect(d).To(Equal(relay.Decision{Reason: relay.ReasonRunOnce}))
 	})
 
-	It("tries another server after a proof that the request did not run", func() {
+	It("tries another server after proof that the request did not run", func() {
 		r.Repeat = fleet.RunOnce
 		Expect(r.AttemptEnded(now, relay.NotRun, "a").Retry).To(BeTrue())
 		Expect(r.AttemptEnded(now, relay.NotSent, "a").Retry).To(BeTrue())
 		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeFalse())
 	})
 
-	It("refuses once several servers proved that they did not run it", func() {
+	It("refuses after several servers proved that they did not run the request", func() {
 		var d relay.Decision
 		for range 4 {
 			d = r.AttemptEnded(now, relay.NotRun, "a")
@@ -45,10 +45,11 @@
 		Expect(d).To(Equal(relay.Decision{Refuse: true, Reason: relay.ReasonAttempts}))
 	})
 
-	// Drafts end in the middle while engines are replaced beside a burst. Order: an engine leaves
-	// with them, the others refuse the rest or the retry budget is used up; both pass within a
-	// second. Cause: what turns a request away that has not begun cut these off.
-	It("does not end a stream that has begun for want of room or of retries", Label("failure:begun-answer-cut"), func() {
+	// Guards against answers that are truncated while engines are replaced during a burst: an
+	// engine that serves the streams shuts down, and the others refuse to resume them or the retry
+	// budget is used up, each for less than a second. The limits for requests that have not started
+	// were applied to these streams.
+	It("does not end a started stream for lack of capacity or retries", Label("failure:begun-answer-cut"), func() {
 		r.Repeat = fleet.RunOn
 		r.MarkPartDelivered()
 		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeTrue())
@@ -64,7 +65,7 @@
 		Expect(r.AttemptEnded(now, relay.NotRun, "b")).To(Equal(relay.Decision{Reason: relay.ReasonDeadline}))
 	})
 
-	It("never refuses after a run, whatever came before", func() {
+	It("never refuses after a run, whatever the earlier outcomes", func() {
 		r.Repeat = fleet.RunAgain
 		r.AttemptEnded(now, relay.Broken, "a")
 		d := r.AttemptEnded(now, relay.Broken, "b")
@@ -72,37 +73,37 @@
 		Expect(d.Refuse).To(BeFalse())
 	})
 
-	// A stream falls silent since a server of its path died, and the retry budget is
-	// used up. Its caller loses an answer that might have gone on. Cause: it was
-	// ended before it was known whether another attempt may follow.
-	It("tells before an answer is given up whether another attempt follows", Label("failure:silent-without-budget"), func() {
+	// Guards against giving up an answer that might have continued: a stream stalls because a
+	// server of its path died, and the retry budget is used up. The answer was ended before it was
+	// known whether another attempt may follow.
+	It("reports before an answer is given up whether another attempt follows", Label("failure:silent-without-budget"), func() {
 		r.Repeat = fleet.RunOn
 		budget = 0
 		Expect(r.ReserveRetry(now, "a")).To(BeFalse())
 		budget = 1
 		Expect(r.ReserveRetry(now, "a")).To(BeTrue())
 		Expect(r.ReserveRetry(now, "a")).To(BeTrue())
-		Expect(budget).To(Equal(0), "the retry is paid for once")
+		Expect(budget).To(Equal(0), "the retry is paid for only once")
 		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeTrue())
-		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeFalse(), "the next one is not paid for")
+		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeFalse(), "the next retry is not paid for")
 	})
 
-	It("reserves nothing for an attempt that may not follow", func() {
+	It("reserves no retry for an attempt that may not follow", func() {
 		r.Repeat = fleet.RunOnce
 		Expect(r.ReserveRetry(now, "a")).To(BeFalse())
 		Expect(budget).To(Equal(10))
 	})
 
-	It("bounds the servers that run one request", func() {
+	It("bounds the number of servers that run one request", func() {
 		r.Repeat = fleet.RunOn
 		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeTrue())
 		Expect(r.AttemptEnded(now, relay.Broken, "b")).To(Equal(relay.Decision{Reason: relay.ReasonAttempts}))
 	})
 
-	// Engines are replaced one after the other, and a long stream loses a hop in the
-	// middle of its path three times in all. It goes on each time at an engine that has
-	// begun it before, so that no further one runs it, and is not cut.
-	It("lets a stream go on at the servers that have run it", Label("failure:hops-replaced"), func() {
+	// Guards against cutting off a long stream that loses a hop in the middle of its path three
+	// times while engines are replaced one after the other. Each time it is resumed on an engine
+	// that has run it before, so that no further engine runs it.
+	It("resumes a stream on the servers that have run it", Label("failure:hops-replaced"), func() {
 		r.Repeat = fleet.RunOn
 		r.MarkPartDelivered()
 		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeTrue())
@@ -113,21 +114,21 @@
 		Expect(exhausted).To(BeTrue())
 		Expect(on).To(And(HaveKey("a"), HaveKey("b")))
 		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeTrue())
-		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeFalse(), "four runs are enough")
+		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeFalse(), "four runs are the limit")
 	})
 
-	It("passes a server's own failure on where no other may be tried", func() {
+	It("passes on a server's own failure if no other server may be tried", func() {
 		r.Repeat = fleet.RunOnce
 		Expect(r.AttemptEnded(now, relay.Errored, "a").PassFailure).To(BeTrue())
 	})
 
-	It("goes on after events reached the caller only where that is allowed", func() {
+	It("retries after events reached the caller only if the stream is resumable", func() {
 		r.Repeat = fleet.RunAgain
 		r.MarkPartDelivered()
 		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeFalse())
 	})
 
-	It("asks the budget only for a retry that would follow", func() {
+	It("takes a retry from the budget only if an attempt would follow", func() {
 		r.Repeat = fleet.RunOnce
 		r.AttemptEnded(now, relay.Broken, "a")
 		Expect(budget).To(Equal(10))
