--- a/coordination/crashes/crashes.go
+++ b/coordination/crashes/crashes.go
@@ -7,59 +7,59 @@
 )
 
 const (
-	// KeptFor is how long an implication counts after the last one: a caller that
-	// repeats a request does so within minutes.
+	// ImplicationTTL is how long an implication counts after the last one: a caller that repeats a
+	// request does so within minutes.
 	ImplicationTTL = 10 * time.Minute
-	// convictedBy is how many servers must have died under a content. One may be an
-	// accident of another's making; two that died under the same one are not.
-	convictedBy = 2
-	// maxContents bounds what is remembered; the oldest go first.
+	// blockThreshold is how many servers must have died while running a content. A single death may
+	// have been caused by another request; two deaths under the same content are no coincidence.
+	blockThreshold = 2
+	// maxContents bounds the contents that are remembered; the oldest are evicted.
 	maxContents = 1024
 )
 
-// Fingerprint names a request's content: its path, customer and body.
+// Fingerprint identifies a request's content: its path, customer and body.
 type Fingerprint uint64
 
-// Told is what a daemon tells the others: servers that died under a content.
+// Implication is the message to other daemons that servers died while running a content.
 type Implication struct {
 	Fingerprint Fingerprint  `msgpack:"f"`
 	Servers     []state.Life `msgpack:"s"`
 }
 
-// Book is what one daemon knows. It is not safe for use by several goroutines.
+// Tracker holds the implicated contents known to one daemon. It is not safe for concurrent use.
 type Tracker struct {
 	contents map[Fingerprint]*content
 }
 
-// content is what is known of one content.
+// content is the state of one content.
 type content struct {
-	servers []state.Life // lives that died under it
-	at      time.Time    // of the last implication
+	servers []state.Life // incarnations that died while running it
+	at      time.Time    // time of the last implication
 }
 
-// NewBook returns an empty book.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{contents: make(map[Fingerprint]*content)}
 }
 
-// Implicate notes that servers died under a content. It returns what to tell the
-// other daemons, and false if all of it was known.
-func (b *Tracker) Implicate(now time.Time, fp Fingerprint, servers ...state.Life) (Implication, bool) {
-	c, ok := b.contents[fp]
+// Implicate records that servers died while running a content. It returns the message for the other
+// daemons, and false if all of it was known.
+func (t *Tracker) Implicate(now time.Time, fp Fingerprint, servers ...state.Life) (Implication, bool) {
+	c, ok := t.contents[fp]
 	if !ok {
-		b.makeRoom(now)
+		t.makeRoom(now)
 		c = &content{}
-		b.contents[fp] = c
+		t.contents[fp] = c
 	}
-	news := false
+	isNew := false
 	for _, s := range servers {
 		if !c.has(s) {
 			c.servers = append(c.servers, s)
-			news = true
+			isNew = true
 		}
 	}
 	c.at = now
-	return Implication{Fingerprint: fp, Servers: c.servers}, news
+	return Implication{Fingerprint: fp, Servers: c.servers}, isNew
 }
 
 func (c *content) has(s state.Life) bool {
@@ -71,35 +71,35 @@
 	return false
 }
 
-// Empty reports whether nothing is implicated.
-func (b *Tracker) Empty() bool { return len(b.contents) == 0 }
+// Empty reports whether no content is implicated.
+func (t *Tracker) Empty() bool { return len(t.contents) == 0 }
 
-// Clear notes that an answer to a content has begun.
-func (b *Tracker) Clear(fp Fingerprint) {
-	delete(b.contents, fp)
+// Clear drops the implications of a content because an answer to it has started.
+func (t *Tracker) Clear(fp Fingerprint) {
+	delete(t.contents, fp)
 }
 
-// Convicted reports whether a content is to be refused.
-func (b *Tracker) IsBlocked(now time.Time, fp Fingerprint) bool {
-	c, ok := b.contents[fp]
-	return ok && len(c.servers) >= convictedBy && now.Sub(c.at) < ImplicationTTL
+// IsBlocked reports whether requests with a content are to be refused.
+func (t *Tracker) IsBlocked(now time.Time, fp Fingerprint) bool {
+	c, ok := t.contents[fp]
+	return ok && len(c.servers) >= blockThreshold && now.Sub(c.at) < ImplicationTTL
 }
 
-// makeRoom drops what no longer counts, or else the oldest.
-func (b *Tracker) makeRoom(now time.Time) {
-	if len(b.contents) < maxContents {
+// makeRoom drops expired contents, or the oldest one if there are none.
+func (t *Tracker) makeRoom(now time.Time) {
+	if len(t.contents) < maxContents {
 		return
 	}
 	var oldest Fingerprint
 	var at time.Time
-	for fp, c := range b.contents {
+	for fp, c := range t.contents {
 		if now.Sub(c.at) >= ImplicationTTL {
-			delete(b.contents, fp)
+			delete(t.contents, fp)
 		} else if at.IsZero() || c.at.Before(at) {
 			oldest, at = fp, c.at
 		}
 	}
-	if len(b.contents) >= maxContents {
-		delete(b.contents, oldest)
+	if len(t.contents) >= maxContents {
+		delete(t.contents, oldest)
 	}
 }
--- a/coordination/crashes/crashes_test.go
+++ b/coordination/crashes/crashes_test.go
@@ -13,58 +13,58 @@
 var _ = Describe("Contents that crash servers", func() {
 	now := time.Unix(1000, 0)
 
-	// A request crashes the one server of its service, which starts again under its
-	// name, and its caller sends it again: the server crashes each time. Cause: the
-	// deaths were told apart by the server's name.
-	It("are refused once two lives of one server died under them", Label("failure:request-crashes-servers"), func() {
-		b := crashes.NewTracker()
-		b.Implicate(now, 7, state.Life{ID: "e1", Born: 100})
-		b.Implicate(now, 7, state.Life{ID: "e1", Born: 100})
-		Expect(b.IsBlocked(now, 7)).To(BeFalse())
-		b.Implicate(now, 7, state.Life{ID: "e1", Born: 90})
-		Expect(b.IsBlocked(now, 7)).To(BeTrue())
+	// Guards against a crash loop: a request crashes the only server of its service, which restarts
+	// under the same name, and the caller repeats the request. The crashes were counted by the
+	// server's name, so that they counted as one.
+	It("are refused after they crashed two incarnations of one server", Label("failure:request-crashes-servers"), func() {
+		t := crashes.NewTracker()
+		t.Implicate(now, 7, state.Life{ID: "e1", Born: 100})
+		t.Implicate(now, 7, state.Life{ID: "e1", Born: 100})
+		Expect(t.IsBlocked(now, 7)).To(BeFalse())
+		t.Implicate(now, 7, state.Life{ID: "e1", Born: 90})
+		Expect(t.IsBlocked(now, 7)).To(BeTrue())
 	})
 
-	// A request crashes each engine that begins it, and its caller sends it again at
-	// other daemons. Two engines die of it, no third.
-	It("are refused once a second server died under them, at every daemon", Label("failure:request-crashes-servers"), func() {
+	// Guards against a request that crashes each engine that starts it while its caller repeats it
+	// at other daemons: it may crash two engines, but no third.
+	It("are refused by every daemon after they crashed a second server", Label("failure:request-crashes-servers"), func() {
 		here, there := crashes.NewTracker(), crashes.NewTracker()
-		told, news := here.Implicate(now, 7, state.Life{ID: "e1"})
-		Expect(news).To(BeTrue())
+		implication, isNew := here.Implicate(now, 7, state.Life{ID: "e1"})
+		Expect(isNew).To(BeTrue())
 		Expect(here.IsBlocked(now, 7)).To(BeFalse())
-		there.Implicate(now, told.Fingerprint, told.Servers...)
-		told, news = there.Implicate(now, 7, state.Life{ID: "e2"})
-		Expect(news).To(BeTrue())
-		here.Implicate(now, told.Fingerprint, told.Servers...)
+		there.Implicate(now, implication.Fingerprint, implication.Servers...)
+		implication, isNew = there.Implicate(now, 7, state.Life{ID: "e2"})
+		Expect(isNew).To(BeTrue())
+		here.Implicate(now, implication.Fingerprint, implication.Servers...)
 		Expect(here.IsBlocked(now, 7)).To(BeTrue())
 		Expect(there.IsBlocked(now, 7)).To(BeTrue())
 	})
 
-	It("are not convicted by one death that several daemons saw", func() {
-		b := crashes.NewTracker()
-		b.Implicate(now, 7, state.Life{ID: "e1"})
-		_, news := b.Implicate(now, 7, state.Life{ID: "e1"})
-		Expect(news).To(BeFalse())
-		Expect(b.IsBlocked(now, 7)).To(BeFalse())
+	It("are not refused after one crash that several daemons saw", func() {
+		t := crashes.NewTracker()
+		t.Implicate(now, 7, state.Life{ID: "e1"})
+		_, isNew := t.Implicate(now, 7, state.Life{ID: "e1"})
+		Expect(isNew).To(BeFalse())
+		Expect(t.IsBlocked(now, 7)).To(BeFalse())
 	})
 
-	It("are cleared by an answer that begins, and forgotten in time", func() {
-		b := crashes.NewTracker()
-		b.Implicate(now, 7, state.Life{ID: "e1"})
-		b.Clear(7)
-		b.Implicate(now, 7, state.Life{ID: "e2"})
-		Expect(b.IsBlocked(now, 7)).To(BeFalse())
-		b.Implicate(now, 7, state.Life{ID: "e3"})
-		Expect(b.IsBlocked(now, 7)).To(BeTrue())
-		Expect(b.IsBlocked(now.Add(crashes.ImplicationTTL), 7)).To(BeFalse())
+	It("are cleared when an answer starts, and expire", func() {
+		t := crashes.NewTracker()
+		t.Implicate(now, 7, state.Life{ID: "e1"})
+		t.Clear(7)
+		t.Implicate(now, 7, state.Life{ID: "e2"})
+		Expect(t.IsBlocked(now, 7)).To(BeFalse())
+		t.Implicate(now, 7, state.Life{ID: "e3"})
+		Expect(t.IsBlocked(now, 7)).To(BeTrue())
+		Expect(t.IsBlocked(now.Add(crashes.ImplicationTTL), 7)).To(BeFalse())
 	})
 
-	It("are remembered within bounds", func() {
-		b := crashes.NewTracker()
+	It("are remembered up to a bound", func() {
+		t := crashes.NewTracker()
 		for i := range 5000 {
-			b.Implicate(now.Add(time.Duration(i)*time.Millisecond), crashes.Fingerprint(i), state.Life{ID: "e1"}, state.Life{ID: "e2"})
+			t.Implicate(now.Add(time.Duration(i)*time.Millisecond), crashes.Fingerprint(i), state.Life{ID: "e1"}, state.Life{ID: "e2"})
 		}
-		Expect(b.IsBlocked(now, 0)).To(BeFalse())
-		Expect(b.IsBlocked(now, 4999)).To(BeTrue())
+		Expect(t.IsBlocked(now, 0)).To(BeFalse())
+		Expect(t.IsBlocked(now, 4999)).To(BeTrue())
 	})
 })
