--- a/coordination/weights/weights_test.go
+++ b/coordination/weights/weights_test.go
@@ -14,63 +14,63 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// TestPoolIsNeverGrantedTwice runs askers whose wants, delays and losses are
-// random before allocators that take over from each other, on clocks that drift
-// by 1% either way, and sums the live shares.
+// TestPoolIsNeverGrantedTwice runs requesters with random demand, delays and message losses against
+// allocators that replace each other, on clocks that drift by 1% in either direction, and adds up
+// the valid shares.
 func TestPoolIsNeverGrantedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := weights.DefaultConfig(rapid.IntRange(1, 20).Draw(t, "pool"))
 		drift := rapid.SampledFrom([]float64{-0.01, 0.01}).Draw(t, "drift")
 		zero := time.Unix(0, 0)
 		now := zero
-		server := func() time.Time { return zero.Add(time.Duration(float64(now.Sub(zero)) * (1 + drift))) }
-		asker := func() time.Time { return zero.Add(time.Duration(float64(now.Sub(zero)) * (1 - drift))) }
+		allocatorClock := func() time.Time { return zero.Add(time.Duration(float64(now.Sub(zero)) * (1 + drift))) }
+		requesterClock := func() time.Time { return zero.Add(time.Duration(float64(now.Sub(zero)) * (1 - drift))) }
 		a := weights.NewAllocator(cfg)
-		reign := 0
+		term := 0
 		takeOver := func() {
-			reign++
-			a.SetLeaseStatus(server(), lease.Status{State: lease.Held, TermID: state.Nonce(fmt.Sprint(reign)), Until: zero.Add(time.Hour)})
+			term++
+			a.SetLeaseStatus(allocatorClock(), lease.Status{State: lease.Held, TermID: state.Nonce(fmt.Sprint(term)), Until: zero.Add(time.Hour)})
 		}
 		takeOver()
-		var askers []*weights.Requester
+		var requesters []*weights.Requester
 		for i := range 4 {
-			askers = append(askers, weights.NewRequester(cfg, state.ServiceID(fmt.Sprint("s", i))))
+			requesters = append(requesters, weights.NewRequester(cfg, state.ServiceID(fmt.Sprint("s", i))))
 		}
 		for range 200 {
 			now = now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
-			k := askers[rapid.IntRange(0, 3).Draw(t, "asker")]
+			k := requesters[rapid.IntRange(0, 3).Draw(t, "requester")]
 			switch rapid.IntRange(0, 20).Draw(t, "what") {
 			case 0:
 				a = weights.NewAllocator(cfg)
 				takeOver()
 			case 1, 2, 3:
-				k.SetWanted(asker(), rapid.IntRange(0, 15).Draw(t, "want"))
+				k.SetWanted(requesterClock(), rapid.IntRange(0, 15).Draw(t, "want"))
 			default:
-				q, due := k.NextRequest(asker(), 0)
+				q, due := k.NextRequest(requesterClock(), 0)
 				now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "delay")) * time.Millisecond)
 				if !due || rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
 					break
 				}
-				if g, ok := a.HandleRequest(server(), q); ok {
+				if g, ok := a.HandleRequest(allocatorClock(), q); ok {
 					k.HandleGrant(g)
 				}
 			}
 			sum := 0
-			for _, k := range askers {
-				if n, until := k.Share(); asker().Before(until) {
+			for _, k := range requesters {
+				if n, until := k.Share(); requesterClock().Before(until) {
 					sum += n
 				}
 			}
 			if sum > cfg.PoolSize {
-				t.Fatalf("%d granted of %d", sum, cfg.PoolSize)
+				t.Fatalf("%d slots granted from a pool of %d", sum, cfg.PoolSize)
 			}
 		}
 	})
 }
 
-var _ = Describe("the allocator", func() {
-	// One service rolls out and has taken the whole pool; a stage of another dies.
-	// Its repair would wait for the whole roll-out if shares did not move.
+var _ = Describe("The allocator", func() {
+	// Guards against a repair that waits for another service's whole roll-out: one service rolls
+	// out and has taken the whole pool, and a stage of another service dies.
 	It("moves half of the pool to a second service within a span", func() {
 		cfg := weights.DefaultConfig(16)
 		a, now := weights.NewAllocator(cfg), time.Unix(0, 0)
@@ -97,10 +97,10 @@
 		Expect(slots).To(Equal(8))
 	})
 
-	// A user is paused with the whole pool in hand; the allocator's clock is fast
-	// by 1% and the user's slow by 1%. Its share must have ended for itself before
-	// another can get it.
-	It("does not give a share on before it has ended for its user", func() {
+	// Guards against a share that is granted twice: a user is paused while it holds the whole pool,
+	// the allocator's clock is fast by 1% and the user's slow by 1%. The share must have expired
+	// for its user before another one can get it.
+	It("does not reassign a share before it has expired for its user", func() {
 		cfg := weights.DefaultConfig(4)
 		zero := time.Unix(0, 0)
 		at := func(t time.Duration, rate float64) time.Time { return zero.Add(time.Duration(float64(t) * rate)) }
@@ -119,8 +119,8 @@
 		}
 	})
 
-	// The store is down: the allocator's lease lapses, and every share with it.
-	It("grants nothing once its lease has run out", Label("failure:store-down"), func() {
+	// The store is down: the allocator's lease expires, and every share with it.
+	It("grants nothing after its lease has expired", Label("failure:store-down"), func() {
 		cfg := weights.DefaultConfig(16)
 		a, now := weights.NewAllocator(cfg), time.Unix(0, 0)
 		a.SetLeaseStatus(now, lease.Status{State: lease.Held, TermID: "r", Until: now.Add(time.Minute)})
