--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -13,16 +13,16 @@
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-	// A card dies that alone held some layers, and another one loads them in 1.2 s. 60
-	// streams a second come meanwhile. Each is answered that can be before its caller
-	// leaves; the callers of the others are told at once when to come back.
-	It("waits for a layer that comes back, and not until its caller leaves", func() {
-		const back = 1200
+	// The only engine that held some layers dies, and another one loads them in 1.2 s, while 60
+	// streams per second arrive. Each request that can be answered before its caller disconnects is
+	// answered; the others are rejected at once with a retry time.
+	It("waits for a layer that becomes available again, but not until its caller disconnects", func() {
+		const restored = 1200
 		answered, refused := 0, 0
-		for ms := 0; ms < back; ms += 17 {
+		for ms := 0; ms < restored; ms += 17 {
 			until := admission.WaitingRequest{Arrived: at(ms), Deadline: at(ms + 20000)}.RejectAt()
-			Expect(until.Sub(at(ms))).To(BeNumerically("<", 2*time.Second), "callers leave then")
-			if until.Before(at(back)) {
+			Expect(until.Sub(at(ms))).To(BeNumerically("<", 2*time.Second), "callers disconnect then")
+			if until.Before(at(restored)) {
 				refused++
 				continue
 			}
@@ -32,56 +32,57 @@
 		Expect(refused).To(BeZero())
 	})
 
-	// A clerk's check must have its answer within a second. It is turned away while
-	// there is time to come back.
-	It("waits for a small part of a short time", func() {
+	// A status check must be answered within a second. It is rejected while it has enough time left
+	// to retry.
+	It("waits for a small part of a short deadline", func() {
 		until := admission.WaitingRequest{Arrived: at(0), Deadline: at(1000)}.RejectAt()
 		Expect(until).To(Equal(at(75)))
 	})
 
-	// Drafts end in the middle while engines are replaced beside a burst. Order: an engine
-	// leaves with them, the others have no room for 1.5 s, and then have. Cause: they were cut
-	// when a request that has not begun is turned away.
-	It("is not ended once its answer has begun, and asks again those that had no room", Label("failure:begun-answer-cut"), func() {
+	// Guards against answers that are truncated while engines are replaced during a burst: an
+	// engine that serves them shuts down, and the others have no capacity for 1.5 s. The limit for
+	// requests that have not started was applied to these answers.
+	It("is not ended after its answer has started, and retries servers that had no capacity", Label("failure:begun-answer-cut"), func() {
 		w := admission.WaitingRequest{Arrived: at(0), Deadline: at(20000), LastEvent: at(6000)}
-		Expect(w.RejectAt()).To(Equal(at(20000)), "its caller leaves before, or its time is up")
-		asked := 0
-		var turned admission.Rejections
-		for ms := 6000; ms < 8000; ms += 10 { // callers leave a stream that shows nothing for 2 s
-			if turned.BackoffElapsed(at(ms)) {
-				turned = admission.Rejections{}
+		Expect(w.RejectAt()).To(Equal(at(20000)), "its caller disconnects first, or its deadline passes")
+		attempts := 0
+		var rejections admission.Rejections
+		for ms := 6000; ms < 8000; ms += 10 { // callers disconnect from a stream that sends nothing for 2 s
+			if rejections.BackoffElapsed(at(ms)) {
+				rejections = admission.Rejections{}
 			}
-			if turned.BackingOff(at(ms)) {
+			if rejections.BackingOff(at(ms)) {
 				continue
 			}
-			asked++
-			turned.Count++
-			turned.Last = at(ms)
+			attempts++
+			rejections.Count++
+			rejections.Last = at(ms)
 		}
-		Expect(asked).To(And(BeNumerically(">=", 6), BeNumerically("<=", 8)), "it neither gives up nor storms")
+		Expect(attempts).To(And(BeNumerically(">=", 6), BeNumerically("<=", 8)), "it neither gives up nor retries too often")
 	})
 })
 
-var _ = Describe("A list of servers that a daemon has just begun to read", func() {
+var _ = Describe("A server list that a daemon has just started to read", func() {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-	// All daemons are ended while the store is away, and entries lapse. When it is back,
-	// callers wait for 1.5 s and more, and leave. Order: 10 of 41 servers are listed
-	// first, the others over 0.8 s. Cause: what came in between went to those 10.
-	It("has requests wait while it fills, and no longer", Label("failure:restart-beside-lapsed-entries"), func() {
+	// Guards against waits of 1.5 s and more after a restart, in which callers disconnect: all
+	// daemons were killed while the store was down, and list entries expired. When the store is
+	// back, 10 of 41 servers are listed first and the others over 0.8 s; all requests that arrive
+	// meanwhile went to these 10.
+	It("makes requests wait while it is populated, and no longer", Label("failure:restart-beside-lapsed-entries"), func() {
 		l := admission.ServerList{FirstRead: at(0), LastAdded: at(0), MinCopies: 1}
-		Expect(l.Populating(at(10))).To(BeFalse(), "it came whole, as on any other start")
+		Expect(l.Populating(at(10))).To(BeFalse(), "the list was complete, as on any other start")
 		for ms := 50; ms <= 800; ms += 50 {
 			l.LastAdded = at(ms)
 			Expect(l.Populating(at(ms + 40))).To(BeTrue())
 		}
 		Expect(l.Populating(at(999))).To(BeTrue())
-		Expect(l.Populating(at(1000))).To(BeFalse(), "the rest may be gone for good")
+		Expect(l.Populating(at(1000))).To(BeFalse(), "the rest may never return")
 		l.LastAdded = at(300)
-		Expect(l.Populating(at(500))).To(BeFalse(), "nothing came for a while")
+		Expect(l.Populating(at(500))).To(BeFalse(), "no server was added recently")
 		l.MinCopies = 2
-		Expect(l.Populating(at(310))).To(BeFalse(), "enough are there")
+		Expect(l.Populating(at(310))).To(BeFalse(), "enough servers are listed")
 	})
 })
 
@@ -89,49 +90,50 @@
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-	// All 195 daemons are ended at once and start again; each knows the configuration 160
-	// to 290 ms later, and 375 requests a second come. Some 80 callers would be sent away
-	// for a second for want of those 0.2 s.
-	It("has requests wait until it can know the configuration", Label("failure:all-start-at-once"), func() {
+	// Guards against rejecting callers for a second when the configuration is only 0.2 s away: all
+	// 195 daemons are killed at once and restart, each has the configuration after 160 to 290 ms,
+	// and 375 requests per second arrive. About 80 callers would be rejected.
+	It("makes requests wait until the configuration can be available", Label("failure:all-start-at-once"), func() {
 		for ms := 0; ms < 290; ms += 3 {
 			w := admission.WaitingRequest{Arrived: at(ms), Deadline: at(ms + 20000)}
 			Expect(admission.Startup{StartedAt: at(0)}.RejectAt(w)).To(BeTemporally(">", at(290)))
 		}
 	})
 
-	It("sends callers away at once where it can't say when it will serve", func() {
+	It("rejects callers at once if it cannot tell when it will be ready", func() {
 		w := admission.WaitingRequest{Arrived: at(100), Deadline: at(20100)}
 		Expect(admission.Startup{StartedAt: at(0), Failed: true}.RejectAt(w)).To(Equal(at(100)))
-		Expect(admission.Startup{StartedAt: at(-600)}.RejectAt(w)).To(BeTemporally("<=", at(100)), "it had its time")
+		Expect(admission.Startup{StartedAt: at(-600)}.RejectAt(w)).To(BeTemporally("<=", at(100)), "the startup time is over")
 		w.Deadline = at(1100)
-		Expect(admission.Startup{StartedAt: at(0)}.RejectAt(w)).To(Equal(at(175)), "a check is short of time")
+		Expect(admission.Startup{StartedAt: at(0)}.RejectAt(w)).To(Equal(at(175)), "a check has a short deadline")
 	})
 })
 
-var _ = Describe("A caller that is turned away", func() {
-	It("comes back when that can help, and while it has time", func() {
+var _ = Describe("A rejected caller", func() {
+	It("retries when a retry can succeed, and before its deadline", func() {
 		for _, r := range []admission.Refusal{admission.Busy, admission.Uncovered, admission.Stopping, admission.AllStopping, admission.NotReady} {
 			Expect(r.RetryAfter()).To(And(BeNumerically(">", 0), BeNumerically("<=", 2*time.Second)))
 		}
-		Expect(admission.Stopping.RetryAfter()).To(BeNumerically("<", admission.Busy.RetryAfter()), "others take it now")
+		Expect(admission.Stopping.RetryAfter()).To(BeNumerically("<", admission.Busy.RetryAfter()), "other daemons accept it now")
 	})
 
-	// All daemons are stopped, each a second after the other. Cause of an earlier fault:
-	// each sent new streams to others that sent them on, until their callers gave up.
-	It("is kept by the last daemons that stop, while a stream still ends in time", func() {
+	// Guards against streams that are forwarded in a circle: all daemons are stopped, each a second
+	// after the previous one, and each sent new streams to others that forwarded them until their
+	// callers gave up.
+	It("is accepted by the last daemons that stop, as long as a stream can still end in time", func() {
 		stop := admission.Shutdown{Grace: 8 * time.Second}
-		taken := func(since time.Duration, elsewhere bool) (bool, admission.Refusal) {
+		accepts := func(since time.Duration, elsewhere bool) (bool, admission.Refusal) {
 			stop.Elapsed, stop.OthersAccept = since, elsewhere
 			return stop.AcceptsStream()
 		}
-		ok, _ := taken(time.Second, true)
-		Expect(ok).To(BeTrue(), "callers still hold answers that name this daemon")
-		ok, why := taken(2*time.Second, true)
+		ok, _ := accepts(time.Second, true)
+		Expect(ok).To(BeTrue(), "callers still hold address answers that name this daemon")
+		ok, why := accepts(2*time.Second, true)
 		Expect(ok).To(BeFalse())
 		Expect(why).To(Equal(admission.Stopping))
-		ok, _ = taken(2*time.Second, false)
+		ok, _ = accepts(2*time.Second, false)
 		Expect(ok).To(BeTrue())
-		ok, why = taken(3*time.Second, false)
+		ok, why = accepts(3*time.Second, false)
 		Expect(ok).To(BeFalse())
 		Expect(why).To(Equal(admission.AllStopping))
 	})
--- a/coordination/admission/doc.go
+++ b/coordination/admission/doc.go
@@ -1,24 +1,24 @@
-// Package admission decides what becomes of a request that no server can take now: how
-// long it waits, and when its caller may come back if it is turned away.
+// Package admission decides what happens to a request that no server can take now: how long it
+// waits, and after what time its caller may retry if it is rejected.
 //
-// It has no clock and does no input or output: the caller passes times in, looks again
-// for a server until the time that Wait gives, and tells its caller what Refusal gives.
+// It has no clock and does no I/O: the caller passes times in, looks for a server again until
+// WaitingRequest.RejectAt, and reports Refusal.RetryAfter to its own caller.
 //
-// # Load patterns that the limits answer
+// # Load patterns covered
 //
-//   - A layer is held nowhere for a moment, after a loss: requests wait for it, since
-//     it is back before their callers leave.
-//   - All servers of a service fail or are full at once: callers are sent away for as
-//     long as suspects are avoided, so that they do not meet the same ones again.
-//   - Engines leave while all others are full: a stream that has begun is not ended for it. It
-//     asks a few of them now and then, until room comes free or its caller leaves.
-//   - A server in need takes a few requests a second from all daemons together, and no other
-//     one is there: as many wait as get a permit in time, all others are sent away at once until
-//     there is one for them.
-//   - Daemons are stopped one after the other, or all of them: callers are sent to a
-//     daemon that takes them, or until one has started again.
-//   - All daemons start again while entries of servers have lapsed: requests wait while
-//     the list fills, instead of all going to the servers that are listed first.
-//   - Daemons have just started, one or all at once: requests wait for the moment that
-//     it takes to know the configuration, unless the store does not answer.
+//   - A layer has no server for a moment after a loss: requests wait for it, since it is available
+//     again before their callers disconnect.
+//   - All servers of a service fail or are full at once: callers are rejected for as long as
+//     suspects are avoided, so that they do not reach the same servers again.
+//   - Engines shut down while all others are full: a stream that has started is not ended. It
+//     retries a few servers at intervals until one has capacity or its caller disconnects.
+//   - A struggling server takes a few requests per second from all daemons together, and there is
+//     no other server: as many requests wait as get a permit in time, and all others are rejected
+//     at once with the time at which a permit will be available.
+//   - Daemons are stopped one after the other, or all of them: callers are sent to a daemon that
+//     accepts them, or wait until one has restarted.
+//   - All daemons restart after list entries of servers have expired: requests wait while the list
+//     is populated, instead of all going to the servers that are listed first.
+//   - Daemons have just started, one or all at once: requests wait for the short time until the
+//     configuration is available, unless the store does not answer.
 package admission
--- a/coordination/admission/limited.go
+++ b/coordination/admission/limited.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// leastLimited is how long a caller at least stays away that is turned away for want of a
-// permit: the answer's way back, and the way of the next request.
-const leastLimited = 50 * time.Millisecond
+// minRetryAfter is the shortest retry time of a caller that is rejected for lack of a permit: the
+// time for the answer and the next request to travel.
+const minRetryAfter = 50 * time.Millisecond
 
-// Limited is a request that only servers could take which name a limit of requests a second.
+// RateLimited is a request that only servers with a limit of requests per second could take.
 type RateLimited struct {
-	// Permit is how long it is likely to take until there is a permit for the request.
+	// PermitWait is the expected time until a permit for the request is available.
 	PermitWait time.Duration
 }
 
-// TooLate reports whether no permit will come while the request may wait, so that it is turned
-// away at once.
-func (l RateLimited) PermitTooLate(left time.Duration) bool { return l.PermitWait > left }
+// PermitTooLate reports whether no permit will be available within the time that the request may
+// wait, so that it is rejected at once.
+func (r RateLimited) PermitTooLate(left time.Duration) bool { return r.PermitWait > left }
 
-// RetryAfter is when the caller may come back: a permit is there by then.
-func (l RateLimited) RetryAfter() time.Duration { return max(l.PermitWait, leastLimited) }
+// RetryAfter returns when the caller may retry: a permit is available by then.
+func (r RateLimited) RetryAfter() time.Duration { return max(r.PermitWait, minRetryAfter) }
--- a/coordination/admission/refusal.go
+++ b/coordination/admission/refusal.go
@@ -2,52 +2,52 @@
 
 import "time"
 
-// Refusal is why a request is turned away that has not run.
+// Refusal is why a request is rejected that has not run.
 type Refusal uint8
 
 // The values of Refusal.
 const (
-	// Busy: the servers are full or failing.
+	// Busy means that the servers are full or failing.
 	Busy Refusal = iota + 1
-	// Uncovered: some layer is held by no server that may be used.
+	// Uncovered means that some layer is held by no usable server.
 	Uncovered
-	// Stopping: this daemon is about to stop, and others take the request.
+	// Stopping means that this daemon is about to stop, and others accept the request.
 	Stopping
-	// AllStopping: so are all that this daemon knows.
+	// AllStopping means that all daemons that this one knows are about to stop, too.
 	AllStopping
-	// Unready: this daemon knows no configuration yet.
+	// NotReady means that this daemon has no configuration yet.
 	NotReady
 )
 
 const (
-	// afterBusy: suspects are tried again after about that time.
-	afterBusy = 400 * time.Millisecond
-	// afterUncovered: finding and loading a layer that is held nowhere takes about
-	// that.
-	afterUncovered = 2 * time.Second
-	// afterStopping: any other daemon takes it at once.
-	afterStopping = 20 * time.Millisecond
-	// afterAllStopping: a stop takes 3 to 7 s, and the first daemon to begin it is back
-	// within this.
-	afterAllStopping = 2 * time.Second
-	// afterUnready: a daemon that reaches the store reads the configuration within
-	// some 10 ms of its start, and asks again within this where it does not.
-	afterUnready = time.Second
+	// retryBusy: suspects are tried again after about this time.
+	retryBusy = 400 * time.Millisecond
+	// retryUncovered: it takes about this time to detect a layer that no server holds and to load
+	// it.
+	retryUncovered = 2 * time.Second
+	// retryStopping: any other daemon accepts the request at once.
+	retryStopping = 20 * time.Millisecond
+	// retryAllStopping: a stop takes 3 to 7 s, and the daemon that began it first is back within
+	// this time.
+	retryAllStopping = 2 * time.Second
+	// retryNotReady: a daemon that reaches the store reads the configuration about 10 ms after its
+	// start; otherwise it tries again within this time.
+	retryNotReady = time.Second
 )
 
-// RetryAfter is when the caller may come back.
+// RetryAfter returns when the caller may retry.
 func (r Refusal) RetryAfter() time.Duration {
 	switch r {
 	case Busy:
-		return afterBusy
+		return retryBusy
 	case Uncovered:
-		return afterUncovered
+		return retryUncovered
 	case Stopping:
-		return afterStopping
+		return retryStopping
 	case AllStopping:
-		return afterAllStopping
+		return retryAllStopping
 	case NotReady:
-		return afterUnready
+		return retryNotReady
 	default:
 		panic("admission: unknown refusal")
 	}
