--- a/coordination/suspect/delay.go
+++ b/coordination/suspect/delay.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// delayGain is the weight of one more sample of a server's delay.
+	// delayGain is the weight of a new sample in a server's delay average.
 	delayGain = 0.2
-	// delayMemory is the time in which a delay that nothing confirms fades to a
-	// third, so that a server which was slow is tried again.
+	// delayMemory is the time constant with which a delay decays if no sample confirms it (to a
+	// third of its value), so that a server that was slow is tried again.
 	delayMemory = 2 * time.Second
 )
 
-// delay is a server's part of what answers took to begin.
+// delay is a server's share of the time to the first event of answers, as a decaying average.
 type delay struct {
 	ms float64
 	at time.Time
 }
 
-// Began notes how long an answer took to begin along a path. Which hop was slow
-// does not show: each takes an equal part, and those that other paths cross faster
-// lose it again.
-func (b *Tracker) AnswerStarted(now time.Time, path fleet.Path, took time.Duration) {
+// AnswerStarted records how long the first event of an answer along a path took. Which hop was slow
+// is not visible: each hop gets an equal share, and hops that are also part of faster paths lose
+// theirs again.
+func (t *Tracker) AnswerStarted(now time.Time, path fleet.Path, took time.Duration) {
 	part := float64(took) / float64(time.Millisecond) / float64(len(path))
 	for _, h := range path {
-		r := b.record(now, h.Address)
+		r := t.record(now, h.Address)
 		r.refusals = refusals{}
-		have := r.delay.fade(now)
+		have := r.delay.decayed(now)
 		r.delay = delay{ms: have + delayGain*(part-have), at: now}
 	}
 }
 
-// fade is the delay as of now, in ms.
-func (d delay) fade(now time.Time) float64 {
+// decayed returns the decayed delay at now, in ms.
+func (d delay) decayed(now time.Time) float64 {
 	if d.at.IsZero() {
 		return 0
 	}
--- a/coordination/suspect/doc.go
+++ b/coordination/suspect/doc.go
@@ -1,9 +1,9 @@
-// Package suspect tells which backend servers probably don't answer, from what the
-// requests that cross them show.
+// Package suspect identifies backend servers that probably do not answer, from the requests that
+// cross them.
 //
-// A server that fails a request is avoided for a while, longer each time in a row;
-// any whole answer clears it. A server in the middle of a path has no answer of its
-// own: where a stream falls silent, the suspects are those of its servers that no
-// other stream has shown alive of late. Streams that share a whole chain fall silent
-// together, so that a suspect is no proof: the caller probes it.
+// A server that fails a request is avoided for a time that grows with each failure in a row; any
+// complete answer clears it. A server in the middle of a path does not answer by itself: when a
+// stream stalls, the suspects are those of its servers that no other stream has recently shown to
+// be alive. Streams that share a whole chain stall together, so a suspect is not proven dead: the
+// caller probes it.
 package suspect
--- a/coordination/suspect/leaving.go
+++ b/coordination/suspect/leaving.go
@@ -7,74 +7,74 @@
 )
 
 const (
-	// leavingFor is how long a server that leaves, and is not listed so, is avoided. It
-	// does not come back, and the list says so once the store can be reached again.
-	leavingFor = 10 * time.Second
-	// refusalsMost is how many refusals in a row show that a server is leaving: one may
-	// be of a hop behind it, or by chance. They are counted over all daemons, since each
-	// of many sends too little to one server.
-	refusalsMost = 2
-	// refusalsApart is the time between two that count: what is sent at once is
-	// refused for the same reason.
-	refusalsApart = 300 * time.Millisecond
+	// leavingTTL is how long a server that is shutting down, but is not listed as such, is avoided.
+	// It does not come back, and the list says so once the store can be reached again.
+	leavingTTL = 10 * time.Second
+	// minRefusals is how many refusals in a row show that a server is leaving: a single one may
+	// come from a hop behind it, or be a coincidence. They are counted over all daemons, since a
+	// single one of many daemons sends too few requests to one server.
+	minRefusals = 2
+	// refusalSpacing is the minimum time between two refusals that count: requests that are sent at
+	// the same time are refused for the same reason.
+	refusalSpacing = 300 * time.Millisecond
 )
 
-// Leaving is a server that refuses requests although it has room for them: it is about
-// to end, or gives its layers up. Daemons tell each other.
+// LeavingNotice announces to the other daemons that a server refuses requests although it has
+// capacity for them: it is about to shut down, or to release its layers.
 type LeavingNotice struct {
 	Server state.Life `msgpack:"server"`
 }
 
-// Refusal is one request that a server refused although it has room for it. Daemons tell
-// each other of the first one.
+// RefusalNotice announces to the other daemons that a server refused one request although it has
+// capacity for it. Only the first refusal is announced.
 type RefusalNotice struct {
 	Address string `msgpack:"address"`
 }
 
-// refusals are those of a server in a row.
+// refusals counts the refusals of a server in a row.
 type refusals struct {
 	count int
 	last  time.Time
 }
 
-// Refused notes that a server refused a request, here or at another daemon.
-func (b *Tracker) RecordRefusal(now time.Time, address string) {
-	r := &b.record(now, address).refusals
-	if r.count == 0 || now.Sub(r.last) >= refusalsApart {
+// RecordRefusal records that a server refused a request, here or at another daemon.
+func (t *Tracker) RecordRefusal(now time.Time, address string) {
+	r := &t.record(now, address).refusals
+	if r.count == 0 || now.Sub(r.last) >= refusalSpacing {
 		r.count++
 		r.last = now
 	}
 }
 
-// RefusesAll reports whether a server has refused requests time and again, with no
-// answer across it in between.
-func (b *Tracker) RefusesRepeatedly(address string) bool {
-	r, ok := b.servers[address]
-	return ok && r.refusals.count >= refusalsMost
+// RefusesRepeatedly reports whether a server has refused several requests in a row, with no answer
+// across it in between.
+func (t *Tracker) RefusesRepeatedly(address string) bool {
+	r, ok := t.servers[address]
+	return ok && r.refusals.count >= minRefusals
 }
 
-// Leaves notes that a server is leaving. It returns false if that was known.
-func (b *Tracker) MarkLeaving(now time.Time, l LeavingNotice) bool {
-	for old, until := range b.leaving {
+// MarkLeaving records that a server is leaving. It returns false if that was known.
+func (t *Tracker) MarkLeaving(now time.Time, l LeavingNotice) bool {
+	for old, until := range t.leaving {
 		if !now.Before(until) {
-			delete(b.leaving, old)
+			delete(t.leaving, old)
 		}
 	}
-	if _, known := b.leaving[l.Server]; known {
+	if _, known := t.leaving[l.Server]; known {
 		return false
 	}
-	b.leaving[l.Server] = now.Add(leavingFor)
+	t.leaving[l.Server] = now.Add(leavingTTL)
 	return true
 }
 
-// IsLeaving reports whether a server is better not used, since it is leaving.
-func (b *Tracker) IsLeaving(now time.Time, server state.Life) bool {
-	return now.Before(b.leaving[server])
+// IsLeaving reports whether a server should be avoided because it is leaving.
+func (t *Tracker) IsLeaving(now time.Time, server state.Life) bool {
+	return now.Before(t.leaving[server])
 }
 
-// EachLeaving calls f for each server that is better not used, since it is leaving.
-func (b *Tracker) EachLeaving(now time.Time, f func(state.Life)) {
-	for server, until := range b.leaving {
+// EachLeaving calls f for each server that should be avoided because it is leaving.
+func (t *Tracker) EachLeaving(now time.Time, f func(state.Life)) {
+	for server, until := range t.leaving {
 		if now.Before(until) {
 			f(server)
 		}
--- a/coordination/suspect/suspect.go
+++ b/coordination/suspect/suspect.go
@@ -8,141 +8,139 @@
 )
 
 const (
-	// avoidFirst is how long a server is avoided after one failure: a crashed
-	// server leaves the list within four heartbeats, a busy one has room again
-	// within some answers' time.
-	avoidFirst = 400 * time.Millisecond
-	// avoidMost bounds the time after several failures in a row; a probe with one
-	// request each few seconds is all that a dead server costs.
-	avoidMost = 4 * time.Second
-	// forgetAfter is when a server that nothing was heard of is dropped.
+	// minAvoid is how long a server is avoided after one failure: a crashed server leaves the list
+	// within four heartbeats, and a busy one has capacity again after a few answers.
+	minAvoid = 400 * time.Millisecond
+	// maxAvoid bounds this time after several failures in a row, so that a dead server costs no
+	// more than one probing request every few seconds.
+	maxAvoid = 4 * time.Second
+	// forgetAfter is when a server without any new observation is dropped.
 	forgetAfter = 30 * time.Second
 )
 
-// Book is what one daemon knows. It is not safe for use by several goroutines.
+// Tracker holds the observations of one daemon. It is not safe for concurrent use.
 type Tracker struct {
 	servers map[string]*record // by address
-	// outdated are entries that are not gone by, and until when.
+	// outdated holds list entries that are ignored, with the expiry of each.
 	outdated map[OutdatedNotice]time.Time
-	// leaving are servers that refuse requests, and until when that counts.
+	// leaving holds servers that refuse requests, with the expiry of each.
 	leaving map[state.Life]time.Time
 }
 
-// record is what is known of one server.
+// record holds the observations of one server.
 type record struct {
-	alive    time.Time // when it was last shown alive
-	quiet    RecentMax // times in which nothing showed it alive
-	delay    delay
-	refusals refusals
-	failures int       // in a row
-	avoid    time.Time // until when
-	touched  time.Time
+	lastAlive  time.Time // when it was last shown to be alive
+	gaps       RecentMax // recent gaps between such events
+	delay      delay
+	refusals   refusals
+	failures   int       // consecutive
+	avoidUntil time.Time // end of the time in which it is avoided
+	lastUsed   time.Time
 }
 
-// Stream follows one answer along its path.
+// Stream tracks one answer along its path.
 type Stream struct {
 	path    fleet.Path
 	records []*record
 }
 
-// NewBook returns an empty book.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{servers: make(map[string]*record), outdated: make(map[OutdatedNotice]time.Time), leaving: make(map[state.Life]time.Time)}
 }
 
-func (b *Tracker) record(now time.Time, address string) *record {
-	r, ok := b.servers[address]
+func (t *Tracker) record(now time.Time, address string) *record {
+	r, ok := t.servers[address]
 	if !ok {
 		r = &record{}
-		b.servers[address] = r
+		t.servers[address] = r
 	}
-	r.touched = now
+	r.lastUsed = now
 	return r
 }
 
-// Failed notes that a server failed a request, and has it avoided.
-func (b *Tracker) RecordFailure(now time.Time, address string) {
-	r := b.record(now, address)
+// RecordFailure records that a server failed a request, and avoids the server for a while.
+func (t *Tracker) RecordFailure(now time.Time, address string) {
+	r := t.record(now, address)
 	r.failures++
-	wait := avoidFirst
-	for i := 1; i < r.failures && wait < avoidMost; i++ {
+	wait := minAvoid
+	for i := 1; i < r.failures && wait < maxAvoid; i++ {
 		wait *= 2
 	}
-	r.avoid = now.Add(min(wait, avoidMost))
+	r.avoidUntil = now.Add(min(wait, maxAvoid))
 }
 
-// Answered notes a whole answer of a server.
-func (b *Tracker) RecordAnswer(now time.Time, address string) {
-	r := b.record(now, address)
-	r.alive = now
+// RecordAnswer records a complete answer of a server.
+func (t *Tracker) RecordAnswer(now time.Time, address string) {
+	r := t.record(now, address)
+	r.lastAlive = now
 	r.failures = 0
-	r.avoid = time.Time{}
+	r.avoidUntil = time.Time{}
 }
 
-// Forget drops what is known of the server at an address: another one is there now.
-func (b *Tracker) Forget(address string) { delete(b.servers, address) }
+// Forget drops the observations of an address because another server uses it now.
+func (t *Tracker) Forget(address string) { delete(t.servers, address) }
 
-// Avoided returns the addresses that are better not used now.
-func (b *Tracker) Avoided(now time.Time) map[string]bool {
+// Avoided returns the addresses that should not be used now.
+func (t *Tracker) Avoided(now time.Time) map[string]bool {
 	var out map[string]bool
-	for address, r := range b.servers {
-		if now.Before(r.avoid) {
+	for address, r := range t.servers {
+		if now.Before(r.avoidUntil) {
 			if out == nil {
 				out = make(map[string]bool)
 			}
 			out[address] = true
 		}
-		if now.Sub(r.touched) > forgetAfter {
-			delete(b.servers, address)
+		if now.Sub(r.lastUsed) > forgetAfter {
+			delete(t.servers, address)
 		}
 	}
 	return out
 }
 
-// Each calls f for each address of which something is known: whether it is better not used
-// now, and its part of what answers took to begin of late, in ms.
-func (b *Tracker) Each(now time.Time, f func(address string, avoided bool, delayMS float64)) {
-	for address, r := range b.servers {
-		if now.Sub(r.touched) > forgetAfter {
-			delete(b.servers, address)
+// Each calls f for each address with observations: whether it should be avoided now, and its share
+// of the recent times to the first event of answers, in ms.
+func (t *Tracker) Each(now time.Time, f func(address string, avoided bool, delayMS float64)) {
+	for address, r := range t.servers {
+		if now.Sub(r.lastUsed) > forgetAfter {
+			delete(t.servers, address)
 			continue
 		}
-		f(address, now.Before(r.avoid), r.delay.fade(now))
+		f(address, now.Before(r.avoidUntil), r.delay.decayed(now))
 	}
 }
 
-// Follow begins to follow an answer along a path.
-func (b *Tracker) TrackStream(now time.Time, path fleet.Path) *Stream {
+// TrackStream starts to track an answer along a path.
+func (t *Tracker) TrackStream(now time.Time, path fleet.Path) *Stream {
 	s := &Stream{path: path, records: make([]*record, len(path))}
 	for i, h := range path {
-		s.records[i] = b.record(now, h.Address)
+		s.records[i] = t.record(now, h.Address)
 	}
 	return s
 }
 
-// Progress notes that an event came: every server of the path works.
-func (b *Tracker) RecordProgress(now time.Time, s *Stream) {
+// RecordProgress records an event of a stream, which shows that every server of its path works.
+func (t *Tracker) RecordProgress(now time.Time, s *Stream) {
 	for _, r := range s.records {
-		r.show(now)
+		r.markAlive(now)
 	}
 }
 
-// show notes that a server works.
-func (r *record) show(now time.Time) {
-	if gap := now.Sub(r.alive); !r.alive.IsZero() && gap < usualMemory {
-		r.quiet.Add(now, gap)
+// markAlive records that a server works.
+func (r *record) markAlive(now time.Time) {
+	if gap := now.Sub(r.lastAlive); !r.lastAlive.IsZero() && gap < recentMaxMemory {
+		r.gaps.Add(now, gap)
 	}
-	r.alive = now
-	r.touched = now
+	r.lastAlive = now
+	r.lastUsed = now
 }
 
-// Silent returns the hops of a stream that nothing has shown alive for longer than
-// is usual for them: twice their longest quiet time of late, but no less than least
-// and no more than most.
-func (b *Tracker) SilentHops(now time.Time, s *Stream, least, most time.Duration) []fleet.Hop {
+// SilentHops returns the hops of a stream that nothing has shown to be alive for longer than usual:
+// twice their longest recent gap, but no less than least and no more than most.
+func (t *Tracker) SilentHops(now time.Time, s *Stream, least, most time.Duration) []fleet.Hop {
 	var out []fleet.Hop
 	for i, r := range s.records {
-		if now.Sub(r.alive) >= min(max(2*r.quiet.Value(now), least), most) {
+		if now.Sub(r.lastAlive) >= min(max(2*r.gaps.Value(now), least), most) {
 			out = append(out, s.path[i])
 		}
 	}
--- a/coordination/suspect/suspect_test.go
+++ b/coordination/suspect/suspect_test.go
@@ -19,11 +19,11 @@
 	return p
 }
 
-// delayOf is a server's part of what answers took to begin, in ms, as its book tells it; 0
-// for a server that the book does not know.
-func delayOf(b *suspect.Tracker, now time.Time, server string) float64 {
+// delayOf returns a server's share of the time to the first event, in ms, as Each reports it; 0 for
+// an unknown server.
+func delayOf(t *suspect.Tracker, now time.Time, server string) float64 {
 	out := 0.0
-	b.Each(now, func(address string, _ bool, delayMS float64) {
+	t.Each(now, func(address string, _ bool, delayMS float64) {
 		if address == server {
 			out = delayMS
 		}
@@ -31,112 +31,113 @@
 	return out
 }
 
-var _ = Describe("Suspicion", func() {
+var _ = Describe("Tracker", func() {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-	// Two streams share one hop, which goes dark. Another stream crosses the other
-	// hops of the first. Only the dark hop is suspected of the first one's silence.
-	It("falls on the hops that nothing shows alive", Label("failure:hop-dies"), func() {
-		b := suspect.NewTracker()
-		dark := b.TrackStream(at(0), path("a", "b", "c"))
-		other := b.TrackStream(at(0), path("a", "c"))
-		b.RecordProgress(at(10), dark)
-		b.RecordProgress(at(110), other)
-		hops := b.SilentHops(at(120), dark, 100*time.Millisecond, 100*time.Millisecond)
+	// Two streams share a hop that stops responding. Another stream crosses the remaining hops of
+	// the first one. Only the unresponsive hop may be suspected when the first stream stalls.
+	It("suspects the hops that nothing shows to be alive", Label("failure:hop-dies"), func() {
+		t := suspect.NewTracker()
+		dark := t.TrackStream(at(0), path("a", "b", "c"))
+		other := t.TrackStream(at(0), path("a", "c"))
+		t.RecordProgress(at(10), dark)
+		t.RecordProgress(at(110), other)
+		hops := t.SilentHops(at(120), dark, 100*time.Millisecond, 100*time.Millisecond)
 		Expect(hops).To(HaveLen(1))
 		Expect(hops[0].Address).To(Equal("b"))
 	})
 
-	// A site is slow: every server is quiet for 80 ms at a time. Probing each of them
-	// each time would cost more than a death; they are taken as they have been.
-	It("knows how long a server is usually quiet", func() {
-		b := suspect.NewTracker()
-		s := b.TrackStream(at(0), path("a"))
+	// Guards against needless probes: the site is slow and every server sends nothing for 80 ms at
+	// a time. Probing each of them each time would cost more than a crash; their usual gaps are
+	// taken into account.
+	It("learns how long the usual gaps of a server are", func() {
+		t := suspect.NewTracker()
+		s := t.TrackStream(at(0), path("a"))
 		for ms := 0; ms <= 800; ms += 80 {
-			b.RecordProgress(at(ms), s)
+			t.RecordProgress(at(ms), s)
 		}
 		least, most := 40*time.Millisecond, 200*time.Millisecond
-		Expect(b.SilentHops(at(900), s, least, most)).To(BeEmpty())
-		Expect(b.SilentHops(at(970), s, least, most)).To(HaveLen(1))
+		Expect(t.SilentHops(at(900), s, least, most)).To(BeEmpty())
+		Expect(t.SilentHops(at(970), s, least, most)).To(HaveLen(1))
 	})
 
-	// A card of one domain is slow. Answers through that domain begin late, and its
-	// servers are held to account for it until other answers are faster, or some
-	// seconds have passed.
-	It("holds servers to account for answers that began late, for a while", func() {
-		b := suspect.NewTracker()
-		b.AnswerStarted(at(0), path("a", "b"), 600*time.Millisecond)
-		b.AnswerStarted(at(0), path("c"), 60*time.Millisecond)
-		Expect(delayOf(b, at(0), "a")).To(BeNumerically(">", delayOf(b, at(0), "c")))
-		late := delayOf(b, at(0), "b")
+	// An engine of one domain is slow, and answers through that domain start late. Its servers keep
+	// a share of the delay until other answers are faster or some seconds have passed.
+	It("attributes late answers to the servers of their path for a while", func() {
+		t := suspect.NewTracker()
+		t.AnswerStarted(at(0), path("a", "b"), 600*time.Millisecond)
+		t.AnswerStarted(at(0), path("c"), 60*time.Millisecond)
+		Expect(delayOf(t, at(0), "a")).To(BeNumerically(">", delayOf(t, at(0), "c")))
+		late := delayOf(t, at(0), "b")
 		for range 20 {
-			b.AnswerStarted(at(1), path("b", "c"), 20*time.Millisecond)
+			t.AnswerStarted(at(1), path("b", "c"), 20*time.Millisecond)
 		}
-		Expect(delayOf(b, at(1), "b")).To(BeNumerically("<", late/2))
-		Expect(delayOf(b, at(10000), "a")).To(BeNumerically("<", 1))
-		Expect(delayOf(b, at(0), "unknown")).To(BeZero())
+		Expect(delayOf(t, at(1), "b")).To(BeNumerically("<", late/2))
+		Expect(delayOf(t, at(10000), "a")).To(BeNumerically("<", 1))
+		Expect(delayOf(t, at(0), "unknown")).To(BeZero())
 	})
 
-	It("grows with failures in a row and ends with an answer", func() {
-		b := suspect.NewTracker()
-		b.RecordFailure(at(0), "a")
-		Expect(b.Avoided(at(100))).To(HaveKey("a"))
-		Expect(b.Avoided(at(500))).To(BeEmpty())
-		b.RecordFailure(at(500), "a")
-		Expect(b.Avoided(at(1000))).To(HaveKey("a"))
-		b.RecordAnswer(at(1000), "a")
-		Expect(b.Avoided(at(1001))).To(BeEmpty())
+	It("avoids a server for longer after each consecutive failure, until it answers", func() {
+		t := suspect.NewTracker()
+		t.RecordFailure(at(0), "a")
+		Expect(t.Avoided(at(100))).To(HaveKey("a"))
+		Expect(t.Avoided(at(500))).To(BeEmpty())
+		t.RecordFailure(at(500), "a")
+		Expect(t.Avoided(at(1000))).To(HaveKey("a"))
+		t.RecordAnswer(at(1000), "a")
+		Expect(t.Avoided(at(1001))).To(BeEmpty())
 	})
 
-	It("forgets the failures of a server that another one has followed", func() {
-		b := suspect.NewTracker()
-		b.RecordFailure(at(0), "a")
-		b.AnswerStarted(at(0), path("a"), time.Second)
-		b.Forget("a")
-		Expect(b.Avoided(at(1))).To(BeEmpty())
-		Expect(delayOf(b, at(1), "a")).To(BeZero())
+	It("forgets the failures of a server that another one has replaced", func() {
+		t := suspect.NewTracker()
+		t.RecordFailure(at(0), "a")
+		t.AnswerStarted(at(0), path("a"), time.Second)
+		t.Forget("a")
+		Expect(t.Avoided(at(1))).To(BeEmpty())
+		Expect(delayOf(t, at(1), "a")).To(BeZero())
 	})
 
-	// A server leaves and is not listed so. It refuses each request, at each daemon. One
-	// refusal is no proof, nor are several of what was sent at once.
-	It("takes a server for leaving that refuses in a row", Label("failure:leaving-unlisted"), func() {
-		b := suspect.NewTracker()
-		b.RecordRefusal(at(0), "a")
-		b.RecordRefusal(at(100), "a")
-		Expect(b.RefusesRepeatedly("a")).To(BeFalse(), "both were sent at once")
-		b.RecordRefusal(at(400), "a")
-		Expect(b.RefusesRepeatedly("a")).To(BeTrue())
-		b.AnswerStarted(at(500), path("a"), time.Millisecond)
-		Expect(b.RefusesRepeatedly("a")).To(BeFalse(), "an answer has begun there")
-		Expect(b.RefusesRepeatedly("unknown")).To(BeFalse())
+	// A server is shutting down but is not listed as such, and refuses each request of each daemon.
+	// One refusal is no proof, nor are several refusals of requests that were sent at the same
+	// time.
+	It("treats a server that refuses several times in a row as leaving", Label("failure:leaving-unlisted"), func() {
+		t := suspect.NewTracker()
+		t.RecordRefusal(at(0), "a")
+		t.RecordRefusal(at(100), "a")
+		Expect(t.RefusesRepeatedly("a")).To(BeFalse(), "both were sent at the same time")
+		t.RecordRefusal(at(400), "a")
+		Expect(t.RefusesRepeatedly("a")).To(BeTrue())
+		t.AnswerStarted(at(500), path("a"), time.Millisecond)
+		Expect(t.RefusesRepeatedly("a")).To(BeFalse(), "an answer has started there")
+		Expect(t.RefusesRepeatedly("unknown")).To(BeFalse())
 	})
 
-	It("avoids a server that is leaving for a while, and not its next life", func() {
-		b := suspect.NewTracker()
-		life := state.Life{ID: "i-1"}
-		Expect(b.MarkLeaving(at(0), suspect.LeavingNotice{Server: life})).To(BeTrue())
-		Expect(b.MarkLeaving(at(1), suspect.LeavingNotice{Server: life})).To(BeFalse())
-		Expect(b.IsLeaving(at(9000), life)).To(BeTrue())
-		Expect(b.IsLeaving(at(9000), state.Life{ID: "i-1", Born: 7})).To(BeFalse())
-		Expect(b.IsLeaving(at(10000), life)).To(BeFalse())
+	It("avoids a leaving server for a while, but not its next incarnation", func() {
+		t := suspect.NewTracker()
+		incarnation := state.Life{ID: "i-1"}
+		Expect(t.MarkLeaving(at(0), suspect.LeavingNotice{Server: incarnation})).To(BeTrue())
+		Expect(t.MarkLeaving(at(1), suspect.LeavingNotice{Server: incarnation})).To(BeFalse())
+		Expect(t.IsLeaving(at(9000), incarnation)).To(BeTrue())
+		Expect(t.IsLeaving(at(9000), state.Life{ID: "i-1", Born: 7})).To(BeFalse())
+		Expect(t.IsLeaving(at(10000), incarnation)).To(BeFalse())
 	})
 
-	It("goes by no entry that its server has contradicted, until the entry changes", func() {
-		b := suspect.NewTracker()
+	It("ignores an entry that its server has contradicted until the entry changes", func() {
+		t := suspect.NewTracker()
 		s := fleet.Server{ID: "i-1", Layers: fleet.Range{From: 0, To: 4}}
 		o := suspect.OutdatedNotice{Server: s.Life(), Layers: s.Layers}
 		now := time.Unix(1000, 0)
-		Expect(b.MarkOutdated(now, o)).To(BeTrue())
-		Expect(b.MarkOutdated(now, o)).To(BeFalse(), "it is told once")
-		Expect(b.IsOutdated(now, &s)).To(BeTrue())
+		Expect(t.MarkOutdated(now, o)).To(BeTrue())
+		Expect(t.MarkOutdated(now, o)).To(BeFalse(), "it is announced once")
+		Expect(t.IsOutdated(now, &s)).To(BeTrue())
 		restarted := s
 		restarted.Born = 5
-		Expect(b.IsOutdated(now, &restarted)).To(BeFalse(), "another life may hold what this one did not")
+		Expect(t.IsOutdated(now, &restarted)).To(BeFalse(), "another incarnation may hold other layers")
 		moved := s
 		moved.Layers = fleet.Range{From: 4, To: 8}
-		Expect(b.IsOutdated(now, &moved)).To(BeFalse())
-		Expect(b.IsOutdated(now.Add(5*time.Second), &s)).To(BeFalse(), "it is still listed, and may be true again")
-		Expect(b.MarkOutdated(now.Add(5*time.Second), o)).To(BeTrue())
+		Expect(t.IsOutdated(now, &moved)).To(BeFalse())
+		Expect(t.IsOutdated(now.Add(5*time.Second), &s)).To(BeFalse(), "it is still listed and may be valid again")
+		Expect(t.MarkOutdated(now.Add(5*time.Second), o)).To(BeTrue())
 	})
 })
