--- a/coordination/storebudget/budget.go
+++ b/coordination/storebudget/budget.go
@@ -7,43 +7,43 @@
 	"github.com/hibiscuswick/hibiscuswick/coordination/store"
 )
 
-// The store's refusals cut the rate to cutBy of what it was, at most once a
-// cutEvery, down to minFactor; afterwards it grows by growth a second.
+// When the store refuses calls, the rate is multiplied by cutFactor, at most once per cutInterval,
+// down to minFactor; afterwards it recovers by recoveryRate per second.
 const (
-	cutBy     = 0.7
-	cutEvery  = time.Second
-	minFactor = 0.05
-	growth    = 0.05
+	cutFactor    = 0.7
+	cutInterval  = time.Second
+	minFactor    = 0.05
+	recoveryRate = 0.05
 )
 
-// spareSeconds bounds the tokens kept from idle classes.
-const spareSeconds = 0.5
+// maxSpareSeconds bounds the spare tokens of idle classes, in seconds of the rate.
+const maxSpareSeconds = 0.5
 
-type waiting struct {
-	want Request
-	at   time.Time
+type queuedCall struct {
+	request  Request
+	queuedAt time.Time
 }
 
-// bucket is one class's tokens.
+// bucket is the token bucket of one class.
 type bucket struct {
 	rate   float64
 	tokens float64
 }
 
-// Budget is the machine of one daemon. It belongs to the control goroutine.
+// Budget is the state machine of one daemon's budget. It belongs to the control goroutine.
 type Budget struct {
 	cfg     Config
 	rng     *rand.Rand
 	roles   Roles
-	buckets [kinds][store.NumClasses]bucket
-	spare   [kinds]float64 // what full buckets left over, for any class
-	queues  [kinds][store.NumClasses][]waiting
+	buckets [numKinds][store.NumClasses]bucket
+	spare   [numKinds]float64 // overflow of full buckets, usable by any class
+	queues  [numKinds][store.NumClasses][]queuedCall
 	usage   Usage
 
-	last       time.Time // of the last refill
+	last       time.Time // time of the last refill
 	lastCut    time.Time
 	unanswered int
-	probe      uint64 // ID of the call under way while the store is down
+	probe      uint64 // ID of the current call while the store is down
 	probing    bool
 	probeAt    time.Time
 	probeWait  time.Duration
@@ -60,12 +60,12 @@
 	return b
 }
 
-// Usage returns the counts so far.
+// Usage returns the counters so far.
 func (b *Budget) Usage() Usage {
 	return b.usage
 }
 
-// Waiting counts the calls that wait for a Grant.
+// Waiting returns the number of calls that wait for a Grant.
 func (b *Budget) Waiting() int {
 	n := 0
 	for k := range b.queues {
@@ -76,16 +76,16 @@
 	return n
 }
 
-// Step applies one event and returns what is decided, in order.
+// Step applies one event and returns the resulting actions in order.
 func (b *Budget) Step(now time.Time, ev Event) []Action {
 	b.now = now
 	b.out = nil
 	b.refill()
 	switch ev := ev.(type) {
 	case Request:
-		b.want(ev)
+		b.enqueue(ev)
 	case Cancel:
-		b.withdraw(ev.ID)
+		b.cancel(ev.ID)
 	case Finished:
 		b.finished(ev)
 	case RolesChanged:
@@ -97,8 +97,7 @@
 	return b.out
 }
 
-// NextTick returns when a waiting call may next be granted or shed, zero for
-// never.
+// NextTick returns when a waiting call may next be granted or shed, zero for never.
 func (b *Budget) NextTick() time.Time {
 	var next time.Time
 	earlier := func(t time.Time) {
@@ -111,27 +110,27 @@
 			if len(q) == 0 {
 				continue
 			}
-			earlier(q[0].at.Add(b.cfg.MaxWait))
+			earlier(q[0].queuedAt.Add(b.cfg.MaxWait))
 			if b.usage.Down {
 				if !b.probing {
 					earlier(b.probeAt)
 				}
 				continue
 			}
-			earlier(b.now.Add(b.delay(&b.buckets[k][c], q[0].want)))
+			earlier(b.now.Add(b.delay(&b.buckets[k][c], q[0].request)))
 		}
 	}
 	return next
 }
 
-// delay is how long a class's own tokens take to pay for w; spare ones may make
-// it shorter.
-func (b *Budget) delay(bk *bucket, w Request) time.Duration {
+// delay returns how long it takes until the tokens of the class itself pay for req; spare tokens
+// may make it shorter.
+func (b *Budget) delay(bk *bucket, req Request) time.Duration {
 	const shortest, longest = time.Millisecond, time.Second
 	if bk.rate <= 0 {
 		return longest
 	}
-	s := (float64(w.Cost) - bk.tokens) / (bk.rate * b.usage.Factor)
+	s := (float64(req.Cost) - bk.tokens) / (bk.rate * b.usage.Factor)
 	return min(max(time.Duration(s*float64(time.Second)), shortest), longest)
 }
 
@@ -144,7 +143,7 @@
 	}
 }
 
-// capacity bounds a bucket: a second's worth, and enough for one call.
+// capacity is the bucket size: the tokens of one second, and at least enough for one call.
 func (bk *bucket) capacity() float64 {
 	return max(bk.rate, 1)
 }
@@ -155,8 +154,8 @@
 		return
 	}
 	b.last = b.now
-	if b.now.Sub(b.lastCut) >= cutEvery {
-		b.usage.Factor = min(1, b.usage.Factor+growth*dt)
+	if b.now.Sub(b.lastCut) >= cutInterval {
+		b.usage.Factor = min(1, b.usage.Factor+recoveryRate*dt)
 	}
 	for k := range b.buckets {
 		rate := 0.0
@@ -168,25 +167,25 @@
 			b.spare[k] += over
 			rate += bk.rate
 		}
-		b.spare[k] = min(b.spare[k], max(1, rate*spareSeconds))
+		b.spare[k] = min(b.spare[k], max(1, rate*maxSpareSeconds))
 	}
 }
 
-func (b *Budget) want(w Request) {
-	w.Cost = max(w.Cost, 1)
-	q := &b.queues[w.Kind][w.Class]
+func (b *Budget) enqueue(req Request) {
+	req.Cost = max(req.Cost, 1)
+	q := &b.queues[req.Kind][req.Class]
 	if len(*q) >= b.cfg.MaxQueue {
-		b.shed(w)
+		b.shed(req)
 		return
 	}
-	*q = append(*q, waiting{w, b.now})
+	*q = append(*q, queuedCall{req, b.now})
 }
 
-func (b *Budget) withdraw(id uint64) {
+func (b *Budget) cancel(id uint64) {
 	for k := range b.queues {
 		for c, q := range b.queues[k] {
 			for i := range q {
-				if q[i].want.ID == id {
+				if q[i].request.ID == id {
 					b.queues[k][c] = append(q[:i], q[i+1:]...)
 					return
 				}
@@ -195,17 +194,17 @@
 	}
 }
 
-func (b *Budget) shed(w Request) {
-	b.usage.Shed[w.Kind][w.Class]++
-	b.out = append(b.out, Shed{ID: w.ID})
+func (b *Budget) shed(req Request) {
+	b.usage.Shed[req.Kind][req.Class]++
+	b.out = append(b.out, Shed{ID: req.ID})
 }
 
 func (b *Budget) expire() {
 	for k := range b.queues {
 		for c, q := range b.queues[k] {
 			n := 0
-			for n < len(q) && !b.now.Before(q[n].at.Add(b.cfg.MaxWait)) {
-				b.shed(q[n].want)
+			for n < len(q) && !b.now.Before(q[n].queuedAt.Add(b.cfg.MaxWait)) {
+				b.shed(q[n].request)
 				n++
 			}
 			b.queues[k][c] = q[n:]
@@ -213,44 +212,44 @@
 	}
 }
 
-// grant lets calls go, most urgent class first.
+// grant grants waiting calls, most urgent class first.
 func (b *Budget) grant() {
 	for c := range store.NumClasses {
-		for k := range kinds {
-			for len(b.queues[k][c]) > 0 && b.take(Kind(k), store.Class(c)) {
-				w := b.queues[k][c][0].want
+		for k := range numKinds {
+			for len(b.queues[k][c]) > 0 && b.admit(Kind(k), store.Class(c)) {
+				req := b.queues[k][c][0].request
 				b.queues[k][c] = b.queues[k][c][1:]
 				b.usage.Granted[k][c]++
-				b.out = append(b.out, Grant{ID: w.ID})
+				b.out = append(b.out, Grant{ID: req.ID})
 			}
 		}
 	}
 }
 
-// take pays for the first call of a queue. While the store is down one call at
-// a time goes out, at the end of a back-off.
-func (b *Budget) take(k Kind, class store.Class) bool {
-	w := b.queues[k][class][0].want
+// admit pays for the first call of a queue. While the store is down, one call at a time is sent as
+// a probe, at the end of a backoff.
+func (b *Budget) admit(k Kind, class store.Class) bool {
+	req := b.queues[k][class][0].request
 	if b.usage.Down {
 		if b.probing || b.now.Before(b.probeAt) {
 			return false
 		}
 		b.probing = true
-		b.probe = w.ID
+		b.probe = req.ID
 		return true
 	}
-	return b.pay(k, class, float64(w.Cost))
+	return b.pay(k, class, float64(req.Cost))
 }
 
-// pay takes cost from the class's tokens, and what is missing from those that
-// idle classes left over. Urgent classes are served first, so they have first
-// call on the spare ones; none can take what another class is using. A cost
-// above what a bucket can hold is paid in part, so that no call waits for ever.
+// pay takes cost from the class's own tokens and the rest from the spare tokens of idle classes.
+// Urgent classes are served first and therefore have first access to the spare tokens; no class can
+// take what another class is using. A cost above the bucket size is paid in part, so that no call
+// waits forever.
 func (b *Budget) pay(k Kind, class store.Class, cost float64) bool {
 	own := &b.buckets[k][class]
 	cost = min(cost, own.capacity())
 	spare := b.spare[k]
-	if b.urgentWaits(k, class) {
+	if b.urgentWaiting(k, class) {
 		spare = 0
 	}
 	if own.tokens+spare < cost {
@@ -262,9 +261,9 @@
 	return true
 }
 
-// urgentWaits reports whether a more urgent class is short; without it a less
-// urgent one would take the spare tokens by fractions.
-func (b *Budget) urgentWaits(k Kind, class store.Class) bool {
+// urgentWaiting reports whether a more urgent class has waiting calls; without this check a less
+// urgent class would take the spare tokens in small fractions.
+func (b *Budget) urgentWaiting(k Kind, class store.Class) bool {
 	for c := range class {
 		if len(b.queues[k][c]) > 0 {
 			return true
@@ -280,33 +279,33 @@
 	}
 	if ev.Throttled || ev.Took > b.cfg.SlowAfter {
 		b.usage.Throttled++
-		b.cut()
+		b.reduceRate()
 	}
 	switch {
 	case answered:
 		b.unanswered = 0
-		b.recover()
+		b.markUp()
 	case ev.Throttled:
-		// A refusal for rate is a store that is up.
+		// A store that rejects calls for their rate is up.
 		b.unanswered = 0
-		b.recover()
+		b.markUp()
 	default:
 		b.unanswered++
-		b.failed()
+		b.callFailed()
 	}
 }
 
-func (b *Budget) cut() {
-	if b.now.Sub(b.lastCut) < cutEvery {
+func (b *Budget) reduceRate() {
+	if b.now.Sub(b.lastCut) < cutInterval {
 		return
 	}
 	b.lastCut = b.now
-	b.usage.Factor = max(minFactor, b.usage.Factor*cutBy)
+	b.usage.Factor = max(minFactor, b.usage.Factor*cutFactor)
 }
 
-// failed counts the store as down after a few lost answers in a row, and
-// lengthens the back-off.
-func (b *Budget) failed() {
+// callFailed marks the store as down after several unanswered calls in a
+// row, and increases the backoff.
+func (b *Budget) callFailed() {
 	if b.unanswered < b.cfg.DownAfter {
 		return
 	}
@@ -314,21 +313,21 @@
 		b.usage.Down = true
 		b.probeWait = b.cfg.ProbeMin
 	} else if !b.now.Before(b.probeAt) {
-		b.probeWait = min(2*b.probeWait, b.probeMax())
+		b.probeWait = min(2*b.probeWait, b.maxProbeWait())
 	}
 	b.probeAt = b.now.Add(b.probeWait/2 + time.Duration(b.rng.Int64N(int64(b.probeWait/2)+1)))
 }
 
-// probeMax keeps the calls of the whole fleet to a store that is down to about
-// 130 a second at any size.
-func (b *Budget) probeMax() time.Duration {
+// maxProbeWait keeps the calls of all daemons to a store that is down to about 130 per second at
+// any number of daemons.
+func (b *Budget) maxProbeWait() time.Duration {
 	const daemons = 100
 	return b.cfg.ProbeMax * time.Duration(max(b.roles.Members, daemons)) / daemons
 }
 
-// recover starts with empty buckets once the store answers again: all daemons
-// have calls waiting, and a second's worth from each would knock it over.
-func (b *Budget) recover() {
+// markUp restarts with empty buckets once the store answers again: all daemons have calls waiting,
+// and a second's worth from each would overload it.
+func (b *Budget) markUp() {
 	if !b.usage.Down {
 		return
 	}
--- a/coordination/storebudget/budget_test.go
+++ b/coordination/storebudget/budget_test.go
@@ -17,28 +17,28 @@
 var start = time.Unix(1000, 0)
 
 // fleet runs the budgets of all daemons against one store in virtual time.
-type fleet struct {
-	now     time.Time
-	budgets []*storebudget.Budget
-	rng     *rand.Rand
-	up      bool
-	latency time.Duration
-	limit   int // calls in a second that the store takes, 0 for any number
-	second  int // calls in this second
-	next    uint64
-	granted int
-	shed    int
-	due     []due
+type cluster struct {
+	now             time.Time
+	budgets         []*storebudget.Budget
+	rng             *rand.Rand
+	up              bool
+	latency         time.Duration
+	limit           int // calls per second that the store accepts, 0 for no limit
+	callsThisSecond int // calls in the current second
+	nextID          uint64
+	granted         int
+	shed            int
+	pending         []pendingResult
 }
 
-type due struct {
+type pendingResult struct {
 	at     time.Time
 	daemon int
 	ev     storebudget.Finished
 }
 
-func newFleet(n int, seed uint64) *fleet {
-	f := &fleet{now: start, rng: rand.New(rand.NewPCG(seed, 1)), up: true, latency: 10 * time.Millisecond}
+func newCluster(n int, seed uint64) *cluster {
+	f := &cluster{now: start, rng: rand.New(rand.NewPCG(seed, 1)), up: true, latency: 10 * time.Millisecond}
 	for i := range n {
 		roles := storebudget.Roles{Members: n, KeyHomes: 4, KeyHome: i < 4, Services: min(n, 15)}
 		if i < roles.Services {
@@ -49,46 +49,46 @@
 	return f
 }
 
-func (f *fleet) step(i int, ev storebudget.Event) {
+func (f *cluster) step(i int, ev storebudget.Event) {
 	for _, a := range f.budgets[i].Step(f.now, ev) {
 		switch a := a.(type) {
 		case storebudget.Grant:
 			f.granted++
-			f.second++
-			f.due = append(f.due, due{f.now.Add(f.latency), i, f.serve(a.ID)})
+			f.callsThisSecond++
+			f.pending = append(f.pending, pendingResult{f.now.Add(f.latency), i, f.serve(a.ID)})
 		case storebudget.Shed:
 			f.shed++
 		}
 	}
 }
 
-func (f *fleet) serve(id uint64) storebudget.Finished {
+func (f *cluster) serve(id uint64) storebudget.Finished {
 	switch {
 	case !f.up:
 		return storebudget.Finished{ID: id, Took: f.latency}
-	case f.limit > 0 && f.second > f.limit:
+	case f.limit > 0 && f.callsThisSecond > f.limit:
 		return storebudget.Finished{ID: id, Status: store.NotSent, Throttled: true, Took: f.latency}
 	}
 	return storebudget.Finished{ID: id, Status: store.Done, Took: f.latency}
 }
 
-func (f *fleet) want(i int, class store.Class, kind storebudget.Kind) {
-	f.next++
-	f.step(i, storebudget.Request{ID: f.next, Class: class, Kind: kind})
+func (f *cluster) request(i int, class store.Class, kind storebudget.Kind) {
+	f.nextID++
+	f.step(i, storebudget.Request{ID: f.nextID, Class: class, Kind: kind})
 }
 
-// run lets time pass by steps of 5 ms, and calls load in each.
-func (f *fleet) run(span time.Duration, load func(step int)) {
+// run advances the time in steps of 5 ms and calls load in each step.
+func (f *cluster) run(span time.Duration, load func(step int)) {
 	const step = 5 * time.Millisecond
 	for n := range int(span / step) {
 		f.now = f.now.Add(step)
 		if n%int(time.Second/step) == 0 {
-			f.second = 0
+			f.callsThisSecond = 0
 		}
 		load(n)
-		for len(f.due) > 0 && !f.due[0].at.After(f.now) {
-			d := f.due[0]
-			f.due = f.due[1:]
+		for len(f.pending) > 0 && !f.pending[0].at.After(f.now) {
+			d := f.pending[0]
+			f.pending = f.pending[1:]
 			f.step(d.daemon, d.ev)
 		}
 		for i, b := range f.budgets {
@@ -100,8 +100,8 @@
 }
 
 var _ = Describe("Budget", func() {
-	// Calls of all classes come in bursts; none may wait for ever, and in no
-	// span of time may a daemon send more than its share and what it saved.
+	// Calls of all classes come in bursts; none may wait forever, and in no period may a daemon
+	// send more than its share and the tokens that it saved.
 	It("never grants more than the share and one burst", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			cfg := storebudget.DefaultConfig()
@@ -136,7 +136,7 @@
 				}
 				burst += max(1, rate/2)
 				if got, most := float64(granted), rate*now.Sub(start).Seconds()+burst; got > most+1e-6 {
-					t.Fatalf("granted %v writes, at most %v are this daemon's", got, most)
+					t.Fatalf("granted %v writes, this daemon's share is at most %v", got, most)
 				}
 			}
 			counted := b.Usage()
@@ -150,7 +150,7 @@
 		})
 	})
 
-	It("adds up to the site's rate over all daemons", func() {
+	It("has shares that add up to the site's rate over all daemons", func() {
 		cfg := storebudget.DefaultConfig()
 		for _, n := range []int{9, 50, 150, 420} {
 			sum := 0.0
@@ -168,12 +168,12 @@
 	})
 
 	It("serves claims first and starves no class", func() {
-		f := newFleet(1, 1)
+		f := newCluster(1, 1)
 		roles := storebudget.Roles{Members: 1, KeyHomes: 1, KeyHome: true, Services: 1, Leases: 1}
 		f.run(20*time.Second, func(int) {
 			for range 4 {
-				f.want(0, store.ClassClaim, storebudget.Write)
-				f.want(0, store.ClassPresence, storebudget.Write)
+				f.request(0, store.ClassClaim, storebudget.Write)
+				f.request(0, store.ClassPresence, storebudget.Write)
 			}
 		})
 		u := f.budgets[0].Usage()
@@ -182,17 +182,16 @@
 		Expect(u.Granted[storebudget.Write][store.ClassClaim]).To(BeNumerically(">", 20*300*3/4))
 	})
 
-	// Callers wait while the store answers nothing for a minute; every daemon
-	// has calls waiting when it comes back. The cause of a second outage
-	// would be all of them sent at once.
-	It("returns gently after an outage", Label("failure:store-down"), func() {
-		f := newFleet(420, 3)
+	// Guards against a second outage caused by the backlog: the store answers nothing for a minute,
+	// every daemon has calls waiting, and all of them would be sent at once when it is recovered.
+	It("ramps up slowly after an outage", Label("failure:store-down"), func() {
+		f := newCluster(420, 3)
 		busy := func(step int) {
 			for i := step % 20; i < 420; i += 20 {
-				f.want(i, store.ClassClaim, storebudget.Write)
+				f.request(i, store.ClassClaim, storebudget.Write)
 			}
 			for home := range 4 {
-				f.want(home, store.ClassClaim, storebudget.Write)
+				f.request(home, store.ClassClaim, storebudget.Write)
 			}
 		}
 		f.run(5*time.Second, busy)
@@ -209,35 +208,35 @@
 		GinkgoWriter.Printf("probes %.0f/s, first second %d writes, ten seconds %d\n", probes, first, f.granted)
 		Expect(probes).To(BeNumerically("<", 200))
 		Expect(first).To(BeNumerically("<=", 300))
-		// All the load is claims; what the other classes do not use is spare
-		// only once their buckets are full.
+		// All of the load is claims; what the other classes do not use becomes spare only once
+		// their buckets are full.
 		Expect(f.granted).To(BeNumerically(">", 10*300*0.55*0.95))
 		for _, b := range f.budgets {
 			Expect(b.Usage().Down).To(BeFalse())
 		}
 	})
 
-	// A slow store takes a third of what it is set to and refuses the rest.
-	It("cuts back when the store refuses, and comes back", Label("failure:store-slow"), func() {
-		f := newFleet(9, 4)
+	// A slow store accepts a third of its configured rate and refuses the rest.
+	It("reduces its rate when the store refuses calls, and recovers", Label("failure:store-slow"), func() {
+		f := newCluster(9, 4)
 		f.limit = 100
 		busy := func(int) {
 			for i := range 9 {
-				f.want(i, store.ClassClaim, storebudget.Write)
+				f.request(i, store.ClassClaim, storebudget.Write)
 			}
 		}
 		f.run(30*time.Second, busy)
 		f.granted = 0
 		f.run(30*time.Second, busy)
-		cut := float64(f.granted) / 30
+		reduced := float64(f.granted) / 30
 		f.limit = 0
 		f.run(30*time.Second, busy)
 		f.granted = 0
 		f.run(10*time.Second, busy)
-		back := float64(f.granted) / 10
-		GinkgoWriter.Printf("%.0f calls/s while the store takes 100, %.0f/s afterwards\n", cut, back)
-		Expect(cut).To(BeNumerically("<", 150))
-		Expect(back).To(BeNumerically(">", 240))
+		recovered := float64(f.granted) / 10
+		GinkgoWriter.Printf("%.0f calls/s while the store takes 100, %.0f/s afterwards\n", reduced, recovered)
+		Expect(reduced).To(BeNumerically("<", 150))
+		Expect(recovered).To(BeNumerically(">", 240))
 	})
 })
 
@@ -253,7 +252,7 @@
 	}
 }
 
-// BenchmarkShares reports what one daemon may write, by role and fleet size.
+// BenchmarkShares reports what one daemon may write, by role and number of daemons.
 func BenchmarkShares(b *testing.B) {
 	cfg := storebudget.DefaultConfig()
 	for _, n := range []int{9, 50, 150, 420} {
--- a/coordination/storebudget/config.go
+++ b/coordination/storebudget/config.go
@@ -6,17 +6,17 @@
 	"github.com/hibiscuswick/hibiscuswick/coordination/store"
 )
 
-// Kind tells reads from writes.
+// Kind distinguishes reads from writes.
 type Kind uint8
 
 // The values of Kind.
 const (
-	Read  Kind = iota
-	Write      // one transaction, whatever its rows, unless Want.Cost says more
-	kinds = 2
+	Read     Kind = iota
+	Write         // one transaction, whatever its rows, unless Request.Cost says more
+	numKinds = 2
 )
 
-// Config is the site's rate and how it is parted.
+// Config is the site's rate and how it is divided.
 type Config struct {
 	WritesPerSecond float64 // of the whole site
 	ReadsPerSecond  float64
@@ -25,19 +25,18 @@
 	WriteShares [store.NumClasses]float64
 	ReadShares  [store.NumClasses]float64
 
-	// SpreadShare is the part of the claim and lease shares that all daemons
-	// have alike, for claims written without a key home and for taking leases
-	// over.
+	// SpreadShare is the part of the claim and lease shares that is divided equally among all
+	// daemons, for claims written without a key home and for taking over leases.
 	SpreadShare float64
 
 	MaxQueue int           // calls waiting per class and kind; more are shed
-	MaxWait  time.Duration // longest wait, then a call is shed
+	MaxWait  time.Duration // longest wait, after which a call is shed
 
 	SlowAfter time.Duration // a call that takes longer counts as a refusal
-	DownAfter int           // calls unanswered in a row before the store counts as down
+	DownAfter int           // unanswered calls in a row after which the store counts as down
 
-	ProbeMin time.Duration // back-off of the calls sent while it is down
-	ProbeMax time.Duration // its bound for up to 100 daemons; grows with more
+	ProbeMin time.Duration // first backoff of the calls sent while the store is down
+	ProbeMax time.Duration // its maximum for up to 100 daemons; grows with their number
 }
 
 // DefaultConfig returns the values used by a daemon.
@@ -57,16 +56,16 @@
 	}
 }
 
-// Roles is what decides a daemon's share.
+// Roles determines a daemon's share.
 type Roles struct {
-	Members  int  // live daemons, this one included
-	KeyHomes int  // how many daemons batch claims
-	KeyHome  bool // this one is among them
+	Members  int  // live daemons, including this one
+	KeyHomes int  // number of daemons that batch claims
+	KeyHome  bool // whether this daemon is one of them
 	Services int
 	Leases   int // held by this daemon
 }
 
-// Rate is this daemon's share of a class, calls a second.
+// Rate returns this daemon's share of a class, in calls per second.
 func (c Config) Rate(r Roles, k Kind, class store.Class) float64 {
 	site := c.ReadsPerSecond * c.ReadShares[class]
 	if k == Write {
--- a/coordination/storebudget/events.go
+++ b/coordination/storebudget/events.go
@@ -6,13 +6,13 @@
 	"github.com/hibiscuswick/hibiscuswick/coordination/store"
 )
 
-// Event is what a Budget is told.
+// Event is an input of a Budget.
 type Event interface {
 	event()
 }
 
-// Want asks to send a store call. ID is the caller's own number; Cost counts
-// against the rate, 0 taken as 1.
+// Request asks to send a store call. ID is chosen by the caller; Cost is the number of tokens,
+// where 0 means 1.
 type Request struct {
 	ID    uint64
 	Class store.Class
@@ -20,13 +20,13 @@
 	Cost  int
 }
 
-// Withdraw takes back a Want that was not granted yet.
+// Cancel withdraws a Request that was not granted yet.
 type Cancel struct {
 	ID uint64
 }
 
-// Finished tells how a granted call ended. Throttled is the store's own
-// refusal for rate.
+// Finished reports how a granted call ended. Throttled means that the store refused it because of
+// its rate.
 type Finished struct {
 	ID        uint64
 	Status    store.Status
@@ -34,12 +34,12 @@
 	Throttled bool
 }
 
-// RolesChanged tells the daemon's share anew.
+// RolesChanged reports new roles of the daemon, which determine its share.
 type RolesChanged struct {
 	Roles Roles
 }
 
-// Tick lets time pass.
+// Tick lets timers run.
 type Tick struct{}
 
 func (Request) event()      {}
@@ -48,7 +48,7 @@
 func (RolesChanged) event() {}
 func (Tick) event()         {}
 
-// Action is what a Budget decides.
+// Action is an output of a Budget.
 type Action interface {
 	action()
 }
@@ -58,8 +58,7 @@
 	ID uint64
 }
 
-// Shed refuses a call that waited too long or found no room; it is answered
-// store.NotSent.
+// Shed refuses a call that waited too long or found the queue full; it ends with store.NotSent.
 type Shed struct {
 	ID uint64
 }
@@ -67,12 +66,12 @@
 func (Grant) action() {}
 func (Shed) action()  {}
 
-// Usage is what was granted and refused since the Budget was made, by kind and
-// class, and how the store is doing.
+// Usage counts what was granted and refused since the Budget was created, by kind and class, and
+// reports the state of the store.
 type Usage struct {
-	Granted   [kinds][store.NumClasses]int
-	Shed      [kinds][store.NumClasses]int
+	Granted   [numKinds][store.NumClasses]int
+	Shed      [numKinds][store.NumClasses]int
 	Throttled int     // calls that the store refused or was slow to answer
-	Factor    float64 // of this daemon's share now in use, 1 for all
+	Factor    float64 // fraction of this daemon's share that is in use, 1 for all of it
 	Down      bool
 }
