--- a/coordination/cover/cover_test.go
+++ b/coordination/cover/cover_test.go
@@ -14,7 +14,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// engine is a model of 80 layers of 1.75 GB on three kinds of cards.
+// engine is a model of 80 layers of 1.75 GB on three accelerator kinds.
 var engine = &fleet.Engine{
 	Layers: 80, LayerMB: 1750, KVTokens: 100000, TokenKB: 459, LoadTime: 14 * time.Second,
 	Kinds: map[string]fleet.CardKind{
@@ -22,7 +22,7 @@
 	},
 }
 
-func cards(domain state.FailureDomain, big, middle, small int) []fleet.Server {
+func serversOf(domain state.FailureDomain, big, middle, small int) []fleet.Server {
 	var out []fleet.Server
 	for kind, n := range map[string]int{"big": big, "middle": middle, "small": small} {
 		for i := range n {
@@ -46,7 +46,7 @@
 	return out
 }
 
-// missing counts the layers that no server of a domain holds; "" counts all domains.
+// missing counts the layers that no server of a domain holds; "" counts over all domains.
 func missing(servers []fleet.Server, domain state.FailureDomain) int {
 	n := 0
 	for l := range engine.Layers {
@@ -64,7 +64,7 @@
 }
 
 func site() []fleet.Server {
-	return append(append(cards("a", 3, 3, 5), cards("b", 1, 5, 8)...), cards("c", 1, 7, 5)...)
+	return append(append(serversOf("a", 3, 3, 5), serversOf("b", 1, 5, 8)...), serversOf("c", 1, 7, 5)...)
 }
 
 var _ = Describe("Plan", func() {
@@ -75,63 +75,62 @@
 		}
 	})
 
-	It("keeps the nominal room for tokens on each card", func() {
+	It("keeps the nominal KV-cache capacity on each engine", func() {
 		for _, a := range cover.Plan(engine, site()) {
 			Expect(engine.Room(engine.Kinds[a.Server.Kind], a.Layers.Len())).To(BeNumerically(">=", engine.KVTokens))
 		}
 	})
 
-	It("covers every layer over domains that can't each hold all", func() {
-		servers := append(cards("a", 2, 2, 0), cards("b", 2, 2, 1)...)
+	It("covers every layer across domains that cannot hold all layers by themselves", func() {
+		servers := append(serversOf("a", 2, 2, 0), serversOf("b", 2, 2, 1)...)
 		servers = apply(servers, cover.Plan(engine, servers))
 		Expect(missing(servers, "")).To(BeZero())
 	})
 })
 
 var _ = Describe("Repair", func() {
-	It("leaves a whole layout alone", func() {
+	It("leaves a complete layout alone", func() {
 		servers := apply(site(), cover.Plan(engine, site()))
 		Expect(cover.Repair(engine, servers, nil)).To(BeEmpty())
 	})
 
-	// A domain loses its largest card for good, while only one other domain holds
-	// every layer. Callers see a moment of that domain's paths; then the first one
-	// serves by itself again. Cause: cards that hold what others hold too are moved
-	// onto the lost layers.
-	It("moves cards that are held twice onto layers that nobody holds", Label("failure:hop-dies"), func() {
-		two := append(cards("a", 3, 3, 5), cards("b", 1, 5, 8)...)
-		servers := apply(two, cover.Plan(engine, two))
-		lost := servers[:0:0]
+	// Guards against a domain that remains incomplete: it loses its largest engine for good, while
+	// only one other domain holds every layer. Paths of that other domain are used for a moment,
+	// until engines whose layers are also held by others have been moved onto the lost layers.
+	It("moves engines whose layers are held twice onto layers that no engine holds", Label("failure:hop-dies"), func() {
+		twoDomains := append(serversOf("a", 3, 3, 5), serversOf("b", 1, 5, 8)...)
+		servers := apply(twoDomains, cover.Plan(engine, twoDomains))
+		remaining := servers[:0:0]
 		for _, s := range servers {
 			if s.ID != "b-big-00" {
-				lost = append(lost, s)
+				remaining = append(remaining, s)
 			}
 		}
-		Expect(missing(lost, "b")).NotTo(BeZero())
+		Expect(missing(remaining, "b")).NotTo(BeZero())
 		for range 3 {
-			lost = apply(lost, cover.Repair(engine, lost, nil))
+			remaining = apply(remaining, cover.Repair(engine, remaining, nil))
 		}
-		Expect(missing(lost, "b")).To(BeZero())
+		Expect(missing(remaining, "b")).To(BeZero())
 	})
 
-	It("moves no card in use while two domains hold every layer", func() {
+	It("moves no engine in use while two domains hold every layer", func() {
 		servers := apply(site(), cover.Plan(engine, site()))
-		var lost []fleet.Server
+		var remaining []fleet.Server
 		for _, s := range servers {
 			if s.ID != "b-big-00" {
-				lost = append(lost, s)
+				remaining = append(remaining, s)
 			}
 		}
-		Expect(missing(lost, "b")).NotTo(BeZero())
-		Expect(cover.Repair(engine, lost, nil)).To(BeEmpty())
+		Expect(missing(remaining, "b")).NotTo(BeZero())
+		Expect(cover.Repair(engine, remaining, nil)).To(BeEmpty())
 	})
 
-	// Engines are replaced one after the other. Callers wait, and many are refused
-	// for want of room. Cause: each time one left, engines in use were moved into its
-	// place and were missing in their own, although its successor came at once.
-	It("moves no card in use while a new one is coming", Label("failure:engines-replaced"), func() {
-		two := append(cards("a", 3, 3, 5), cards("b", 1, 5, 8)...)
-		servers := apply(two, cover.Plan(engine, two))
+	// Guards against refused requests while engines are replaced one after the other: each time an
+	// engine shut down, engines in use were moved into its place and their own layers were missing,
+	// although its successor started at once.
+	It("moves no engine in use while a new one is starting", Label("failure:engines-replaced"), func() {
+		twoDomains := append(serversOf("a", 3, 3, 5), serversOf("b", 1, 5, 8)...)
+		servers := apply(twoDomains, cover.Plan(engine, twoDomains))
 		for i := range servers {
 			servers[i].Draining = servers[i].ID == "b-big-00"
 		}
@@ -142,7 +141,7 @@
 		loading := map[state.Life]cover.PendingOrder{successor.Life(): {Layers: as[0].Layers}}
 		Expect(cover.Repair(engine, append(servers, successor), loading)).To(BeEmpty())
 		successor.Layers = as[0].Layers
-		Expect(cover.Repair(engine, append(servers, successor), nil)).NotTo(BeEmpty(), "it has come, and layers are still missing")
+		Expect(cover.Repair(engine, append(servers, successor), nil)).NotTo(BeEmpty(), "the new engine has its layers, and others are still missing")
 	})
 
 	It("orders nothing for an engine that is carrying out an order", func() {
@@ -155,12 +154,13 @@
 	})
 })
 
-// No card is ever ordered to hold more than its memory, and repairs come to an end.
+// TestRepairIsSafe checks that no engine is ever ordered to hold more than its memory, and that
+// repairs terminate.
 func TestRepairIsSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var servers []fleet.Server
 		for _, d := range []state.FailureDomain{"a", "b", "c"} {
-			servers = append(servers, cards(d, rapid.IntRange(0, 3).Draw(t, "big"), rapid.IntRange(0, 6).Draw(t, "middle"), rapid.IntRange(0, 8).Draw(t, "small"))...)
+			servers = append(servers, serversOf(d, rapid.IntRange(0, 3).Draw(t, "big"), rapid.IntRange(0, 6).Draw(t, "middle"), rapid.IntRange(0, 8).Draw(t, "small"))...)
 		}
 		for i := range servers {
 			servers[i].Draining = rapid.IntRange(0, 9).Draw(t, "draining") == 0
@@ -175,17 +175,17 @@
 				return
 			}
 			if round > 20 {
-				t.Fatalf("no end of repairs: %v", as)
+				t.Fatalf("repairs do not terminate: %v", as)
 			}
 			for _, a := range as {
 				if a.Server.Draining {
 					t.Fatalf("an order for a draining server: %v", a)
 				}
 				if float64(a.Layers.Len())*engine.LayerMB > engine.Kinds[a.Server.Kind].MemoryMB {
-					t.Fatalf("too many layers: %v", a)
+					t.Fatalf("more layers than the memory can hold: %v", a)
 				}
 				if a.Layers.From < 0 || a.Layers.To > engine.Layers {
-					t.Fatalf("no such layers: %v", a)
+					t.Fatalf("layers out of range: %v", a)
 				}
 			}
 			servers = apply(servers, as)
@@ -194,11 +194,11 @@
 }
 
 var _ = Describe("A layout of thousands of engines", func() {
-	// Streams of a site of 10,500 engines cross a few of them, and the others stand idle. Cause:
-	// a layer that 360 engines hold counted as no better covered than one that 370 hold, so that
-	// all further engines were given the first layers.
-	It("tells layers of many copies apart", Label("failure:layers-of-many-copies"), func() {
-		servers := cards("a", 1500, 4500, 4500)
+	// Guards against idle engines in a site of 10,500 engines, where streams crossed only a few of
+	// them: a layer with 360 copies counted as no better covered than one with 370, so that all
+	// further engines were assigned the first layers.
+	It("distinguishes layers with many copies", Label("failure:layers-of-many-copies"), func() {
+		servers := serversOf("a", 1500, 4500, 4500)
 		placed := apply(servers, cover.Plan(engine, servers))
 		copies := fleet.NewCover(engine.Layers)
 		for _, s := range placed {
@@ -212,10 +212,10 @@
 	})
 })
 
-// BenchmarkPlan lays out engines that hold nothing yet.
+// BenchmarkPlan lays out engines that hold no layers yet.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{100, 1000, 3000} {
-		servers := append(append(cards("a", n/12, n/8, n/8), cards("b", n/12, n/8, n/8)...), cards("c", n/12, n/8, n/8)...)
+		servers := append(append(serversOf("a", n/12, n/8, n/8), serversOf("b", n/12, n/8, n/8)...), serversOf("c", n/12, n/8, n/8)...)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				cover.Plan(engine, servers)
