--- a/coordination/pathing/estimate.go
+++ b/coordination/pathing/estimate.go
@@ -6,55 +6,58 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Estimate turns the loads of one daemon's own requests into what all daemons are believed
-// to run.
+// Estimate extrapolates the loads of one daemon's own requests to the expected loads of all
+// daemons.
 //
-// Load pattern: 69 daemons before 86 engines in three domains have some nine streams under
-// way each. Where one stream on a card stands for all daemons', a card with one counts as full
-// and the next streams go over ever slower cards. So a stream stands for as many daemons as
-// make it no more than a quarter of a card's room, but for those of the daemon's own domain at
-// least: callers are sent to daemons of their own domain, and paths begin in the daemon's own,
-// so that these share its cards. What is not seen of another domain's cards that way is taken
-// to be as cards of their kind are used here.
+// Load pattern: 69 daemons in front of 86 engines in three domains have about nine active streams
+// each. If one stream on an engine represented those of all daemons, an engine with one stream
+// would count as full and the next streams would use ever slower engines. Therefore a stream
+// represents as many daemons as fill at most a quarter of an engine's KV-cache capacity, but at
+// least those of the daemon's own domain: callers are sent to daemons of their own domain and paths
+// begin in the daemon's own domain, so these daemons share its engines. The unseen load of another
+// domain's engines is assumed to be that of local engines of the same kind.
 //
-// Limits: where a daemon has some two streams under way, what it sees says little of a
-// card, and only the number of daemons keeps cards even. In the model of the spec paths cost
-// 35 ms a token at 69 daemons and 34 at 195, 29 if each knew all, and 260 at 195 where a
-// stream stands for all daemons. With the domain's daemons alone a deployment of six daemons
-// is worth .45 to .58 on days of losses beside slow cards, and .62 to .68 with this.
+// Limits: if a daemon has only about two active streams, its own load says little about an engine,
+// and only the number of daemons keeps the load even. In the model of the spec, paths cost 35 ms
+// per token with 69 daemons and 34 ms with 195, 29 ms if each daemon knew the load of all, and 260
+// ms with 195 if a stream represents all daemons. If a stream represents only the domain's daemons,
+// a deployment of six daemons scores 0.45 to 0.58 on simulated days with losses and slow engines,
+// instead of 0.62 to 0.68.
 func (r *Roster) Estimate(states []ServerState, d DaemonCounts) {
 	home := slices.Index(r.domains, d.Domain)
 	use := r.useByKind(states, home, float64(d.InDomain))
 	for i := range states {
-		p, load, room := &r.places[i], &states[i].Load, float64(r.cards[i].KVCapacity)
-		n := d.standsFor(room)
+		p, load, capacity := &r.estimateInputs[i], &states[i].Load, float64(r.candidates[i].KVCapacity)
+		n := d.represents(capacity)
 		load.Tokens *= n
 		load.FirstHopRequests *= n
 		if p.domain != home {
-			load.Tokens += d.unseen(n) * use[p.kind] * room
+			load.Tokens += d.unseen(n) * use[p.kind] * capacity
 		}
 	}
 }
 
-// Daemons are those that share a service's engines with the one that asks.
+// DaemonCounts describes the daemons that share a service's engines.
 type DaemonCounts struct {
-	Domain   state.FailureDomain // of the one that asks
-	InDomain int                 // daemons in its domain, itself included; at least 1
-	Total    int                 // of all domains; at least Near
+	Domain   state.FailureDomain // of the daemon that estimates
+	InDomain int                 // daemons in its domain, including itself; at least 1
+	Total    int                 // daemons in all domains; at least InDomain
 }
 
-// mostStands is the largest share of a card's room for which one stream is to stand, unless
-// its domain alone has more daemons: with 30 daemons and fewer it stands for all of them.
-const mostStands = 0.25
+// maxRepresentedShare is the largest share of an engine's KV-cache capacity that one stream may
+// represent, unless its domain alone has more daemons. With up to 30 daemons a stream represents
+// all of them.
+const maxRepresentedShare = 0.25
 
-// standsFor is for how many daemons a stream of one's own on a card of some room stands.
-func (d DaemonCounts) standsFor(room float64) float64 {
-	most := mostStands * room / streamTokens
+// represents returns the number of daemons that one local stream represents on an engine of the
+// given KV-cache capacity.
+func (d DaemonCounts) represents(capacity float64) float64 {
+	most := maxRepresentedShare * capacity / streamTokens
 	return max(float64(d.InDomain), min(float64(d.Total), most))
 }
 
-// unseen is which part of the use of another domain's cards a daemon does not see, where a
-// stream stands for n daemons.
+// unseen returns the part of the load of another domain's engines that a daemon does not see if a
+// stream represents n daemons.
 func (d DaemonCounts) unseen(n float64) float64 {
 	if d.Total <= d.InDomain {
 		return 1
@@ -62,22 +65,23 @@
 	return (float64(d.Total) - n) / float64(d.Total-d.InDomain)
 }
 
-// useByKind is the mean share of their rooms that the cards of each kind in a domain use.
+// useByKind returns the mean used share of the KV-cache capacity of each accelerator kind in a
+// domain.
 func (r *Roster) useByKind(states []ServerState, home int, near float64) []float64 {
 	held := make([]float64, len(r.kinds)) // tokens times layers
-	room := make([]float64, len(r.kinds))
+	capacity := make([]float64, len(r.kinds))
 	for i := range states {
-		p := &r.places[i]
+		p := &r.estimateInputs[i]
 		if p.domain != home {
 			continue
 		}
 		held[p.kind] += states[i].Load.Tokens * p.layers
-		room[p.kind] += float64(r.cards[i].KVCapacity) * p.layers
+		capacity[p.kind] += float64(r.candidates[i].KVCapacity) * p.layers
 	}
 	use := make([]float64, len(r.kinds))
 	for k := range use {
-		if room[k] > 0 {
-			use[k] = held[k] * near / room[k]
+		if capacity[k] > 0 {
+			use[k] = held[k] * near / capacity[k]
 		}
 	}
 	return use
--- a/coordination/pathing/estimate_test.go
+++ b/coordination/pathing/estimate_test.go
@@ -11,8 +11,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// mixed is a model on cards of which some are six times as fast as others.
-var mixed = &fleet.Engine{
+// mixedModel is a model on engines of which some are six times as fast as others.
+var mixedModel = &fleet.Engine{
 	Layers: 80, LayerMB: 1750, KVTokens: 100000, TokenKB: 590, ActivateKB: 29.5, PipeMbps: 11000,
 	StepMS: 1.02, SeqMS: 0.00459, ContextMS: 0.00615, ReadPerS: 164000,
 	Kinds: map[string]fleet.CardKind{
@@ -21,25 +21,25 @@
 	},
 }
 
-// mixedSite lists three failure domains, each with two or three whole chains of its faster
-// cards and some more of its slow ones.
+// mixedSite lists three failure domains, each with two or three complete chains of its faster
+// engines and some more of its slow ones.
 func mixedSite() []fleet.Server {
 	holds := map[string]int{"large": 28, "middle": 17, "small": 8}
-	cards := map[state.FailureDomain]map[string]int{
+	counts := map[state.FailureDomain]map[string]int{
 		"a": {"large": 4, "middle": 6, "small": 14}, "b": {"large": 2, "middle": 9, "small": 22}, "c": {"large": 2, "middle": 15, "small": 12},
 	}
 	var out []fleet.Server
 	for _, d := range []state.FailureDomain{"a", "b", "c"} {
 		at := 0
 		for _, kind := range []string{"large", "middle", "small"} {
-			for i := range cards[d][kind] {
-				from := min(at, mixed.Layers-holds[kind])
+			for i := range counts[d][kind] {
+				from := min(at, mixedModel.Layers-holds[kind])
 				id := fmt.Sprintf("%s-%s-%d", d, kind, i)
 				out = append(out, fleet.Server{
 					ID: state.BackendID(id), Address: id, Domain: d, Kind: kind, Slots: 192,
 					Layers: fleet.Range{From: from, To: from + holds[kind]},
 				})
-				if at = from + holds[kind]; at >= mixed.Layers {
+				if at = from + holds[kind]; at >= mixedModel.Layers {
 					at = 0
 				}
 			}
@@ -48,62 +48,63 @@
 	return out
 }
 
-// siteLoad is many daemons that send streams over one roster.
+// siteLoad simulates many daemons that send streams over one roster.
 type siteLoad struct {
-	roster  *Roster
-	daemons int
-	domains []state.FailureDomain
-	own     [][]ServerState // of each daemon
-	all     []ServerState   // of all together
-	rng     *rand.Rand
+	roster     *Roster
+	daemons    int
+	domains    []state.FailureDomain
+	ownLoads   [][]ServerState // of each daemon
+	totalLoads []ServerState   // of all daemons together
+	rng        *rand.Rand
 }
 
 func newSiteLoad(daemons int) *siteLoad {
-	l := &siteLoad{roster: NewRoster(mixed, mixedSite()), daemons: daemons, domains: []state.FailureDomain{"a", "b", "c"}, rng: rand.New(rand.NewPCG(1, 2))}
-	l.all = make([]ServerState, l.roster.Len())
+	l := &siteLoad{roster: NewRoster(mixedModel, mixedSite()), daemons: daemons, domains: []state.FailureDomain{"a", "b", "c"}, rng: rand.New(rand.NewPCG(1, 2))}
+	l.totalLoads = make([]ServerState, l.roster.Len())
 	for range daemons {
-		l.own = append(l.own, make([]ServerState, l.roster.Len()))
+		l.ownLoads = append(l.ownLoads, make([]ServerState, l.roster.Len()))
 	}
 	return l
 }
 
-// sent is a stream under way.
-type sent struct {
+// activeStream is an active stream.
+type activeStream struct {
 	daemon int
 	path   fleet.Path
 	held   float64
 }
 
-// add counts a stream, or takes it off.
-func (l *siteLoad) add(s sent, by float64) {
+// add adds a stream to the loads, or removes it.
+func (l *siteLoad) add(s activeStream, delta float64) {
 	for k, h := range s.path {
 		i, _ := l.roster.IndexAt(h.Address)
-		for _, st := range []*ServerState{&l.own[s.daemon][i], &l.all[i]} {
-			st.Load.Tokens += by * s.held
+		for _, st := range []*ServerState{&l.ownLoads[s.daemon][i], &l.totalLoads[i]} {
+			st.Load.Tokens += delta * s.held
 			if k == 0 {
-				st.Load.FirstHopRequests += by
+				st.Load.FirstHopRequests += delta
 			}
 		}
 	}
 }
 
-// run sends streams, of which so many are under way at a time, and returns the mean cost of
-// their paths in ms a token, by what truly runs on the cards. known daemons know that too.
+// run sends streams, with the given number active at a time, and returns the mean cost of their
+// paths in ms per token for the true loads of the engines. With known set, the daemons know these
+// loads.
 func (l *siteLoad) run(streams int, known bool) float64 {
-	var under []sent
+	var active []activeStream
 	total, n := 0.0, 0
 	for turn := range 8 * streams {
-		if len(under) >= streams {
-			k := l.rng.IntN(len(under))
-			l.add(under[k], -1)
-			under[k] = under[len(under)-1]
-			under = under[:len(under)-1]
+		if len(active) >= streams {
+			k := l.rng.IntN(len(active))
+			l.add(active[k], -1)
+			active[k] = active[len(active)-1]
+			active = active[:len(active)-1]
 		}
 		d := l.rng.IntN(l.daemons)
 		req := Request{Domain: l.domains[d%len(l.domains)], PromptTokens: 400 + l.rng.IntN(700), MaxTokens: 300 + l.rng.IntN(600)}
-		states := append([]ServerState(nil), l.own[d]...)
+		states := append([]ServerState(nil), l.ownLoads[d]...)
 		if known {
-			copy(states, l.all)
+			copy(states, l.totalLoads)
 		} else {
 			l.roster.Estimate(states, DaemonCounts{Domain: req.Domain, InDomain: l.daemons / len(l.domains), Total: l.daemons})
 		}
@@ -112,28 +113,28 @@
 			panic("no path")
 		}
 		if turn >= 4*streams {
-			total += costOf(l.roster, req, l.all, path)
+			total += costOf(l.roster, req, l.totalLoads, path)
 			n++
 		}
-		s := sent{daemon: d, path: path, held: req.ExpectedTokens()}
+		s := activeStream{daemon: d, path: path, held: req.ExpectedTokens()}
 		l.add(s, 1)
-		under = append(under, s)
+		active = append(active, s)
 	}
 	return total / float64(n)
 }
 
-var _ = Describe("Many daemons before the same engines", func() {
-	// Drafts take half as long again as they need, and each trouble of an engine or a daemon
-	// meets the more of them. Order: 69 daemons have some nine streams under way each, and
-	// send the next ones over the slowest cards, although fast ones have room. Cause: each
-	// takes its one stream on a card for that of all others.
-	It("load them almost as if each knew of all", Label("failure:own-load-for-all"), func() {
-		// A caller's draft is to take no more than a fifth longer than it must.
+var _ = Describe("Many daemons in front of the same engines", func() {
+	// Guards against answers that take half as long again as necessary: 69 daemons have about nine
+	// active streams each, and send the next ones over the slowest engines although fast ones have
+	// capacity. Each daemon treats its one stream on an engine as if all others had one there, too.
+	// The longer streams are also hit by more engine and daemon failures.
+	It("load them almost as if each daemon knew the load of all", Label("failure:own-load-for-all"), func() {
+		// An answer may take at most a fifth longer than with full knowledge.
 		const most = 1.2
 		known := newSiteLoad(69).run(500, true)
 		for _, daemons := range []int{3, 9, 69, 195} {
 			believed := newSiteLoad(daemons).run(500, false)
-			AddReportEntry(fmt.Sprintf("%d daemons", daemons), fmt.Sprintf("%.1f ms a token, %.1f if all were known", believed, known))
+			AddReportEntry(fmt.Sprintf("%d daemons", daemons), fmt.Sprintf("%.1f ms per token, %.1f with full knowledge", believed, known))
 			Expect(believed).To(BeNumerically("<=", most*known), "%d daemons", daemons)
 		}
 	})
--- a/coordination/pathing/pathing_test.go
+++ b/coordination/pathing/pathing_test.go
@@ -13,36 +13,36 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// engine has room for 10,000 tokens and more beside the layers of a card.
+// engine has a KV cache of more than 10,000 tokens in addition to the layers of an engine.
 var engine = &fleet.Engine{
 	Layers: 12, StepMS: 1, ActivateKB: 20, PipeMbps: 8000, LayerMB: 1, TokenKB: 1,
 	Kinds: map[string]fleet.CardKind{"card": {Pace: 1, MemoryMB: 22}},
 }
 
-// card is a server with its state.
-type card struct {
+// testServer is a server with its state.
+type testServer struct {
 	fleet.Server
 	pathing.ServerState
 }
 
-// holding is a server with layers from to to in a domain.
-func holding(id string, domain state.FailureDomain, from, to int) card {
-	return card{Server: fleet.Server{
+// serverWith returns a server that holds the layers from to to in a domain.
+func serverWith(id string, domain state.FailureDomain, from, to int) testServer {
+	return testServer{Server: fleet.Server{
 		ID: state.BackendID(id), Address: id, Domain: domain, Kind: "card", Layers: fleet.Range{From: from, To: to},
 	}}
 }
 
-// choose takes a path over cards, none of which is a suspect.
-func choose(cards []card, r pathing.Request) (fleet.Path, bool) {
-	servers := make([]fleet.Server, len(cards))
-	for i := range cards {
-		servers[i] = cards[i].Server
+// choose chooses a path over engines, without suspects.
+func choose(candidates []testServer, r pathing.Request) (fleet.Path, bool) {
+	servers := make([]fleet.Server, len(candidates))
+	for i := range candidates {
+		servers[i] = candidates[i].Server
 	}
 	roster := pathing.NewRoster(engine, servers)
 	states := make([]pathing.ServerState, roster.Len())
-	for i := range cards {
-		if at, ok := roster.IndexAt(cards[i].Address); ok {
-			states[at] = cards[i].ServerState
+	for i := range candidates {
+		if at, ok := roster.IndexAt(candidates[i].Address); ok {
+			states[at] = candidates[i].ServerState
 		}
 	}
 	return roster.Choose(r, states, false)
@@ -59,82 +59,83 @@
 var _ = Describe("Choose", func() {
 	request := pathing.Request{Domain: "a", PromptTokens: 700, MaxTokens: 500}
 
-	It("uses a part of a range where ranges overlap", func() {
-		path, ok := choose([]card{holding("x", "a", 0, 8), holding("y", "a", 4, 12)}, request)
+	It("uses part of a range where ranges overlap", func() {
+		path, ok := choose([]testServer{serverWith("x", "a", 0, 8), serverWith("y", "a", 4, 12)}, request)
 		Expect(ok).To(BeTrue())
 		Expect(addresses(path)).To(Equal([]string{"x=0-8", "y=8-12"}))
 	})
 
-	It("finds none where a layer is held by nobody", func() {
-		_, ok := choose([]card{holding("x", "a", 0, 5), holding("y", "a", 6, 12)}, request)
+	It("finds no path if no engine holds a layer", func() {
+		_, ok := choose([]testServer{serverWith("x", "a", 0, 5), serverWith("y", "a", 6, 12)}, request)
 		Expect(ok).To(BeFalse())
 	})
 
-	// A card in the middle of a chain dies. Callers see their answers go on over
-	// another domain's whole chain. Cause: crossing twice for one card would fill
-	// the link that all paths share; starting elsewhere sends only texts across.
-	It("moves a whole path to another domain rather than crossing in the middle", Label("failure:hop-dies"), func() {
-		cards := []card{
-			holding("a1", "a", 0, 6), holding("a2", "a", 6, 12),
-			holding("b1", "b", 0, 6), holding("b2", "b", 6, 12),
+	// Guards against overloading the link between domains when an engine in the middle of a chain
+	// dies: crossing twice to replace one engine would fill the link that all paths share, while a
+	// path that starts in the other domain sends only text across. Answers continue on the other
+	// domain's chain.
+	It("moves a whole path to another domain instead of crossing in the middle", Label("failure:hop-dies"), func() {
+		candidates := []testServer{
+			serverWith("a1", "a", 0, 6), serverWith("a2", "a", 6, 12),
+			serverWith("b1", "b", 0, 6), serverWith("b2", "b", 6, 12),
 		}
-		cards[1].Excluded = true
-		path, ok := choose(cards, request)
+		candidates[1].Excluded = true
+		path, ok := choose(candidates, request)
 		Expect(ok).To(BeTrue())
 		Expect(addresses(path)).To(Equal([]string{"b1=0-6", "b2=6-12"}))
 	})
 
-	It("crosses where no domain has every layer", func() {
-		cards := []card{holding("a1", "a", 0, 6), holding("b2", "b", 6, 12)}
-		path, ok := choose(cards, request)
+	It("crosses if no domain has every layer", func() {
+		candidates := []testServer{serverWith("a1", "a", 0, 6), serverWith("b2", "b", 6, 12)}
+		path, ok := choose(candidates, request)
 		Expect(ok).To(BeTrue())
 		Expect(addresses(path)).To(Equal([]string{"a1=0-6", "b2=6-12"}))
 	})
 
-	It("leaves a server whose room is used up", func() {
-		full, free := holding("full", "a", 0, 12), holding("free", "a", 0, 12)
+	It("avoids a server whose KV-cache capacity is exhausted", func() {
+		full, free := serverWith("full", "a", 0, 12), serverWith("free", "a", 0, 12)
 		full.Load.Tokens = 9500
 		free.Load.Requests = 20
-		path, ok := choose([]card{full, free}, request)
+		path, ok := choose([]testServer{full, free}, request)
 		Expect(ok).To(BeTrue())
 		Expect(addresses(path)).To(Equal([]string{"free=0-12"}))
 	})
 
-	It("uses no server that is leaving", func() {
-		leaving := holding("x", "a", 0, 12)
+	It("does not use a server that is draining", func() {
+		leaving := serverWith("x", "a", 0, 12)
 		leaving.Draining = true
-		_, ok := choose([]card{leaving}, request)
+		_, ok := choose([]testServer{leaving}, request)
 		Expect(ok).To(BeFalse())
 	})
 })
 
-// Over any cover a path runs each layer once and in order, and there is one exactly
-// where every layer can be reached.
+// TestPathsAreWhole checks that a path over any layout runs each layer once and in order, and that
+// there is a path exactly if every layer can be reached.
 func TestPathsAreWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 14).Draw(t, "cards")
-		var cards []card
+		var candidates []testServer
 		covered := make([]bool, engine.Layers)
 		for i := range n {
 			from := rapid.IntRange(0, engine.Layers-1).Draw(t, "from")
 			to := rapid.IntRange(from+1, engine.Layers).Draw(t, "to")
 			domain := rapid.SampledFrom([]state.FailureDomain{"a", "b"}).Draw(t, "domain")
-			c := holding(fmt.Sprint(i), domain, from, to)
+			c := serverWith(fmt.Sprint(i), domain, from, to)
 			c.Load.Requests = rapid.Float64Range(0, 100).Draw(t, "load")
 			c.Load.Tokens = rapid.Float64Range(0, 20000).Draw(t, "tokens")
-			cards = append(cards, c)
+			candidates = append(candidates, c)
 			for l := from; l < to; l++ {
 				covered[l] = true
 			}
 		}
-		path, ok := choose(cards, pathing.Request{Domain: "a", PromptTokens: 700, MaxTokens: 500})
+		path, ok := choose(candidates, pathing.Request{Domain: "a", PromptTokens: 700, MaxTokens: 500})
 		for _, c := range covered {
 			if !c && ok {
-				t.Fatalf("a path over a layer that nobody holds: %v", addresses(path))
+				t.Fatalf("path over a layer that no engine holds: %v", addresses(path))
 			}
 		}
 		if ok && !path.Whole(engine.Layers) {
-			t.Fatalf("not whole: %v", addresses(path))
+			t.Fatalf("incomplete path: %v", addresses(path))
 		}
 		all := true
 		for _, c := range covered {
--- a/coordination/pathing/reference_test.go
+++ b/coordination/pathing/reference_test.go
@@ -11,50 +11,51 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-var big = &fleet.Engine{
+var bigModel = &fleet.Engine{
 	Layers: 80, LayerMB: 1750, TokenKB: 459, StepMS: 0.85, SeqMS: 0.0046, ContextMS: 0.006, ReadPerS: 252000, ActivateKB: 22.9, PipeMbps: 7900,
 	Kinds: map[string]fleet.CardKind{
 		"fast": {Pace: 3.1, ReadPace: 3.2, MemoryMB: 36000}, "middle": {Pace: 15, ReadPace: 8.2, MemoryMB: 21600}, "slow": {Pace: 16, ReadPace: 15, MemoryMB: 14400},
 	},
 }
 
-// hopCost is what a card costs as the hop after a card of another domain, or of its own.
+// hopCost returns the cost of an engine as the hop after an engine of another domain, or of its
+// own.
 func hopCost(r *Roster, req *Request, i int, st *ServerState, layers int, before *state.FailureDomain) float64 {
-	c := &r.cards[i]
-	ms := priceOf(c, st, r.engine, req).of(layers)
+	c := &r.candidates[i]
+	ms := priceOf(c, st, r.engine, req).cost(layers)
 	if before != nil && *before != c.Server.Domain {
-		ms += crossing(r.engine, req, *before, c.Server.Domain)
+		ms += crossingCost(r.engine, req, *before, c.Server.Domain)
 	}
 	return ms
 }
 
-// firstCost is what a card costs more as the first hop.
+// firstCost returns the additional cost of an engine as the first hop.
 func firstCost(r *Roster, req *Request, i int, st *ServerState) float64 {
-	w := ways{r: r, req: req}
-	ms, ok := w.first(&r.cards[i], st)
+	sr := search{r: r, req: req}
+	ms, ok := sr.firstHopCost(&r.candidates[i], st)
 	if !ok {
 		return math.Inf(1)
 	}
 	return ms
 }
 
-// cheapest is the cost of the cheapest path, found by comparing each card with each other
+// cheapest returns the cost of the cheapest path, found by comparing each engine with every other
 // one, layer by layer.
 func cheapest(r *Roster, req Request, states []ServerState, suspects bool) float64 {
-	cost := make([]float64, r.Len()) // of the cheapest way that ends with a card
+	cost := make([]float64, r.Len()) // of the cheapest partial path that ends with an engine
 	for i := range cost {
 		cost[i] = math.Inf(1)
 	}
 	best := math.Inf(1)
 	for to := 1; to <= r.engine.Layers; to++ {
-		for i := range r.cards {
-			s, st := r.cards[i].Server, &states[i]
+		for i := range r.candidates {
+			s, st := r.candidates[i].Server, &states[i]
 			if s.Layers.To != to || st.Excluded || st.Suspect && !suspects {
 				continue
 			}
 			cost[i] = firstCost(r, &req, i, st) + hopCost(r, &req, i, st, s.Layers.Len(), nil)
-			for j := range r.cards {
-				before := r.cards[j].Server
+			for j := range r.candidates {
+				before := r.candidates[j].Server
 				if at := before.Layers.To; at >= s.Layers.From && at < to && at > 0 {
 					cost[i] = min(cost[i], cost[j]+hopCost(r, &req, i, st, to-at, &before.Domain))
 				}
@@ -67,7 +68,7 @@
 	return best
 }
 
-// costOf is what a path costs.
+// costOf returns the cost of a path.
 func costOf(r *Roster, req Request, states []ServerState, path fleet.Path) float64 {
 	total := 0.0
 	var before *state.FailureDomain
@@ -82,8 +83,8 @@
 	return total
 }
 
-// draw makes engines of several domains with any state.
-func draw(t *rapid.T, n int) (*Roster, []ServerState) {
+// randomRoster generates engines in several domains with random states.
+func randomRoster(t *rapid.T, n int) (*Roster, []ServerState) {
 	servers := make([]fleet.Server, n)
 	states := make([]ServerState, n)
 	for i := range n {
@@ -93,7 +94,7 @@
 			ID: state.BackendID(fmt.Sprint(i)), Address: fmt.Sprint(i), Slots: 192,
 			Kind:   rapid.SampledFrom([]string{"fast", "middle", "slow"}).Draw(t, "kind"),
 			Domain: rapid.SampledFrom([]state.FailureDomain{"a", "b", "c"}).Draw(t, "domain"),
-			Layers: fleet.Range{From: from, To: min(from+size, big.Layers)},
+			Layers: fleet.Range{From: from, To: min(from+size, bigModel.Layers)},
 		}
 		states[i] = ServerState{
 			Load: Load{
@@ -104,13 +105,13 @@
 			Excluded: rapid.IntRange(0, 9).Draw(t, "barred") == 0, Suspect: rapid.IntRange(0, 4).Draw(t, "suspect") == 0,
 		}
 	}
-	return NewRoster(big, servers), states
+	return NewRoster(bigModel, servers), states
 }
 
-// The path is a cheapest one, however it is found.
+// TestChooseFindsTheCheapestPath compares Choose with an exhaustive search.
 func TestChooseFindsTheCheapestPath(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		roster, states := draw(t, rapid.IntRange(0, 60).Draw(t, "cards"))
+		roster, states := randomRoster(t, rapid.IntRange(0, 60).Draw(t, "cards"))
 		r := Request{Domain: "a", PromptTokens: 700, MaxTokens: 500, LinkBacklog: func(x, y state.FailureDomain) float64 { return float64(len(x + y)) }}
 		if rapid.Bool().Draw(t, "begins at few") {
 			r.FirstHops = map[string]bool{"0": true, "1": true, "2": true}
@@ -119,21 +120,21 @@
 		want := cheapest(roster, r, states, suspects)
 		got, ok := roster.Choose(r, states, suspects)
 		if ok == math.IsInf(want, 1) {
-			t.Fatalf("got %v %v, the cheapest costs %v", got, ok, want)
+			t.Fatalf("got %v %v, the cheapest path costs %v", got, ok, want)
 		}
 		if !ok {
 			return
 		}
-		if !got.Whole(big.Layers) {
-			t.Fatalf("not whole: %v", got)
+		if !got.Whole(bigModel.Layers) {
+			t.Fatalf("incomplete path: %v", got)
 		}
 		if cost := costOf(roster, r, states, got); math.Abs(cost-want) > 1e-6 {
-			t.Fatalf("%v costs %v, the cheapest %v", got, cost, want)
+			t.Fatalf("%v costs %v, the cheapest path costs %v", got, cost, want)
 		}
 	})
 }
 
-// benchServers are n engines of three domains as a layout leaves them.
+// benchServers returns n engines in three domains in a typical layout.
 func benchServers(n int) []fleet.Server {
 	servers := make([]fleet.Server, n)
 	for i := range servers {
@@ -143,7 +144,7 @@
 			ID: state.BackendID(fmt.Sprint(i)), Address: fmt.Sprint(i), Domain: state.FailureDomain("abc"[i%3 : i%3+1]),
 			Kind: []string{"fast", "middle", "slow"}[kind], Slots: 192,
 		}
-		from := min(i/9*size%big.Layers, big.Layers-size)
+		from := min(i/9*size%bigModel.Layers, bigModel.Layers-size)
 		servers[i].Layers = fleet.Range{From: from, To: from + size}
 	}
 	return servers
@@ -151,8 +152,8 @@
 
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{45, 100, 1000, 3000, 12000} {
-		b.Run(fmt.Sprintf("%d cards", n), func(b *testing.B) {
-			roster := NewRoster(big, benchServers(n))
+		b.Run(fmt.Sprintf("%d engines", n), func(b *testing.B) {
+			roster := NewRoster(bigModel, benchServers(n))
 			states := make([]ServerState, roster.Len())
 			for i := range states {
 				states[i].Load.Requests = float64(i % 10)
@@ -170,9 +171,9 @@
 func BenchmarkNewRoster(b *testing.B) {
 	for _, n := range []int{100, 3000} {
 		servers := benchServers(n)
-		b.Run(fmt.Sprintf("%d cards", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%d engines", n), func(b *testing.B) {
 			for b.Loop() {
-				NewRoster(big, servers)
+				NewRoster(bigModel, servers)
 			}
 		})
 	}
