--- a/coordination/layering/layering.go
+++ b/coordination/layering/layering.go
@@ -11,88 +11,88 @@
 )
 
 const (
-	// settleFirst is how long the list must stand still before a first layout:
-	// engines list themselves over the first seconds of a site's life.
-	settleFirst = 1500 * time.Millisecond
-	// settleLater is the same for a repair, so that engines which come back
-	// together are laid out together.
-	settleLater = 200 * time.Millisecond
-	// rankDelay is how much later each next daemon tries to take the lease.
+	// firstSettleTime is how long the list must be stable before the first layout: engines register
+	// themselves over the first seconds of a site.
+	firstSettleTime = 1500 * time.Millisecond
+	// repairSettleTime is the same for a repair, so that engines that come back together are laid
+	// out together.
+	repairSettleTime = 200 * time.Millisecond
+	// rankDelay is how much later each further daemon in rank order tries to acquire the lease.
 	rankDelay = 500 * time.Millisecond
-	// Term is how long a lease stands without renewal.
+	// LeaseDuration is how long a lease is valid without renewal.
 	LeaseDuration = 3 * time.Second
-	// termMargin is how much sooner a holder stops than others take over, for
-	// clocks that differ in rate and a call's way.
-	termMargin = 500 * time.Millisecond
-	// renewBefore is how long before its end a lease that is still needed is
-	// renewed.
+	// leaseMargin is how much sooner a holder stops than others take over, to allow for clock drift
+	// and the latency of a call.
+	leaseMargin = 500 * time.Millisecond
+	// renewBefore is how long before its end a lease that is still needed is renewed.
 	renewBefore = time.Second
-	// acquireRetry is how long after a failed attempt the next one follows.
+	// acquireRetry is the delay after a failed attempt to acquire the lease.
 	acquireRetry = 400 * time.Millisecond
-	// orderRetry is how long after an order without effect it is decided anew.
+	// orderRetry is the delay after which an order without effect is planned again.
 	orderRetry = 700 * time.Millisecond
-	// busyRetry is the same where the engine is carrying out another order: a load
-	// of a tenth of the layers takes some 1.5 s.
+	// busyRetry is the same if the engine is carrying out another order: loading a tenth of the
+	// layers takes about 1.5 s.
 	busyRetry = 2 * time.Second
-	// loadSlack is added to the time that a load should take, before the order
-	// counts as lost: lists lag by a heartbeat or two.
+	// loadSlack is added to the expected load time before an order counts as lost: lists lag by a
+	// heartbeat or two.
 	loadSlack = 4 * time.Second
-	// A daemon that is not next in turn looks at changed lists as many times while it waits
-	// for its turn, and at the latest after lookMost. A look at 3,000 engines takes some ms.
-	looksInTurn = 4
-	lookMost    = 5 * time.Second
-	// ordersAtOnce is how many orders may wait for their answers. Each takes a
-	// connection and a goroutine, beside which the holder serves requests.
-	ordersAtOnce = 256
+	// processRunsPerWait is how many times a daemon that is not next in rank processes changed lists
+	// while it waits for its turn; maxProcessDelay is the longest time between two runs. Processing
+	// 3,000 engines takes several ms.
+	processRunsPerWait = 4
+	maxProcessDelay    = 5 * time.Second
+	// maxUnanswered is how many orders may wait for their answers. Each takes a connection and a
+	// goroutine, while the holder also serves requests.
+	maxUnanswered = 256
 )
 
-// Event is something that happened.
+// Event is an input of Machine.
 type Event interface{ layeringEvent() }
 
 // Tick lets timers run.
 type Tick struct{}
 
-// Listed replaces what is known of one service's engines.
+// ServersListed replaces the known engines of one service.
 type ServersListed struct {
 	Service state.ServiceID
 	Engine  *fleet.Engine
 	Servers []fleet.Server
 }
 
-// Ranked says how many daemons are to try before this one.
+// RankChanged reports how many daemons try to acquire the lease before this one.
 type RankChanged struct{ DaemonsAhead int }
 
-// Acquired says that the lease is held under a fencing number; Sent is when the
-// write that took it was sent.
+// LeaseAcquired reports that the lease is held under a fencing number; Sent is when the write that
+// acquired it was sent.
 type LeaseAcquired struct {
 	Fence state.FencingNumber
 	Sent  time.Time
 }
 
-// NotAcquired says that another daemon holds the lease, or that the attempt
-// failed. HeldFor is how long the other's lease still stands, if known.
+// LeaseNotAcquired reports that another daemon holds the lease, or that the attempt failed. HeldFor
+// is how long the other daemon's lease remains valid, if known.
 type LeaseNotAcquired struct{ HeldFor time.Duration }
 
-// OrderEnd is what became of an order.
+// OrderOutcome is the outcome of an order.
 type OrderOutcome uint8
 
-// The values of OrderEnd.
+// The values of OrderOutcome.
 const (
-	Accepted   OrderOutcome = iota + 1 // it is being carried out, or holds already
-	Unanswered                         // no answer; it may be carried out late
-	Conflict                           // it does not fit the engine's state
-	Fenced                             // a higher fencing number was seen
-	Expired                            // not sent: Order.Until had passed
+	Accepted   OrderOutcome = iota + 1 // it is being carried out, or is already in effect
+	Unanswered                         // no answer; it may still be carried out later
+	Conflict                           // it does not match the engine's state
+	Fenced                             // the engine has seen a higher fencing number
+	Expired                            // not sent: Order.SendBefore had passed
 )
 
-// Ordered answers an Order action. Orders is the number of orders that the engine
-// has begun by its own report, where Known.
+// OrderResult answers an Order action. OrderCount is the number of orders that the engine reports
+// to have started, if Known is set.
 type OrderResult struct {
 	Server     state.Life
 	Outcome    OrderOutcome
 	Known      bool
 	OrderCount uint64
-	Busy       bool // it is carrying out an order, of another daemon perhaps
+	Busy       bool // it is carrying out an order, possibly of another daemon
 }
 
 func (Tick) layeringEvent()             {}
@@ -102,109 +102,110 @@
 func (LeaseNotAcquired) layeringEvent() {}
 func (OrderResult) layeringEvent()      {}
 
-// Action is something for the caller of Step to do.
+// Action is an output of Machine, to be executed by the caller of Step.
 type Action interface{ layeringAction() }
 
-// Acquire asks for the lease to be taken or renewed.
+// AcquireLease asks to acquire or renew the lease.
 type AcquireLease struct{}
 
-// Order asks for an engine to be given layers. It is sent only while Holds.
+// Order asks to assign layers to an engine. It is sent only while HoldsLease is true.
 type Order struct {
 	Server     fleet.Server
 	Layers     fleet.Range
 	Fence      state.FencingNumber
 	OrderCount uint64
-	SendBefore time.Time // after which it may not be sent
+	SendBefore time.Time // it may not be sent later
 }
 
 func (AcquireLease) layeringAction() {}
 func (Order) layeringAction()        {}
 
-// service is what is known of one service's engines.
+// service holds the known engines of one service.
 type service struct {
-	engine  *fleet.Engine
-	servers []fleet.Server
-	changed time.Time // when the list last did
-	bare    bool      // no engine has layers
+	engine     *fleet.Engine
+	servers    []fleet.Server
+	lastChange time.Time // time of the last change of the list
+	noLayers   bool      // no engine has layers
 }
 
-// Machine decides for one daemon. It belongs to one goroutine.
+// Machine is the state machine of one daemon. It must be used by one goroutine only.
 type Machine struct {
-	services map[state.ServiceID]*service
-	lists    map[state.ServiceID]ServersListed // that have come since the last look
-	looked   time.Time                         // when that was
-	pending  underWay
-	orders   map[state.Life]uint64 // that each engine has begun, as far as is known
-
-	before    int // daemons that try first
-	needed    time.Time
-	fence     state.FencingNumber
-	until     time.Time // of the lease
-	acquiring bool
-	notBefore time.Time // of the next attempt at the lease
-
-	// plan is what is to be ordered, as of the events so far; stale says that it is to be
-	// worked out again, and settles when it is for a list that has then stood still.
-	plan    []want
-	stale   bool
-	settles time.Time
-	layouts int
+	services      map[state.ServiceID]*service
+	newLists      map[state.ServiceID]ServersListed // received but not yet processed
+	lastProcessed time.Time                         // time of the last processing
+	pending       pendingOrders
+	orderCounts   map[state.Life]uint64 // known number of orders that each engine has started
+
+	daemonsAhead     int // daemons that try first
+	neededSince      time.Time
+	fence            state.FencingNumber
+	leaseUntil       time.Time // end of the lease
+	acquiring        bool
+	acquireNotBefore time.Time // of the next attempt to acquire the lease
+
+	// plan holds the orders to be sent, according to the events so far. planStale means that it has
+	// to be computed again; settlesAt is when it has to be computed again for a list that is stable
+	// by then.
+	plan      []plannedOrder
+	planStale bool
+	settlesAt time.Time
+	planCount int
 
 	now time.Time
 	out []Action
 }
 
-// New returns a machine that knows nothing.
+// New returns a machine without any state.
 func New() *Machine {
 	return &Machine{
-		services: make(map[state.ServiceID]*service),
-		lists:    make(map[state.ServiceID]ServersListed),
-		pending:  newUnderWay(),
-		orders:   make(map[state.Life]uint64),
+		services:    make(map[state.ServiceID]*service),
+		newLists:    make(map[state.ServiceID]ServersListed),
+		pending:     newPendingOrders(),
+		orderCounts: make(map[state.Life]uint64),
 	}
 }
 
-// Holds reports whether orders may be given at now.
+// HoldsLease reports whether orders may be sent at now.
 func (m *Machine) HoldsLease(now time.Time) bool {
-	return now.Before(m.until)
+	return now.Before(m.leaseUntil)
 }
 
-// Fence is the fencing number of the lease that is held, or was last.
+// Fence returns the fencing number of the current or last lease.
 func (m *Machine) Fence() state.FencingNumber { return m.fence }
 
-// UnderWay counts the orders that engines are carrying out, as far as is known.
+// PendingOrders returns the number of orders that engines are believed to be carrying out.
 func (m *Machine) PendingOrders() int { return m.pending.len() }
 
-// Layouts is how many times engines have been laid out.
-func (m *Machine) PlanCount() int { return m.layouts }
+// PlanCount returns how many times engines have been laid out.
+func (m *Machine) PlanCount() int { return m.planCount }
 
-// Step takes in one event and gives what is to be done about it.
+// Step processes one event and returns the actions to execute.
 func (m *Machine) Step(now time.Time, ev Event) []Action {
 	m.now, m.out = now, nil
 	switch ev := ev.(type) {
 	case ServersListed:
-		m.lists[ev.Service] = ev
+		m.newLists[ev.Service] = ev
 	case RankChanged:
-		m.before = ev.DaemonsAhead
+		m.daemonsAhead = ev.DaemonsAhead
 	case LeaseAcquired:
 		m.acquiring = false
 		m.fence = ev.Fence
-		m.until = ev.Sent.Add(LeaseDuration - termMargin)
+		m.leaseUntil = ev.Sent.Add(LeaseDuration - leaseMargin)
 	case LeaseNotAcquired:
 		m.acquiring = false
-		m.notBefore = now.Add(max(ev.HeldFor, acquireRetry))
+		m.acquireNotBefore = now.Add(max(ev.HeldFor, acquireRetry))
 	case OrderResult:
-		m.ordered(ev)
+		m.handleResult(ev)
 	case Tick:
 	}
-	if !now.Before(m.nextLook()) {
-		m.look()
+	if !now.Before(m.nextProcess()) {
+		m.process()
 	}
 	m.decide()
 	return m.out
 }
 
-// NextTick is when a timer is due, zero for never.
+// NextTick returns when a timer is due, zero for never.
 func (m *Machine) NextTick() time.Time {
 	var next time.Time
 	earlier := func(t time.Time) {
@@ -212,73 +213,73 @@
 			next = t
 		}
 	}
-	if len(m.lists) > 0 {
-		earlier(m.nextLook())
+	if len(m.newLists) > 0 {
+		earlier(m.nextProcess())
 	}
 	for _, s := range m.services {
-		earlier(s.changed.Add(m.settle(s)))
+		earlier(s.lastChange.Add(m.settleTime(s)))
 	}
 	earlier(m.pending.nextExpiry())
-	if !m.needed.IsZero() {
-		earlier(m.needed.Add(time.Duration(m.before) * rankDelay))
-		earlier(m.notBefore)
-		earlier(m.until.Add(-renewBefore))
+	if !m.neededSince.IsZero() {
+		earlier(m.neededSince.Add(time.Duration(m.daemonsAhead) * rankDelay))
+		earlier(m.acquireNotBefore)
+		earlier(m.leaseUntil.Add(-renewBefore))
 	}
 	return next
 }
 
-// sooner is the earlier of two times, of which a zero one is none.
-func sooner(a, b time.Time) time.Time {
+// earlierNonZero returns the earlier of two times, where zero means none.
+func earlierNonZero(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
 	}
 	return a
 }
 
-// nextLook is when the lists that have come are to be looked at. The daemon that is next in
-// turn looks at each at once, and so does a holder; of hundreds of daemons the others would
-// spend most of their processors on layouts that they never order.
-func (m *Machine) nextLook() time.Time {
-	if m.before == 0 || m.acquiring || m.HoldsLease(m.now) || m.pending.len() > 0 {
+// nextProcess returns when the received lists are to be processed. The daemon that is next in rank
+// and a lease holder process each list at once. With hundreds of daemons, the others would
+// otherwise spend most of their CPU time on layouts that they never order.
+func (m *Machine) nextProcess() time.Time {
+	if m.daemonsAhead == 0 || m.acquiring || m.HoldsLease(m.now) || m.pending.len() > 0 {
 		return m.now
 	}
-	return m.looked.Add(min(time.Duration(m.before)*rankDelay/looksInTurn, lookMost))
+	return m.lastProcessed.Add(min(time.Duration(m.daemonsAhead)*rankDelay/processRunsPerWait, maxProcessDelay))
 }
 
-// look takes up the lists that have come since the last look.
-func (m *Machine) look() {
-	if len(m.lists) == 0 {
+// process applies the lists that were received since the last call.
+func (m *Machine) process() {
+	if len(m.newLists) == 0 {
 		return
 	}
-	m.looked = m.now
-	for _, ev := range m.lists {
-		m.listed(ev)
+	m.lastProcessed = m.now
+	for _, ev := range m.newLists {
+		m.applyList(ev)
 	}
-	clear(m.lists)
+	clear(m.newLists)
 }
 
-func (m *Machine) listed(ev ServersListed) {
+func (m *Machine) applyList(ev ServersListed) {
 	s, ok := m.services[ev.Service]
 	if !ok {
 		s = &service{}
 		m.services[ev.Service] = s
 	}
 	if !ok || !sameEngines(s.servers, ev.Servers) {
-		s.changed = m.now
+		s.lastChange = m.now
 	}
 	s.engine, s.servers = ev.Engine, ev.Servers
-	s.bare = !slices.ContainsFunc(s.servers, func(srv fleet.Server) bool { return srv.Layers.Len() > 0 })
-	m.stale = true
+	s.noLayers = !slices.ContainsFunc(s.servers, func(srv fleet.Server) bool { return srv.Layers.Len() > 0 })
+	m.planStale = true
 	for _, srv := range ev.Servers {
 		if p, ok := m.pending.get(srv.Life()); ok && srv.Layers == p.layers {
 			m.pending.remove(srv.Life())
 		}
 	}
-	m.forgetGone()
+	m.dropUnlisted()
 }
 
-// sameEngines reports whether two lists hold the same engines with the same layers,
-// and the same ones leaving.
+// sameEngines reports whether two lists have the same engines with the same layers and draining
+// states.
 func sameEngines(a, b []fleet.Server) bool {
 	have := make(map[state.Life]fleet.Server, len(a))
 	for _, s := range a {
@@ -295,9 +296,9 @@
 	return true
 }
 
-// forgetGone drops what is kept of engines that are no longer listed.
-func (m *Machine) forgetGone() {
-	if m.pending.len() == 0 && len(m.orders) == 0 {
+// dropUnlisted drops the state of engines that are no longer listed.
+func (m *Machine) dropUnlisted() {
+	if m.pending.len() == 0 && len(m.orderCounts) == 0 {
 		return
 	}
 	listed := make(map[state.Life]bool)
@@ -308,36 +309,36 @@
 	}
 	gone := func(id state.Life) bool { return !listed[id] }
 	m.pending.removeAll(gone)
-	maps.DeleteFunc(m.orders, func(id state.Life, _ uint64) bool { return gone(id) })
+	maps.DeleteFunc(m.orderCounts, func(id state.Life, _ uint64) bool { return gone(id) })
 }
 
-func (m *Machine) ordered(ev OrderResult) {
+func (m *Machine) handleResult(ev OrderResult) {
 	p, ok := m.pending.get(ev.Server)
 	if !ok {
 		return
 	}
-	m.pending.answered(ev.Server)
+	m.pending.markAnswered(ev.Server)
 	if ev.Known {
-		m.orders[ev.Server] = ev.OrderCount
+		m.orderCounts[ev.Server] = ev.OrderCount
 	}
 	switch ev.Outcome {
 	case Accepted:
-		// It changes nothing of the plan, which counts the engine's new layers already.
-		m.orders[ev.Server] = max(m.orders[ev.Server], p.orders+1)
+		// This does not change the plan, which already counts the engine's new layers.
+		m.orderCounts[ev.Server] = max(m.orderCounts[ev.Server], p.orderCount+1)
 		return
 	case Expired:
-		m.stale = true
+		m.planStale = true
 		m.pending.remove(ev.Server)
 		return
 	case Fenced:
-		// Another daemon holds a later lease: this one's has ended.
-		m.until = m.now
+		// Another daemon holds a newer lease: the lease of this daemon has ended.
+		m.leaseUntil = m.now
 	case Conflict:
-		if ev.Known && !ev.Busy && ev.OrderCount != p.orders {
-			// A new holder does not know how many orders each engine has begun.
-			// Now it does, and decides anew at once: a wait of orderRetry keeps
-			// callers without these layers for 0.7 s.
-			m.stale = true
+		if ev.Known && !ev.Busy && ev.OrderCount != p.orderCount {
+			// A new holder does not know how many orders each engine has started. Now it does, and
+			// plans again at once: waiting for orderRetry would leave callers without these layers
+			// for 0.7 s.
+			m.planStale = true
 			m.pending.remove(ev.Server)
 			return
 		}
@@ -350,60 +351,60 @@
 	m.pending.extend(ev.Server, until)
 }
 
-// settle is how long a service's list must stand still.
-func (m *Machine) settle(s *service) time.Duration {
-	if s.bare && m.pending.len() == 0 {
-		return settleFirst
+// settleTime returns how long a service's list must be stable.
+func (m *Machine) settleTime(s *service) time.Duration {
+	if s.noLayers && m.pending.len() == 0 {
+		return firstSettleTime
 	}
-	return settleLater
+	return repairSettleTime
 }
 
-// decide works out what is to be ordered, and orders it under the lease.
+// decide computes the orders, and sends them under the lease.
 func (m *Machine) decide() {
 	if m.pending.expire(m.now) {
-		m.stale = true
+		m.planStale = true
 	}
 	m.replan()
 	if len(m.plan) == 0 {
-		m.needed = time.Time{}
+		m.neededSince = time.Time{}
 		return
 	}
-	if m.needed.IsZero() {
-		m.needed = m.now
+	if m.neededSince.IsZero() {
+		m.neededSince = m.now
 	}
-	if !m.HoldsLease(m.now) || m.until.Sub(m.now) < renewBefore {
+	if !m.HoldsLease(m.now) || m.leaseUntil.Sub(m.now) < renewBefore {
 		m.acquire()
 	}
 	if !m.HoldsLease(m.now) {
 		return
 	}
-	for len(m.plan) > 0 && m.pending.unanswered < ordersAtOnce {
-		m.order(m.plan[0])
+	for len(m.plan) > 0 && m.pending.unanswered < maxUnanswered {
+		m.sendOrder(m.plan[0])
 		m.plan = m.plan[1:]
 	}
-	// What the orders leave to be done shows once all of them are under way.
-	m.stale = m.stale || len(m.plan) == 0
+	// Once all orders are pending, the plan is computed again to find what remains.
+	m.planStale = m.planStale || len(m.plan) == 0
 }
 
-// replan works out what is to be ordered, if anything has happened since it last was. It
-// costs some 5 ms where 3,000 engines wait for layers, and a daemon sees hundreds of events a
-// second: 0.02 us an event where nothing has happened (BenchmarkTick).
+// replan computes the plan again if an event has changed its inputs. This takes about 5 ms if 3,000
+// engines wait for layers, and a daemon processes hundreds of events per second: an event that
+// changes nothing takes 0.02 us (BenchmarkTick).
 func (m *Machine) replan() {
-	due := !m.settles.IsZero() && !m.now.Before(m.settles)
-	if !m.stale && !due {
+	due := !m.settlesAt.IsZero() && !m.now.Before(m.settlesAt)
+	if !m.planStale && !due {
 		return
 	}
-	m.plan, m.stale = m.wanted(), false
-	m.layouts++
+	m.plan, m.planStale = m.computePlan(), false
+	m.planCount++
 }
 
 func (m *Machine) acquire() {
-	turn := m.needed.Add(time.Duration(m.before) * rankDelay)
-	if m.acquiring || m.now.Before(m.notBefore) || m.now.Before(turn) {
+	earliest := m.neededSince.Add(time.Duration(m.daemonsAhead) * rankDelay)
+	if m.acquiring || m.now.Before(m.acquireNotBefore) || m.now.Before(earliest) {
 		return
 	}
-	if len(m.lists) > 0 {
-		m.look() // what it goes by may have been ordered meanwhile
+	if len(m.newLists) > 0 {
+		m.process() // the layers may have been ordered meanwhile
 		m.decide()
 		return
 	}
@@ -411,45 +412,45 @@
 	m.out = append(m.out, AcquireLease{})
 }
 
-// want is one assignment with the engine that it is for.
-type want struct {
+// plannedOrder is one assignment with its engine.
+type plannedOrder struct {
 	cover.Assignment
 	engine *fleet.Engine
 }
 
-// wanted lists what is to be ordered now, and notes when it is to be asked again for lists
-// that have not stood still yet.
-func (m *Machine) wanted() []want {
-	m.settles = time.Time{}
-	under := m.pending.orders()
-	var out []want
+// computePlan returns the assignments to order now, and sets when it is to be called again for
+// lists that are not stable yet.
+func (m *Machine) computePlan() []plannedOrder {
+	m.settlesAt = time.Time{}
+	pending := m.pending.orders()
+	var out []plannedOrder
 	for _, id := range slices.Sorted(maps.Keys(m.services)) {
 		s := m.services[id]
 		if s.engine == nil {
 			continue
 		}
-		if settled := s.changed.Add(m.settle(s)); m.now.Before(settled) {
-			m.settles = sooner(m.settles, settled)
+		if settled := s.lastChange.Add(m.settleTime(s)); m.now.Before(settled) {
+			m.settlesAt = earlierNonZero(m.settlesAt, settled)
 			continue
 		}
-		for _, a := range m.assignments(s, under) {
-			out = append(out, want{a, s.engine})
+		for _, a := range m.assignments(s, pending) {
+			out = append(out, plannedOrder{a, s.engine})
 		}
 	}
 	return out
 }
 
-func (m *Machine) assignments(s *service, under map[state.Life]cover.PendingOrder) []cover.Assignment {
-	return cover.Repair(s.engine, s.servers, under)
+func (m *Machine) assignments(s *service, pending map[state.Life]cover.PendingOrder) []cover.Assignment {
+	return cover.Repair(s.engine, s.servers, pending)
 }
 
-func (m *Machine) order(w want) {
-	if w.Server.Layers == w.Layers {
+func (m *Machine) sendOrder(o plannedOrder) {
+	if o.Server.Layers == o.Layers {
 		return
 	}
-	orders := m.orders[w.Server.Life()]
-	share := float64(w.Layers.Len()) / float64(w.engine.Layers)
-	load := time.Duration(float64(w.engine.LoadTime) * share)
-	m.pending.add(w.Server.Life(), pending{layers: w.Layers, orders: orders, until: m.now.Add(2*load + loadSlack), moved: w.Server.Layers.Len() > 0})
-	m.out = append(m.out, Order{Server: w.Server, Layers: w.Layers, Fence: m.fence, OrderCount: orders, SendBefore: m.until})
+	orderCount := m.orderCounts[o.Server.Life()]
+	share := float64(o.Layers.Len()) / float64(o.engine.Layers)
+	loadTime := time.Duration(float64(o.engine.LoadTime) * share)
+	m.pending.add(o.Server.Life(), pendingOrder{layers: o.Layers, orderCount: orderCount, retryAt: m.now.Add(2*loadTime + loadSlack), moved: o.Server.Layers.Len() > 0})
+	m.out = append(m.out, Order{Server: o.Server, Layers: o.Layers, Fence: m.fence, OrderCount: orderCount, SendBefore: m.leaseUntil})
 }
--- a/coordination/layering/plan_test.go
+++ b/coordination/layering/plan_test.go
@@ -15,7 +15,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// arrival is an event on its way to a machine.
+// arrival is an event in transit to a machine.
 type arrival struct {
 	at    time.Time
 	event layering.Event
@@ -28,33 +28,33 @@
 	return b
 }
 
-// large lists 3,000 engines of three failure domains.
-func large() []fleet.Server {
-	servers := empty(3000)
+// largeSite lists 3,000 engines in three failure domains.
+func largeSite() []fleet.Server {
+	servers := emptyEngines(3000)
 	for i := range servers {
 		servers[i].Domain = state.FailureDomain("abc"[i%3 : i%3+1])
 	}
 	return servers
 }
 
-var _ = Describe("A daemon before thousands of engines", func() {
-	// Callers of 300 daemons wait for seconds after a start, and all daemons use their whole
-	// processors. Order: 3,000 engines are listed, and each daemon sees some hundred messages
-	// a second. Cause: at each of them every daemon laid out all engines anew.
-	It("plans nothing anew where nothing happened", Label("failure:planned-at-each-event"), func() {
-		m := settled(large())
+var _ = Describe("A daemon in front of thousands of engines", func() {
+	// Guards against full CPUs on all daemons after a start, while callers of 300 daemons wait for
+	// seconds: 3,000 engines are listed, each daemon processes hundreds of messages per second, and
+	// every daemon laid out all engines again for each message.
+	It("does not plan again if nothing has changed", Label("failure:planned-at-each-event"), func() {
+		m := newMachine(largeSite())
 		m.Step(at(2000), layering.Tick{})
 		Expect(m.Step(at(2010), layering.LeaseNotAcquired{HeldFor: time.Hour})).To(BeEmpty())
 		now := at(2020)
 		Expect(testing.AllocsPerRun(100, func() { m.Step(now, layering.Tick{}) })).To(BeZero())
 	})
 
-	// Guards against a holder that is busy with the answers to its orders for seconds: a
-	// configuration that it is told of meanwhile is in force late.
-	It("lays out nothing anew for an order that an engine has begun", Label("failure:planned-at-each-answer"), func() {
-		m := settled(large())
+	// Guards against a lease holder that spends seconds on the answers to its orders, so that a new
+	// configuration takes effect late.
+	It("does not plan again for an order that an engine has accepted", Label("failure:planned-at-each-answer"), func() {
+		m := newMachine(largeSite())
 		m.Step(at(2000), layering.Tick{})
-		sent := orders(hold(m, 2010))
+		sent := orders(acquireLease(m, 2010))
 		m.Step(at(2011), layering.Tick{})
 		now, i := at(2020), 0
 		answer := func() {
@@ -64,18 +64,19 @@
 		Expect(testing.AllocsPerRun(200, answer)).To(BeNumerically("<", 10))
 	})
 
-	// Guards against a configuration that is in force late at the daemon which gives the orders:
-	// it waits behind the answers to them. In virtual time, on the processor that a daemon has.
-	It("takes up what comes beside the answers to its orders in time", Label("failure:planned-at-each-answer"), func() {
+	// Guards against a configuration that takes effect late at the daemon that sends the orders,
+	// since it is queued behind the answers to them. Runs in virtual time with the CPU share of a
+	// daemon.
+	It("processes other events in time while it receives the answers to its orders", Label("failure:planned-at-each-answer"), func() {
 		const (
 			share      = 0.4                    // of a core
-			eventTime  = 50 * time.Microsecond  // of the processor, without a layout
-			layoutTime = 2 * time.Millisecond   // the same, of 3,000 engines
+			eventTime  = 50 * time.Microsecond  // CPU time without a layout
+			layoutTime = 2 * time.Millisecond   // CPU time of a layout of 3,000 engines
 			answerTime = 5 * time.Millisecond   // until an engine has answered
-			told       = 300 * time.Millisecond // when a configuration comes, after the first order
+			configAt   = 300 * time.Millisecond // when a configuration arrives, after the first order
 			bound      = 2 * time.Second
 		)
-		m := settled(large())
+		m := newMachine(largeSite())
 		m.Step(at(2000), layering.Tick{})
 		start := at(2010)
 		now := start
@@ -90,21 +91,21 @@
 			}
 		}
 		step(layering.LeaseAcquired{Fence: 7, Sent: start})
-		for len(answers) > 0 && !answers[0].at.After(start.Add(told)) {
+		for len(answers) > 0 && !answers[0].at.After(start.Add(configAt)) {
 			now = later(now, answers[0].at)
 			ev := answers[0].event
 			answers = answers[1:]
 			step(ev)
 		}
-		Expect(now.Sub(start.Add(told))).To(BeNumerically("<", bound))
+		Expect(now.Sub(start.Add(configAt))).To(BeNumerically("<", bound))
 	})
 
-	// Guards against thousands of connections and goroutines at a time, beside which a holder
-	// serves its requests late.
-	It("has no more than some hundred orders wait for their answers", Label("failure:ordered-all-at-once"), func() {
-		m := settled(large())
+	// Guards against thousands of simultaneous connections and goroutines, which delay the requests
+	// that the lease holder serves.
+	It("limits the number of unanswered orders", Label("failure:ordered-all-at-once"), func() {
+		m := newMachine(largeSite())
 		m.Step(at(2000), layering.Tick{})
-		waiting := orders(hold(m, 2010))
+		waiting := orders(acquireLease(m, 2010))
 		ordered := make(map[state.Life]bool)
 		for now := at(2011); len(waiting) > 0; now = now.Add(100 * time.Microsecond) {
 			Expect(len(waiting)).To(BeNumerically("<=", 256))
@@ -115,11 +116,11 @@
 		Expect(ordered).To(HaveLen(3000))
 	})
 
-	// Guards against hundreds of daemons that spend their processors on layouts which only
-	// one of them orders, while callers wait.
-	It("looks at a list that changes all the time only as often as its turn is near", Label("failure:planned-by-all"), func() {
+	// Guards against hundreds of daemons that spend their CPU time on layouts that only one of them
+	// orders, while callers wait.
+	It("processes a constantly changing list less often the higher its rank", Label("failure:planned-by-all"), func() {
 		m := layering.New()
-		servers := large()
+		servers := largeSite()
 		m.Step(at(0), layering.RankChanged{DaemonsAhead: 200})
 		m.Step(at(0), layering.ServersListed{Service: "s", Engine: engine, Servers: servers})
 		now := at(60)
@@ -129,45 +130,45 @@
 		Expect(allocs).To(BeNumerically("<", 10))
 	})
 
-	// Guards against layers that nobody orders where the daemons that are first in turn can't
+	// Guards against layers that are never ordered because the daemons with the lowest ranks cannot
 	// reach the store.
-	It("takes its turn a quarter late at the most", Label("failure:first-in-turn-cut-off"), func() {
+	It("acquires the lease at most a quarter of its rank delay late", Label("failure:first-in-turn-cut-off"), func() {
 		const (
-			before = 6
-			turn   = before * 500 // ms
+			before   = 6
+			rankWait = before * 500 // ms
 		)
 		m := layering.New()
 		m.Step(at(0), layering.RankChanged{DaemonsAhead: before})
 		now := 0
-		asks := func(ev layering.Event) bool {
+		acquires := func(ev layering.Event) bool {
 			return slices.Contains(m.Step(at(now), ev), layering.Action(layering.AcquireLease{}))
 		}
-		engines := empty(4)
+		engines := emptyEngines(4)
 		for i := range engines {
 			engines[i].Layers = fleet.Range{From: 4 * (i % 2), To: 4*(i%2) + 4}
 		}
 		for ; now < 3000; now += 50 {
-			Expect(asks(layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(engines)})).To(BeFalse())
+			Expect(acquires(layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(engines)})).To(BeFalse())
 		}
 		engines[0].Layers = fleet.Range{}
 		lost := now
-		Expect(asks(layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(engines)})).To(BeFalse())
-		for now < lost+turn {
-			Expect(asks(layering.Tick{})).To(BeFalse())
+		Expect(acquires(layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(engines)})).To(BeFalse())
+		for now < lost+rankWait {
+			Expect(acquires(layering.Tick{})).To(BeFalse())
 			now += 10
 		}
-		for !asks(layering.Tick{}) {
-			Expect(now).To(BeNumerically("<=", lost+turn*5/4+200), "with the time that a list must stand still")
+		for !acquires(layering.Tick{}) {
+			Expect(now).To(BeNumerically("<=", lost+rankWait*5/4+200), "including the settle time of the list")
 			now += 10
 		}
 	})
 
-	// Guards against engines that stay without layers until a load that was never ordered
-	// should have ended.
-	It("decides anew at once on an order that the end of its lease kept back", Label("failure:order-kept-back"), func() {
-		m := settled(empty(2))
+	// Guards against engines that stay without layers until the load time of an order that was
+	// never sent has passed.
+	It("plans again at once after an order that was not sent because its lease ended", Label("failure:order-kept-back"), func() {
+		m := newMachine(emptyEngines(2))
 		m.Step(at(2000), layering.Tick{})
-		first := orders(hold(m, 2010))
+		first := orders(acquireLease(m, 2010))
 		late := m.Step(at(5000), layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Expired})
 		Expect(late).To(ContainElement(layering.AcquireLease{}))
 		again := orders(m.Step(at(5010), layering.LeaseAcquired{Fence: 8, Sent: at(5000)}))
@@ -177,13 +178,14 @@
 	})
 })
 
-// A plan that is kept must be the one that would be made now: events between which nothing
-// is planned anew give the same orders as with a fresh look at the same list before each.
-func TestKeptPlanIsTheFreshOne(t *testing.T) {
+// TestCachedPlanMatchesFreshPlan checks that a cached plan equals a newly computed one: events
+// between which nothing is planned again yield the same orders as with a new list before each
+// event.
+func TestCachedPlanMatchesFreshPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		kept, fresh := layering.New(), layering.New()
-		servers := empty(rapid.IntRange(1, 6).Draw(t, "engines"))
-		for _, m := range []*layering.Machine{kept, fresh} {
+		cached, fresh := layering.New(), layering.New()
+		servers := emptyEngines(rapid.IntRange(1, 6).Draw(t, "engines"))
+		for _, m := range []*layering.Machine{cached, fresh} {
 			m.Step(at(0), layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(servers)})
 		}
 		var sent []layering.Order
@@ -193,18 +195,18 @@
 			ev := drawEvent(t, ms, &servers, sent)
 			if _, ok := ev.(layering.ServersListed); !ok {
 				fresh.Step(at(ms-1), layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(servers)})
-				kept.Step(at(ms-1), layering.Tick{})
+				cached.Step(at(ms-1), layering.Tick{})
 			}
-			got, want := kept.Step(at(ms), ev), fresh.Step(at(ms), ev)
+			got, want := cached.Step(at(ms), ev), fresh.Step(at(ms), ev)
 			if fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("at %d ms, after %T: %v, with a fresh look %v", ms, ev, got, want)
+				t.Fatalf("at %d ms, after %T: %v, with a new plan %v", ms, ev, got, want)
 			}
 			sent = append(sent, orders(got)...)
 		}
 	})
 }
 
-// drawEvent draws what may happen to a machine that knows servers and has sent orders.
+// drawEvent generates an event for a machine that knows servers and has sent orders.
 func drawEvent(t *rapid.T, ms int, servers *[]fleet.Server, sent []layering.Order) layering.Event {
 	listed := func() layering.Event {
 		return layering.ServersListed{Service: "s", Engine: engine, Servers: slices.Clone(*servers)}
@@ -239,9 +241,9 @@
 	return layering.Tick{}
 }
 
-// BenchmarkTick is one event at a daemon that waits for its turn to order 3,000 engines.
+// BenchmarkTick measures one event at a daemon that waits for its turn to order 3,000 engines.
 func BenchmarkTick(b *testing.B) {
-	m := settled(large())
+	m := newMachine(largeSite())
 	m.Step(at(2000), layering.Tick{})
 	m.Step(at(2010), layering.LeaseNotAcquired{HeldFor: time.Hour})
 	b.ReportAllocs()
--- a/coordination/layering/underway.go
+++ b/coordination/layering/underway.go
@@ -8,102 +8,102 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// pending is an order under way.
-type pending struct {
-	layers   fleet.Range
-	orders   uint64    // that the engine must have begun before
-	until    time.Time // when it is decided anew
-	moved    bool      // the engine held other layers before
-	answered bool      // the engine's answer has come, or will not
+// pendingOrder is an order without a confirmed result.
+type pendingOrder struct {
+	layers     fleet.Range
+	orderCount uint64    // order count that the engine must have before it
+	retryAt    time.Time // when it is planned again
+	moved      bool      // the engine held other layers before
+	answered   bool      // the answer has arrived, or is no longer expected
 }
 
-// underWay holds the orders that engines are carrying out, as far as is known. What is asked
-// at every event takes no longer where there are thousands of them.
-type underWay struct {
-	byLife     map[state.Life]pending
-	unanswered int
-	// earliest is no later than any order's until; zero where there is no order.
+// pendingOrders holds the orders that engines are believed to be carrying out. The operations that
+// run at every event take constant time, even with thousands of orders.
+type pendingOrders struct {
+	byIncarnation map[state.Life]pendingOrder
+	unanswered    int
+	// earliest is no later than any retryAt; zero if there are no orders.
 	earliest time.Time
 }
 
-func newUnderWay() underWay {
-	return underWay{byLife: make(map[state.Life]pending)}
+func newPendingOrders() pendingOrders {
+	return pendingOrders{byIncarnation: make(map[state.Life]pendingOrder)}
 }
 
-func (u *underWay) len() int { return len(u.byLife) }
+func (o *pendingOrders) len() int { return len(o.byIncarnation) }
 
-func (u *underWay) get(id state.Life) (pending, bool) {
-	p, ok := u.byLife[id]
+func (o *pendingOrders) get(id state.Life) (pendingOrder, bool) {
+	p, ok := o.byIncarnation[id]
 	return p, ok
 }
 
-func (u *underWay) add(id state.Life, p pending) {
-	u.remove(id)
-	u.byLife[id] = p
-	u.unanswered++
-	u.earliest = sooner(u.earliest, p.until)
+func (o *pendingOrders) add(id state.Life, p pendingOrder) {
+	o.remove(id)
+	o.byIncarnation[id] = p
+	o.unanswered++
+	o.earliest = earlierNonZero(o.earliest, p.retryAt)
 }
 
-// answered notes that no answer to an order is waited for any more.
-func (u *underWay) answered(id state.Life) {
-	p, ok := u.byLife[id]
+// markAnswered records that the answer to an order is no longer awaited.
+func (o *pendingOrders) markAnswered(id state.Life) {
+	p, ok := o.byIncarnation[id]
 	if !ok || p.answered {
 		return
 	}
 	p.answered = true
-	u.byLife[id] = p
-	u.unanswered--
+	o.byIncarnation[id] = p
+	o.unanswered--
 }
 
-// extend changes when an order is decided anew.
-func (u *underWay) extend(id state.Life, until time.Time) {
-	p, ok := u.byLife[id]
+// extend changes when an order is planned again.
+func (o *pendingOrders) extend(id state.Life, until time.Time) {
+	p, ok := o.byIncarnation[id]
 	if !ok {
 		return
 	}
-	p.until = until
-	u.byLife[id] = p
-	u.earliest = sooner(u.earliest, until)
+	p.retryAt = until
+	o.byIncarnation[id] = p
+	o.earliest = earlierNonZero(o.earliest, until)
 }
 
-func (u *underWay) remove(id state.Life) {
-	u.answered(id)
-	delete(u.byLife, id)
+func (o *pendingOrders) remove(id state.Life) {
+	o.markAnswered(id)
+	delete(o.byIncarnation, id)
 }
 
-// removeAll removes the orders to some engines.
-func (u *underWay) removeAll(which func(state.Life) bool) {
-	for id := range u.byLife {
+// removeAll removes the orders to the selected engines.
+func (o *pendingOrders) removeAll(which func(state.Life) bool) {
+	for id := range o.byIncarnation {
 		if which(id) {
-			u.remove(id)
+			o.remove(id)
 		}
 	}
 }
 
-// nextExpiry is when an order may be due to be decided anew; zero for never.
-func (u *underWay) nextExpiry() time.Time { return u.earliest }
+// nextExpiry returns when an order may have to be planned again; zero for never.
+func (o *pendingOrders) nextExpiry() time.Time { return o.earliest }
 
-// expire removes the orders that are to be decided anew, and reports whether there were any.
-func (u *underWay) expire(now time.Time) bool {
-	if u.earliest.IsZero() || now.Before(u.earliest) {
+// expire removes the orders that have to be planned again, and reports whether there were any.
+func (o *pendingOrders) expire(now time.Time) bool {
+	if o.earliest.IsZero() || now.Before(o.earliest) {
 		return false
 	}
-	before := len(u.byLife)
-	u.earliest = time.Time{}
-	for id, p := range u.byLife {
-		if !now.Before(p.until) {
-			u.remove(id)
+	before := len(o.byIncarnation)
+	o.earliest = time.Time{}
+	for id, p := range o.byIncarnation {
+		if !now.Before(p.retryAt) {
+			o.remove(id)
 			continue
 		}
-		u.earliest = sooner(u.earliest, p.until)
+		o.earliest = earlierNonZero(o.earliest, p.retryAt)
 	}
-	return len(u.byLife) < before
+	return len(o.byIncarnation) < before
 }
 
-// orders lists them for a layout.
-func (u *underWay) orders() map[state.Life]cover.PendingOrder {
-	out := make(map[state.Life]cover.PendingOrder, len(u.byLife))
-	for id, p := range u.byLife {
+// orders returns the orders as input of a layout.
+func (o *pendingOrders) orders() map[state.Life]cover.PendingOrder {
+	out := make(map[state.Life]cover.PendingOrder, len(o.byIncarnation))
+	for id, p := range o.byIncarnation {
 		out[id] = cover.PendingOrder{Layers: p.layers, Moved: p.moved}
 	}
 	return out
