--- a/coordination/permits/doc.go
+++ b/coordination/permits/doc.go
@@ -1,38 +1,43 @@
-// Package permits keeps the limits that backend servers name, in requests a second from all
-// daemons together, while daemons come, go, pause and are cut off.
+// Package permits enforces the rate limits that backend servers declare, in requests per second
+// from all daemons together, while daemons start, stop, pause and are partitioned.
 //
-// A server that names a limit gets a request only against a permit. One daemon issues a
-// server's permits, the owner: the one with the highest rendezvous weight for the server among
-// those that take part. The others ask it for as many as they will need in a moment, hold them
-// for a short while and spend one for each request that they send, be it the first, a repeat or
-// the rest of a stream. Nothing is written to the store, and nothing depends on it.
+// A server that declares a limit gets a request only against a permit. One daemon, the owner,
+// issues a server's permits: the daemon with the highest rendezvous weight for the server among the
+// participating ones. The others request as many permits as they will need in the near future, hold
+// them for a short time and spend one for each request that they send, whether it is a first
+// attempt, a retry or the rest of a stream. Nothing is written to the store, and nothing depends on
+// it.
 //
-// # What holds
+// # Guarantee
 //
-// An owner issues at the limit's rate times the part of the daemons that it sees. A side of a
-// cut sees a part only, and the parts of all sides add up to at most one. Since permits lapse
-// and an owner keeps few that nobody asked for, a server gets in any time t about
-// rate * t + 2 requests, and for a moment up to twice that where daemons disagree about who
-// takes part: a new owner waits for settle before it issues any.
+// An owner issues permits at the limit's rate times the share of the daemons that it sees. A
+// partition sees only a share of the daemons, and the shares of all partitions add up to at most
+// one. Since permits expire and an owner accumulates few unrequested ones, a server gets in any
+// time t about rate * t + 2 requests, and for a moment up to twice that number if daemons disagree
+// about the participants: a new owner waits for takeoverDelay before it issues permits.
 //
 // # Contract for the caller
 //
-// One goroutine at a time. Step takes what happened and returns what is to be done; Tick is due
-// at NextTick and harmless at any time. Before a request is sent to a server the caller asks
-// Unavailable. It spends a permit with Take where it sends the request, and says with Want that it
-// could not. now is a monotonic clock.
+// The package must be used by one goroutine at a time. Step processes an event and returns the
+// resulting actions; Tick is due at NextTick and harmless at any other time. Before a request is
+// sent to a server, the caller checks Unavailable. It spends a permit with Take when it sends the
+// request, and calls RecordDemand if it could not. now is a monotonic clock.
 //
-// # Failures that the guards are for
+// # Failures guarded against
 //
-//   - Daemons that each keep a limit alone allow it once each: only an owner issues permits.
-//   - An owner dies, leaves or is frozen: its place goes to the next one by the membership;
-//     meanwhile nothing is issued, and a permit that it has issued lapses.
-//   - A daemon has not heard of a limit, or not of its end: the owner tells all, again now and
-//     then, and each answer to a question says what the owner knows. What was heard last holds.
-//   - An answer that was on its way before a server named its limit seems to say that there is
-//     none: only the answer to a request that was sent after the limit was heard ends it.
-//   - A server starts again: limits go by its life, and the former one's says nothing.
-//   - A message is lost or late: questions are asked again, and permits that never arrive lapse
-//     with nobody, so that less is used and never more.
-//   - Hundreds of daemons want a few permits a second: the owner tells each when to ask again.
+//   - Daemons that enforce a limit independently would each allow the whole limit: only an owner
+//     issues permits.
+//   - An owner dies, leaves or is frozen: the membership determines the next owner; meanwhile
+//     nothing is issued, and permits that were issued expire.
+//   - A daemon has not received a limit, or its removal: the owner announces it to all daemons,
+//     repeats the announcement periodically, and reports what it knows in each answer. The latest
+//     observation wins.
+//   - An answer that was in flight when a server declared its limit seems to say that there is
+//     none: only the answer to a request that was sent after the limit was observed removes it.
+//   - A server restarts: limits belong to an incarnation, and the limit of the former one does not
+//     apply.
+//   - A message is lost or late: requests for permits are repeated, and permits that never arrive
+//     expire unused, so that fewer are used and never more.
+//   - Hundreds of daemons want a few permits per second: the owner tells each daemon when to ask
+//     again.
 package permits
--- a/coordination/permits/event.go
+++ b/coordination/permits/event.go
@@ -7,34 +7,34 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// Event is what Permits is told.
+// Event is an input of Limiter.
 type Event interface {
 	permitsEvent()
 }
 
-// View is who takes part.
+// Membership describes the participating daemons.
 type Membership struct {
 	Self state.DaemonID
-	// Daemons may own permits: they live and do not leave. Their order does not matter.
+	// Daemons may own permits: they are alive and not leaving. Their order does not matter.
 	Daemons []state.DaemonID
-	// Part is the share of all daemons that this one is in contact with, from 0 to 1.
+	// Share is the fraction of all daemons that this one is in contact with, from 0 to 1.
 	Share float64
 }
 
-// Heard is what a server's answer says of its limit.
+// LimitObserved reports the limit in a server's answer.
 type LimitObserved struct {
 	Server state.Life
 	Limit  fleet.RateLimit
 	Sent   time.Time // when the request was sent
 }
 
-// Learned is what another daemon has told all.
+// LimitReceived reports a limit that another daemon has announced.
 type LimitReceived struct {
 	LimitNotice
-	At time.Time // when that daemon did, by this daemon's clock
+	At time.Time // when that daemon announced it, by this daemon's clock
 }
 
-// Received is a message of another daemon.
+// MessageReceived delivers a message of another daemon.
 type MessageReceived struct {
 	From state.DaemonID
 	Msg  Message
@@ -49,23 +49,23 @@
 func (MessageReceived) permitsEvent() {}
 func (Tick) permitsEvent()            {}
 
-// Action is what the caller of Step is to do.
+// Action is an output of Limiter, to be executed by the caller of Step.
 type Action interface {
 	permitsAction()
 }
 
-// Send sends a message to another daemon. One that is lost is made up for.
+// Send sends a message to another daemon. Lost messages are tolerated.
 type Send struct {
 	To  state.DaemonID
 	Msg Message
 }
 
-// Tell has all live daemons learn a limit.
+// Broadcast announces a limit to all live daemons.
 type Broadcast struct {
 	LimitNotice
 }
 
-// Changed says that another limit of a server is known here than before.
+// LimitChanged reports that the known limit of a server has changed.
 type LimitChanged struct {
 	LimitNotice
 }
--- a/coordination/permits/issuer.go
+++ b/coordination/permits/issuer.go
@@ -9,124 +9,124 @@
 )
 
 const (
-	// spareLeast and spareFor are the permits that nobody has asked for and that are kept: two,
-	// and those of so much time.
-	spareLeast = 2
-	spareFor   = 100 * time.Millisecond
-	// queueFor is for how much time permits are promised in advance. Daemons beyond that ask
-	// again later: what they need may have changed by then.
-	queueFor = time.Second
-	// askKeep is how long a question stands that is not asked again.
-	askKeep = time.Second
-	// askLeast and askMost bound the time after which a daemon asks again.
-	askLeast = 50 * time.Millisecond
-	askMost  = 5 * time.Second
-	// asksIdle and asksEach are how many questions a second an owner takes for one server:
-	// enough for each permit to find a taker.
-	asksIdle = 20.0
-	asksEach = 2.0
+	// spareMin and spareTime bound the unrequested permits that are accumulated: two, and those of
+	// this time.
+	spareMin  = 2
+	spareTime = 100 * time.Millisecond
+	// queueTime is the time for which permits are promised in advance. Daemons beyond that ask
+	// again later, since their demand may have changed by then.
+	queueTime = time.Second
+	// requestTTL is how long a request for permits is valid if it is not repeated.
+	requestTTL = time.Second
+	// minRetry and maxRetry bound the time after which a daemon asks again.
+	minRetry = 50 * time.Millisecond
+	maxRetry = 5 * time.Second
+	// baseRequestRate and requestsPerPermit determine how many requests per second an owner accepts
+	// for one server: enough for each permit to find a daemon that needs it.
+	baseRequestRate   = 20.0
+	requestsPerPermit = 2.0
 )
 
-// issuer gives out one server's permits, one at a time to each daemon that asks, in turn.
+// issuer issues one server's permits round-robin, one at a time to each waiting daemon.
 type issuer struct {
-	level float64   // permits that may be given
-	at    time.Time // of level
-	queue []asker
-	// askers are the daemons that have asked of late, and when.
-	askers map[state.DaemonID]time.Time
-	// served are those that the last issue gave permits to.
+	level   float64   // permits that may be issued
+	levelAt time.Time // time of the last update of level
+	queue   []waiter
+	// requesters holds the daemons that have recently asked, and when.
+	requesters map[state.DaemonID]time.Time
+	// served holds the daemons that got permits in the last call of issue.
 	served []grant
 }
 
-// asker is a daemon that waits for permits.
-type asker struct {
+// waiter is a daemon that waits for permits.
+type waiter struct {
 	from state.DaemonID
 	want int
 	at   time.Time
 }
 
-// grant is what a daemon is given.
+// grant is a number of permits for a daemon.
 type grant struct {
 	to      state.DaemonID
 	permits int
 }
 
-// mint adds the permits that have become due.
-func (i *issuer) mint(now time.Time, rate float64) {
-	if !now.After(i.at) {
+// refill adds the permits that have become due.
+func (i *issuer) refill(now time.Time, rate float64) {
+	if !now.After(i.levelAt) {
 		return
 	}
-	most := spareLeast + rate*spareFor.Seconds()
-	i.level = min(i.level+rate*now.Sub(i.at).Seconds(), most)
-	i.at = now
+	most := spareMin + rate*spareTime.Seconds()
+	i.level = min(i.level+rate*now.Sub(i.levelAt).Seconds(), most)
+	i.levelAt = now
 }
 
-// again is after what time a daemon that gets nothing may ask again, by those that have asked of
-// late.
-func (i *issuer) again(rate float64) time.Duration {
-	again := float64(len(i.askers)) / (asksIdle + asksEach*rate)
-	return min(max(time.Duration(again*float64(time.Second)), askLeast), askMost)
+// retryAfter returns after what time a daemon that gets nothing may ask again, based on the number
+// of daemons that have recently asked.
+func (i *issuer) retryAfter(rate float64) time.Duration {
+	seconds := float64(len(i.requesters)) / (baseRequestRate + requestsPerPermit*rate)
+	return min(max(time.Duration(seconds*float64(time.Second)), minRetry), maxRetry)
 }
 
-// ask notes what a daemon wants, its part of what is due soon at most. One that waits already
-// keeps its place.
-func (i *issuer) ask(now time.Time, from state.DaemonID, want int, rate float64) {
-	if i.askers == nil {
-		i.askers = make(map[state.DaemonID]time.Time)
+// enqueue records the demand of a daemon, limited to its part of the permits due soon. A daemon
+// that is already waiting keeps its place.
+func (i *issuer) enqueue(now time.Time, from state.DaemonID, want int, rate float64) {
+	if i.requesters == nil {
+		i.requesters = make(map[state.DaemonID]time.Time)
 	}
-	i.askers[from] = now
+	i.requesters[from] = now
 	i.served = nil
-	keep := max(askKeep, 2*i.again(rate))
-	for d, at := range i.askers {
+	keep := max(requestTTL, 2*i.retryAfter(rate))
+	for d, at := range i.requesters {
 		if now.Sub(at) > keep {
-			delete(i.askers, d)
+			delete(i.requesters, d)
 		}
 	}
-	want = min(want, int(math.Ceil(max(1, rate*queueFor.Seconds()/float64(len(i.askers))))))
-	i.queue = slices.DeleteFunc(i.queue, func(a asker) bool { return a.from != from && now.Sub(a.at) > askKeep })
-	if k := slices.IndexFunc(i.queue, func(a asker) bool { return a.from == from }); k >= 0 {
+	want = min(want, int(math.Ceil(max(1, rate*queueTime.Seconds()/float64(len(i.requesters))))))
+	i.queue = slices.DeleteFunc(i.queue, func(w waiter) bool { return w.from != from && now.Sub(w.at) > requestTTL })
+	if k := slices.IndexFunc(i.queue, func(w waiter) bool { return w.from == from }); k >= 0 {
 		i.queue[k].want, i.queue[k].at = want, now
 		return
 	}
-	if len(i.queue) > 0 && float64(i.wanted()) >= max(1, rate*queueFor.Seconds()) {
+	if len(i.queue) > 0 && float64(i.queued()) >= max(1, rate*queueTime.Seconds()) {
 		return
 	}
-	i.queue = append(i.queue, asker{from: from, want: want, at: now})
+	i.queue = append(i.queue, waiter{from: from, want: want, at: now})
 }
 
-// waits reports whether a daemon waits for permits.
-func (i *issuer) waits(to state.DaemonID) bool {
-	return slices.ContainsFunc(i.queue, func(a asker) bool { return a.from == to })
+// isWaiting reports whether a daemon waits for permits.
+func (i *issuer) isWaiting(to state.DaemonID) bool {
+	return slices.ContainsFunc(i.queue, func(w waiter) bool { return w.from == to })
 }
 
-// leave takes off a daemon that does not wait.
-func (i *issuer) leave(from state.DaemonID) {
-	i.queue = slices.DeleteFunc(i.queue, func(a asker) bool { return a.from == from })
+// dequeue removes a daemon that does not wait.
+func (i *issuer) dequeue(from state.DaemonID) {
+	i.queue = slices.DeleteFunc(i.queue, func(w waiter) bool { return w.from == from })
 }
 
-// wanted is how many permits are waited for.
-func (i *issuer) wanted() int {
+// queued returns the number of permits that are waited for.
+func (i *issuer) queued() int {
 	n := 0
-	for _, a := range i.queue {
-		n += a.want
+	for _, w := range i.queue {
+		n += w.want
 	}
 	return n
 }
 
-// issue gives out what is due.
+// issue issues the permits that are due.
 func (i *issuer) issue(now time.Time, rate float64) []grant {
-	i.mint(now, rate)
+	i.refill(now, rate)
 	i.served = nil
 	for i.level >= 1 && len(i.queue) > 0 {
-		a := i.queue[0]
+		w := i.queue[0]
 		i.queue = i.queue[1:]
-		if now.Sub(a.at) > askKeep || a.want <= 0 {
+		if now.Sub(w.at) > requestTTL || w.want <= 0 {
 			continue
 		}
 		i.level--
-		i.serve(a.from)
-		if a.want--; a.want > 0 {
-			i.queue = append(i.queue, a)
+		i.serve(w.from)
+		if w.want--; w.want > 0 {
+			i.queue = append(i.queue, w)
 		}
 	}
 	return i.served
@@ -142,34 +142,34 @@
 	i.served = append(i.served, grant{to: to, permits: 1})
 }
 
-// answered reports whether the last issue gave a daemon permits.
-func (i *issuer) answered(to state.DaemonID) bool {
+// wasServed reports whether the last call of issue gave permits to a daemon.
+func (i *issuer) wasServed(to state.DaemonID) bool {
 	return slices.ContainsFunc(i.served, func(g grant) bool { return g.to == to })
 }
 
-// nextIssue is when the next permit can be given; false where nobody waits for one.
+// nextIssue returns when the next permit can be issued; false if no daemon waits for one.
 func (i *issuer) nextIssue(now time.Time, rate float64) (time.Time, bool) {
 	if len(i.queue) == 0 || rate <= 0 {
 		return time.Time{}, false
 	}
-	at := i.at.Add(time.Duration((1 - i.level) / rate * float64(time.Second)))
+	at := i.levelAt.Add(time.Duration((1 - i.level) / rate * float64(time.Second)))
 	if at.Before(now) {
 		at = now
 	}
 	return at, true
 }
 
-// outlook is when a daemon is likely to get its next permit, and how long each further one
-// takes it, by those that have asked of late.
-func (i *issuer) outlook(now time.Time, to state.DaemonID, rate float64) (first, each time.Duration) {
+// forecast returns when a daemon is expected to get its next permit, and the interval between
+// further ones, based on the daemons that have recently asked.
+func (i *issuer) forecast(now time.Time, to state.DaemonID, rate float64) (nextIn, interval time.Duration) {
 	if rate <= 0 {
-		return askMost, askMost
+		return maxRetry, maxRetry
 	}
 	one := float64(time.Second) / rate
-	place := len(i.queue)
-	if k := slices.IndexFunc(i.queue, func(a asker) bool { return a.from == to }); k >= 0 {
-		place = k
+	position := len(i.queue)
+	if k := slices.IndexFunc(i.queue, func(w waiter) bool { return w.from == to }); k >= 0 {
+		position = k
 	}
-	due := i.at.Add(time.Duration((float64(place) + 1 - i.level) * one))
-	return max(due.Sub(now), 0), time.Duration(float64(max(len(i.askers), 1)) * one)
+	due := i.levelAt.Add(time.Duration((float64(position) + 1 - i.level) * one))
+	return max(due.Sub(now), 0), time.Duration(float64(max(len(i.requesters), 1)) * one)
 }
--- a/coordination/permits/message.go
+++ b/coordination/permits/message.go
@@ -7,41 +7,44 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// Message is what daemons send each other about permits.
+// Message is a message between daemons about permits.
 type Message interface {
 	permitsMessage()
 }
 
-// Ask asks the owner of a server's permits for some, or just says what its sender knows.
+// PermitRequest asks the owner of a server's permits for some, or only reports its sender's known
+// limit.
 type PermitRequest struct {
 	Server state.Life `msgpack:"server"`
-	Count  int        `msgpack:"want"` // permits; 0 for none
-	// Later is whether permits that can't be given at once are of use later: requests wait for
-	// them. Others have gone elsewhere by then, and the permits would lapse unused.
+	Count  int        `msgpack:"want"` // number of permits; 0 for none
+	// AcceptLater reports whether permits that cannot be issued at once are of use later because
+	// requests wait for them. Otherwise the requests have gone elsewhere by then, and the permits
+	// would expire unused.
 	AcceptLater bool        `msgpack:"later"`
 	Known       LimitReport `msgpack:"known"`
 }
 
-// Issue answers an Ask, and comes again while what was asked for is issued bit by bit.
+// PermitGrant answers a PermitRequest. It is repeated while the requested permits are issued one by
+// one.
 type PermitGrant struct {
 	Server  state.Life  `msgpack:"server"`
 	Permits int         `msgpack:"permits"`
 	Known   LimitReport `msgpack:"known"`
-	// First is when the next permit is likely to come to this daemon, Each how long each
-	// further one takes, by the daemons that ask.
+	// NextIn is the expected time until the next permit for this daemon, Interval the expected time
+	// between further ones, based on the daemons that ask.
 	NextIn   time.Duration `msgpack:"first"`
 	Interval time.Duration `msgpack:"each"`
-	// Again is after what time the daemon may ask again.
+	// RetryAfter is the time after which the daemon may ask again.
 	RetryAfter time.Duration `msgpack:"again"`
 }
 
-// Known is a server's limit as a daemon knows it.
+// LimitReport is a server's limit as known to a daemon.
 type LimitReport struct {
 	Limit fleet.RateLimit `msgpack:"limit"`
-	Age   time.Duration   `msgpack:"age"` // since a server's answer said so
+	Age   time.Duration   `msgpack:"age"` // since a server's answer declared it
 }
 
-// Told is a limit that all daemons are to know.
+// LimitNotice is a limit that is announced to all daemons.
 type LimitNotice struct {
 	Server state.Life      `msgpack:"server"`
 	Limit  fleet.RateLimit `msgpack:"limit"`
--- a/coordination/permits/permits.go
+++ b/coordination/permits/permits.go
@@ -10,73 +10,73 @@
 )
 
 const (
-	// settle is how long a daemon that becomes an owner, or has just seen others come or go,
-	// waits before it issues permits: the former owner issues until it learns of that too, and
-	// what it has issued is still spent.
-	settle = time.Second
-	// tellEvery is how often an owner tells all daemons of a limit: those that have started
-	// since do not know it.
-	tellEvery = 5 * time.Second
-	// forgetAfter is when what is known of a server is dropped that nobody asks for.
+	// takeoverDelay is how long a daemon that becomes an owner, or has just seen others join or
+	// leave, waits before it issues permits: the former owner issues permits until it observes the
+	// change, too, and the permits that it has issued are still being spent.
+	takeoverDelay = time.Second
+	// announceInterval is how often an owner announces a limit to all daemons: those that have
+	// started since do not know it.
+	announceInterval = 5 * time.Second
+	// forgetAfter is when the state of an unused server is dropped.
 	forgetAfter = 2 * time.Minute
 )
 
-// Permits is one daemon's part: the permits that it holds, and those that it issues.
+// Limiter is one daemon's part: the permits that it holds, and those that it issues.
 type Limiter struct {
-	view    Membership
-	steady  time.Time // since when the same daemons take part
-	servers map[state.Life]*server
-	out     []Action
-	now     time.Time
+	membership  Membership
+	stableSince time.Time // since when the set of participating daemons is unchanged
+	servers     map[state.Life]*server
+	out         []Action
+	now         time.Time
 }
 
-// server is one server that has named a limit.
+// server is the state of one server that has declared a limit.
 type server struct {
-	life  state.Life
-	limit fleet.RateLimit
-	// at is when that was last so: when an answer came that named it, or when a request was
-	// sent whose answer named none.
-	at      time.Time
-	touched time.Time
-	owner   state.DaemonID // "" where no daemon is known
-	holder  holder
-	issuer  issuer
-	toldAt  time.Time // when all were told last, if this daemon is the owner
+	incarnation state.Life
+	limit       fleet.RateLimit
+	// observedAt is when the limit was last confirmed: when an answer declared it, or when the
+	// request was sent whose answer declared none.
+	observedAt  time.Time
+	lastUsed    time.Time
+	owner       state.DaemonID // "" if no daemon is known
+	holder      holder
+	issuer      issuer
+	announcedAt time.Time // when the limit was last announced, if this daemon is the owner
 }
 
-// New returns a daemon's part, which knows no limit.
+// New returns a limiter that knows no limits.
 func New() *Limiter {
 	return &Limiter{servers: make(map[state.Life]*server)}
 }
 
-// Step takes what happened and returns what is to be done.
-func (p *Limiter) Step(now time.Time, ev Event) []Action {
-	p.now, p.out = now, nil
+// Step processes an event and returns the resulting actions.
+func (l *Limiter) Step(now time.Time, ev Event) []Action {
+	l.now, l.out = now, nil
 	switch ev := ev.(type) {
 	case Membership:
-		p.viewed(ev)
+		l.setMembership(ev)
 	case LimitObserved:
-		p.heard(ev)
+		l.handleObserved(ev)
 	case LimitReceived:
-		if _, known := p.servers[ev.Server]; known || ev.Limit.Named {
-			p.learn(p.server(ev.Server), ev.Limit, ev.At)
+		if _, known := l.servers[ev.Server]; known || ev.Limit.Named {
+			l.updateLimit(l.server(ev.Server), ev.Limit, ev.At)
 		}
 	case MessageReceived:
-		p.received(ev.From, ev.Msg)
+		l.handleMessage(ev.From, ev.Msg)
 	case Tick:
-		p.tick()
+		l.tick()
 	}
-	return p.out
+	return l.out
 }
 
-// NextTick is when a Tick is due; zero for not at all.
-func (p *Limiter) NextTick(now time.Time) time.Time {
+// NextTick returns when a Tick is due; zero for never.
+func (l *Limiter) NextTick(now time.Time) time.Time {
 	var next time.Time
-	for _, s := range p.servers {
-		due := s.touched.Add(forgetAfter)
-		if s.limit.Named && s.owner == p.view.Self {
-			due = s.toldAt.Add(tellEvery)
-			if at, ok := s.issuer.nextIssue(now, p.rate(s)); ok && at.Before(due) {
+	for _, s := range l.servers {
+		due := s.lastUsed.Add(forgetAfter)
+		if s.limit.Named && s.owner == l.membership.Self {
+			due = s.announcedAt.Add(announceInterval)
+			if at, ok := s.issuer.nextIssue(now, l.rate(s)); ok && at.Before(due) {
 				due = at
 			}
 		}
@@ -87,225 +87,226 @@
 	return next
 }
 
-// viewed takes up who takes part.
-func (p *Limiter) viewed(v Membership) {
+// setMembership applies a new membership.
+func (l *Limiter) setMembership(v Membership) {
 	slices.Sort(v.Daemons)
-	if !slices.Equal(v.Daemons, p.view.Daemons) {
-		p.steady = p.now
+	if !slices.Equal(v.Daemons, l.membership.Daemons) {
+		l.stableSince = l.now
 	}
-	for _, s := range p.servers { // what is due so far is due by the former part
-		s.issuer.mint(p.now, p.rate(s))
+	for _, s := range l.servers { // permits due until now are counted with the former share
+		s.issuer.refill(l.now, l.rate(s))
 	}
-	p.view = v
-	for _, s := range p.servers {
-		if owner := p.ownerOf(s.life); owner != s.owner {
-			p.setOwner(s, owner)
+	l.membership = v
+	for _, s := range l.servers {
+		if owner := l.ownerOf(s.incarnation); owner != s.owner {
+			l.setOwner(s, owner)
 		}
 	}
 }
 
-func (p *Limiter) ownerOf(life state.Life) state.DaemonID {
-	owner, _ := rendezvous.Owner(life.String(), p.view.Daemons)
+func (l *Limiter) ownerOf(incarnation state.Life) state.DaemonID {
+	owner, _ := rendezvous.Owner(incarnation.String(), l.membership.Daemons)
 	return owner
 }
 
-// setOwner takes up who issues a server's permits from now on.
+// setOwner sets the daemon that issues a server's permits from now on.
 //
-// Guard (two-owners): the former owner goes on until it has learned of the change. Were permits
-// issued at once, a server would get twice its limit whenever daemons come and go.
-func (p *Limiter) setOwner(s *server, owner state.DaemonID) {
+// Guard (two-owners): the former owner continues until it has observed the change. If permits were
+// issued at once, a server would get twice its limit whenever daemons join or leave.
+func (l *Limiter) setOwner(s *server, owner state.DaemonID) {
 	s.owner = owner
-	s.issuer = issuer{at: p.now}
-	if since := p.steady.Add(settle); p.now.Before(since) {
-		s.issuer.at = since
+	s.issuer = issuer{levelAt: l.now}
+	if since := l.stableSince.Add(takeoverDelay); l.now.Before(since) {
+		s.issuer.levelAt = since
 	}
-	s.holder.again = time.Time{}
-	s.toldAt = p.now
+	s.holder.nextRequestAt = time.Time{}
+	s.announcedAt = l.now
 }
 
-// server finds or begins what is known of a server.
-func (p *Limiter) server(life state.Life) *server {
-	s, ok := p.servers[life]
+// server returns the state of a server, and creates it if necessary.
+func (l *Limiter) server(incarnation state.Life) *server {
+	s, ok := l.servers[incarnation]
 	if !ok {
-		s = &server{life: life}
-		p.servers[life] = s
-		p.setOwner(s, p.ownerOf(life))
+		s = &server{incarnation: incarnation}
+		l.servers[incarnation] = s
+		l.setOwner(s, l.ownerOf(incarnation))
 	}
-	s.touched = p.now
+	s.lastUsed = l.now
 	return s
 }
 
-// heard takes up what an answer says.
+// handleObserved applies the limit in an answer.
 //
-// Guard (answer-from-before): answers that were on their way when a server named its limit name
-// none. Taken for its end, daemons would drop the limit and take it up again for some seconds.
-// So the answer to a request says that there was none when that was sent.
-func (p *Limiter) heard(h LimitObserved) {
-	if _, known := p.servers[h.Server]; !known && !h.Limit.Named {
+// Guard (answer-from-before): answers that were in flight when a server declared its limit declare
+// none. If they removed the limit, daemons would drop it and apply it again for several seconds. An
+// answer without a limit therefore counts from the time at which its request was sent.
+func (l *Limiter) handleObserved(h LimitObserved) {
+	if _, known := l.servers[h.Server]; !known && !h.Limit.Named {
 		return
 	}
-	s := p.server(h.Server)
-	at := p.now
+	s := l.server(h.Server)
+	at := l.now
 	if !h.Limit.Named {
 		at = h.Sent
 	}
-	if !p.learn(s, h.Limit, at) {
+	if !l.updateLimit(s, h.Limit, at) {
 		return
 	}
-	if s.owner == p.view.Self {
-		p.tell(s)
+	if s.owner == l.membership.Self {
+		l.announce(s)
 	} else if s.owner != "" {
-		p.act(Send{To: s.owner, Msg: PermitRequest{Server: s.life, Known: p.known(s)}})
+		l.emit(Send{To: s.owner, Msg: PermitRequest{Server: s.incarnation, Known: l.limitReport(s)}})
 	}
 }
 
-// learn takes up a limit unless what is known is newer. It returns true if it is another one.
-func (p *Limiter) learn(s *server, limit fleet.RateLimit, at time.Time) bool {
-	if !at.After(s.at) {
+// updateLimit applies a limit unless a newer one is known. It returns true if the limit changed.
+func (l *Limiter) updateLimit(s *server, limit fleet.RateLimit, at time.Time) bool {
+	if !at.After(s.observedAt) {
 		return false
 	}
-	s.at = at
+	s.observedAt = at
 	if s.limit == limit {
 		return false
 	}
-	s.issuer.mint(p.now, p.rate(s))
+	s.issuer.refill(l.now, l.rate(s))
 	s.limit = limit
 	if !limit.Named {
-		s.holder, s.issuer = holder{waiting: s.holder.waiting}, issuer{at: p.now}
+		s.holder, s.issuer = holder{waiting: s.holder.waiting}, issuer{levelAt: l.now}
 	}
-	p.act(LimitChanged{LimitNotice{Server: s.life, Limit: limit}})
+	l.emit(LimitChanged{LimitNotice{Server: s.incarnation, Limit: limit}})
 	return true
 }
 
-// received takes a message.
-func (p *Limiter) received(from state.DaemonID, msg Message) {
+// handleMessage processes a message.
+func (l *Limiter) handleMessage(from state.DaemonID, msg Message) {
 	switch m := msg.(type) {
 	case PermitRequest:
-		p.asked(from, m)
+		l.handleRequest(from, m)
 	case PermitGrant:
-		s := p.server(m.Server)
-		p.learn(s, m.Known.Limit, p.now.Add(-m.Known.Age))
+		s := l.server(m.Server)
+		l.updateLimit(s, m.Known.Limit, l.now.Add(-m.Known.Age))
 		if s.limit.Named {
-			s.holder.take(p.now, m, p.life(s))
+			s.holder.applyGrant(l.now, m, l.ttl(s))
 		}
 	}
 }
 
-// asked takes a question of a daemon, or of this one.
-func (p *Limiter) asked(from state.DaemonID, a PermitRequest) {
-	s := p.server(a.Server)
-	if p.learn(s, a.Known.Limit, p.now.Add(-a.Known.Age)) && s.owner == p.view.Self {
-		p.tell(s)
+// handleRequest processes a request for permits from another daemon or from this one.
+func (l *Limiter) handleRequest(from state.DaemonID, a PermitRequest) {
+	s := l.server(a.Server)
+	if l.updateLimit(s, a.Known.Limit, l.now.Add(-a.Known.Age)) && s.owner == l.membership.Self {
+		l.announce(s)
 	}
 	if a.Count == 0 {
 		return
 	}
-	if s.owner != p.view.Self || !s.limit.Named {
-		// Its view differs, or the limit has ended: it learns what is known here.
-		p.give(from, PermitGrant{Server: s.life, Known: p.known(s), RetryAfter: askLeast})
+	if s.owner != l.membership.Self || !s.limit.Named {
+		// Its membership view differs, or the limit was removed: report what is known here.
+		l.sendGrant(from, PermitGrant{Server: s.incarnation, Known: l.limitReport(s), RetryAfter: minRetry})
 		return
 	}
-	s.issuer.ask(p.now, from, a.Count, p.rate(s))
-	p.issue(s)
+	s.issuer.enqueue(l.now, from, a.Count, l.rate(s))
+	l.issue(s)
 	if !a.AcceptLater {
-		s.issuer.leave(from)
+		s.issuer.dequeue(from)
 	}
-	if !s.issuer.answered(from) {
-		p.give(from, p.issueTo(s, from, 0))
+	if !s.issuer.wasServed(from) {
+		l.sendGrant(from, l.newGrant(s, from, 0))
 	}
 }
 
-// issue gives out the permits that are due.
-func (p *Limiter) issue(s *server) {
-	for _, g := range s.issuer.issue(p.now, p.rate(s)) {
-		p.give(g.to, p.issueTo(s, g.to, g.permits))
+// issue issues the permits that are due.
+func (l *Limiter) issue(s *server) {
+	for _, g := range s.issuer.issue(l.now, l.rate(s)) {
+		l.sendGrant(g.to, l.newGrant(s, g.to, g.permits))
 	}
 }
 
-// issueTo is the answer to a daemon that gets some permits now.
-func (p *Limiter) issueTo(s *server, to state.DaemonID, n int) PermitGrant {
-	rate := p.rate(s)
-	m := PermitGrant{Server: s.life, Permits: n, Known: p.known(s)}
-	m.NextIn, m.Interval = s.issuer.outlook(p.now, to, rate)
-	if n == 0 || s.issuer.waits(to) {
-		m.RetryAfter = s.issuer.again(rate)
+// newGrant returns the answer to a daemon that gets n permits now.
+func (l *Limiter) newGrant(s *server, to state.DaemonID, n int) PermitGrant {
+	rate := l.rate(s)
+	m := PermitGrant{Server: s.incarnation, Permits: n, Known: l.limitReport(s)}
+	m.NextIn, m.Interval = s.issuer.forecast(l.now, to, rate)
+	if n == 0 || s.issuer.isWaiting(to) {
+		m.RetryAfter = s.issuer.retryAfter(rate)
 	}
 	return m
 }
 
-// give answers a daemon, which may be this one.
-func (p *Limiter) give(to state.DaemonID, m PermitGrant) {
-	if to == p.view.Self {
-		p.received(to, m)
+// sendGrant answers a daemon, which may be this one.
+func (l *Limiter) sendGrant(to state.DaemonID, m PermitGrant) {
+	if to == l.membership.Self {
+		l.handleMessage(to, m)
 		return
 	}
-	p.act(Send{To: to, Msg: m})
+	l.emit(Send{To: to, Msg: m})
 }
 
 // tick runs what is due.
-func (p *Limiter) tick() {
-	for life, s := range p.servers {
-		if p.now.Sub(s.touched) >= forgetAfter {
-			delete(p.servers, life)
+func (l *Limiter) tick() {
+	for incarnation, s := range l.servers {
+		if l.now.Sub(s.lastUsed) >= forgetAfter {
+			delete(l.servers, incarnation)
 			continue
 		}
-		p.askFor(s)
-		if !s.limit.Named || s.owner != p.view.Self {
+		l.requestPermits(s)
+		if !s.limit.Named || s.owner != l.membership.Self {
 			continue
 		}
-		p.issue(s)
-		if p.now.Sub(s.toldAt) >= tellEvery {
-			p.tell(s)
+		l.issue(s)
+		if l.now.Sub(s.announcedAt) >= announceInterval {
+			l.announce(s)
 		}
 	}
 }
 
-// askFor asks for the permits that this daemon's requests need, if any are due.
-func (p *Limiter) askFor(s *server) {
-	if !s.holder.due || !s.limit.Named || s.owner == "" {
+// requestPermits asks for the permits that this daemon's requests need, if a request is due.
+func (l *Limiter) requestPermits(s *server) {
+	if !s.holder.requestPending || !s.limit.Named || s.owner == "" {
 		return
 	}
-	s.holder.due = false
-	s.holder.again = p.now.Add(askUnanswered)
-	ask := PermitRequest{Server: s.life, Count: s.holder.wants(p.now, p.life(s)), AcceptLater: s.holder.waiting > 0, Known: p.known(s)}
-	if s.owner == p.view.Self {
-		p.asked(p.view.Self, ask)
+	s.holder.requestPending = false
+	s.holder.nextRequestAt = l.now.Add(askTimeout)
+	req := PermitRequest{Server: s.incarnation, Count: s.holder.missing(l.now, l.ttl(s)), AcceptLater: s.holder.waiting > 0, Known: l.limitReport(s)}
+	if s.owner == l.membership.Self {
+		l.handleRequest(l.membership.Self, req)
 		return
 	}
-	p.act(Send{To: s.owner, Msg: ask})
+	l.emit(Send{To: s.owner, Msg: req})
 }
 
-func (p *Limiter) tell(s *server) {
-	s.toldAt = p.now
-	p.act(Broadcast{LimitNotice{Server: s.life, Limit: s.limit}})
+func (l *Limiter) announce(s *server) {
+	s.announcedAt = l.now
+	l.emit(Broadcast{LimitNotice{Server: s.incarnation, Limit: s.limit}})
 }
 
-func (p *Limiter) known(s *server) LimitReport {
-	return LimitReport{Limit: s.limit, Age: p.now.Sub(s.at)}
+func (l *Limiter) limitReport(s *server) LimitReport {
+	return LimitReport{Limit: s.limit, Age: l.now.Sub(s.observedAt)}
 }
 
-func (p *Limiter) act(a Action) { p.out = append(p.out, a) }
+func (l *Limiter) emit(a Action) { l.out = append(l.out, a) }
 
-// leastRate is the requests a second that are sent to a server which takes none: nobody would
-// learn otherwise that it takes some again.
-const leastRate = 0.05
+// minRate is the number of requests per second that are sent to a server which accepts none:
+// otherwise no daemon would notice when it accepts requests again.
+const minRate = 0.05
 
-// rate is the permits a second that this daemon may issue for a server: its part of the limit.
+// rate returns the permits per second that this daemon may issue for a server: its share of the
+// limit.
 //
-// Guard (cut-in-parts): each side of a cut has an owner of its own, and would issue the whole
-// limit. A side has the part of the limit that it is of the daemons, as long as those on other
-// sides may be alive.
-func (p *Limiter) rate(s *server) float64 {
-	return max(s.limit.PerSecond, leastRate) * p.view.Share
+// Guard (cut-in-parts): each partition has an owner of its own, which would issue the whole limit.
+// A partition gets the share of the limit that corresponds to its share of the daemons, as long as
+// those in other partitions may be alive.
+func (l *Limiter) rate(s *server) float64 {
+	return max(s.limit.PerSecond, minRate) * l.membership.Share
 }
 
-// life is how long a permit can be spent.
-func (p *Limiter) life(s *server) time.Duration {
-	return permitLife(max(s.limit.PerSecond, leastRate))
+// ttl returns the lifetime of a server's permits.
+func (l *Limiter) ttl(s *server) time.Duration {
+	return permitTTL(max(s.limit.PerSecond, minRate))
 }
 
 // Owns reports whether this daemon issues a server's permits.
-func (p *Limiter) Owns(life state.Life) bool {
-	s, ok := p.servers[life]
-	return ok && s.limit.Named && s.owner == p.view.Self
+func (l *Limiter) Owns(incarnation state.Life) bool {
+	s, ok := l.servers[incarnation]
+	return ok && s.limit.Named && s.owner == l.membership.Self
 }
--- a/coordination/permits/permits_test.go
+++ b/coordination/permits/permits_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// size is some daemons before a server with a limit.
+// size is a number of daemons in front of a server with a limit.
 type size struct {
 	daemons   int
 	perSecond float64
@@ -21,49 +21,49 @@
 
 func (s size) String() string { return fmt.Sprintf("%d daemons, %g a second", s.daemons, s.perSecond) }
 
-// measured is how long a limit is measured, after daemons have had time to learn it.
+// measured is how long a limit is measured, after daemons have had time to observe it.
 const measured = 20 * time.Second
 
-// outcome is what a limit comes to.
+// outcome is the measured result of a limit.
 type outcome struct {
-	busiest int     // requests in a window
-	used    float64 // of the limit
+	maxPerWindow int     // requests in a window
+	used         float64 // fraction of the limit
 }
 
-// keep runs daemons that want some times what a server takes; at one daemon alone, or spread
-// over all.
-func (s size) keep(newWay func() way, times float64, alone bool) outcome {
-	w := newWorld(1, s.daemons, max(times*s.perSecond, 2), alone, newWay)
-	w.run(2 * time.Second)
-	w.name(s.perSecond)
-	w.run(settles)
-	from := w.now
-	w.run(measured)
-	return outcome{busiest: w.busiest(from), used: float64(w.got(from)) / (measured.Seconds() * s.perSecond)}
+// simulate runs daemons with a multiple of the demand that a server accepts, at a single daemon or
+// distributed over all of them.
+func (s size) simulate(newStrategy func() strategy, times float64, oneDaemon bool) outcome {
+	sim := newSimulation(1, s.daemons, max(times*s.perSecond, 2), oneDaemon, newStrategy)
+	sim.run(2 * time.Second)
+	sim.declare(s.perSecond)
+	sim.run(convergenceTime)
+	from := sim.now
+	sim.run(measured)
+	return outcome{maxPerWindow: sim.maxPerWindow(from), used: float64(sim.receivedSince(from)) / (measured.Seconds() * s.perSecond)}
 }
 
-func (o outcome) String() string { return fmt.Sprintf("%d in 4 s, %.2f used", o.busiest, o.used) }
+func (o outcome) String() string { return fmt.Sprintf("%d in 4 s, %.2f used", o.maxPerWindow, o.used) }
 
 var _ = Describe("Permits", func() {
 	for _, s := range sizes {
-		It("hold a limit that is named, and use it whole: "+s.String(), func() {
-			for _, alone := range []bool{false, true} {
-				o := s.keep(newIssued, 3, alone)
-				Expect(o.busiest).To(BeNumerically("<=", allowed(s.perSecond)))
+		It("enforce a declared limit and use it fully: "+s.String(), func() {
+			for _, oneDaemon := range []bool{false, true} {
+				o := s.simulate(newShared, 3, oneDaemon)
+				Expect(o.maxPerWindow).To(BeNumerically("<=", allowed(s.perSecond)))
 				Expect(o.used).To(BeNumerically(">=", 0.8-1/(measured.Seconds()*s.perSecond)))
 			}
 		})
 	}
 
-	It("use more of a limit than equal parts that each daemon keeps alone", func() {
-		var issued, split float64
+	It("use more of a limit than equal parts enforced by each daemon independently", func() {
+		var permitsUsed, splitUsed float64
 		for _, s := range sizes {
-			for _, alone := range []bool{false, true} {
-				a, b := s.keep(newIssued, 3, alone), s.keep(newSplit, 3, alone)
-				issued, split = issued+a.used, split+b.used
-				AddReportEntry(fmt.Sprintf("%v, %d allowed, at one daemon %v: issued %v; equal parts %v", s, allowed(s.perSecond), alone, a, b))
+			for _, oneDaemon := range []bool{false, true} {
+				a, b := s.simulate(newShared, 3, oneDaemon), s.simulate(newSplit, 3, oneDaemon)
+				permitsUsed, splitUsed = permitsUsed+a.used, splitUsed+b.used
+				AddReportEntry(fmt.Sprintf("%v, %d allowed, at one daemon %v: permits %v; equal parts %v", s, allowed(s.perSecond), oneDaemon, a, b))
 			}
 		}
-		Expect(issued).To(BeNumerically(">", split))
+		Expect(permitsUsed).To(BeNumerically(">", splitUsed))
 	})
 })
--- a/coordination/permits/world_test.go
+++ b/coordination/permits/world_test.go
@@ -18,64 +18,64 @@
 )
 
 const (
-	// settles is how long daemons may take to keep a limit; window is the span over which
-	// what the server gets is counted.
-	settles = 3 * time.Second
-	window  = 4 * time.Second
-	// toldFor is after what time a daemon that has been told is to keep the limit.
-	toldFor = 500 * time.Millisecond
-	// patience is how long a request asks for a permit before it goes elsewhere.
-	patience = 24 * time.Millisecond
-	// answerAfter is how long the server takes to begin an answer.
-	answerAfter = 150 * time.Millisecond
+	// convergenceTime is how long daemons may take to obey a limit; window is the period over which
+	// the server's requests are counted.
+	convergenceTime = 3 * time.Second
+	window          = 4 * time.Second
+	// noticeTime is the time after which a daemon that has received the limit must obey it.
+	noticeTime = 500 * time.Millisecond
+	// requestTimeout is how long a request tries to get a permit before it goes elsewhere.
+	requestTimeout = 24 * time.Millisecond
+	// answerDelay is how long the server takes to begin an answer.
+	answerDelay = 150 * time.Millisecond
 )
 
-// allowed is how many requests a server may get in one window.
+// allowed returns how many requests a server may get in one window.
 func allowed(perSecond float64) int { return int(1.5*perSecond*window.Seconds() + 5) }
 
-// way is how a daemon keeps a limit.
-type way interface {
-	// send reports whether the daemon sends a request now; again for one that asks again.
-	send(now time.Time, again bool) bool
+// strategy is how a daemon enforces a limit.
+type strategy interface {
+	// send reports whether the daemon sends a request now; retry is set if it is a retry.
+	send(now time.Time, retry bool) bool
 	step(now time.Time, ev permits.Event) []permits.Action
 	next(now time.Time) time.Time
 }
 
-// world runs daemons before one server in virtual time.
-type world struct {
-	now    time.Time
-	rng    *rand.Rand
-	queue  events
-	seq    int
-	nodes  []*node
-	newWay func() way
-	loss   float64 // of messages
-
-	limit    fleet.RateLimit // that the server names
-	named    time.Time
-	arrivals []arrival
-	sent     int // messages
+// simulation runs daemons in front of one server in virtual time.
+type simulation struct {
+	now         time.Time
+	rng         *rand.Rand
+	queue       events
+	seq         int
+	nodes       []*node
+	newStrategy func() strategy
+	loss        float64 // fraction of messages that are lost
+
+	limit      fleet.RateLimit // declared by the server
+	declaredAt time.Time
+	arrivals   []arrival
+	messages   int
 }
 
-// arrival is a request that the server got.
+// arrival is a request that the server received.
 type arrival struct {
 	at time.Time
-	// told is whether its daemon had had an answer with the limit for toldFor.
-	told bool
+	// informed is set if its daemon had known the limit from an answer for at least noticeTime.
+	informed bool
 }
 
 // node is one daemon.
 type node struct {
-	id     state.DaemonID
-	way    way
-	demand float64 // requests a second
-	dead   bool
-	frozen time.Time // until when
-	side   int
-	// suspected is whether others hold it for dead.
-	suspected bool
-	wake      time.Time // of the timer that is set
-	told      time.Time // when an answer named the limit first in this life
+	id          state.DaemonID
+	strategy    strategy
+	demand      float64 // requests per second
+	dead        bool
+	frozenUntil time.Time // end of the freeze
+	partition   int
+	// suspected is set if others believe it dead.
+	suspected  bool
+	timerAt    time.Time // when the pending timer fires
+	informedAt time.Time // when an answer first declared the limit in this incarnation
 }
 
 type event struct {
@@ -99,186 +99,187 @@
 	return x
 }
 
-// newWorld has n daemons that want demand requests a second together, or the first one alone.
-func newWorld(seed uint64, n int, demand float64, alone bool, newWay func() way) *world {
-	w := &world{now: epoch, rng: rand.New(rand.NewPCG(seed, 1)), newWay: newWay}
+// newSimulation creates n daemons with a total demand in requests per second, or with all of it at
+// the first one.
+func newSimulation(seed uint64, n int, demand float64, oneDaemon bool, newStrategy func() strategy) *simulation {
+	sim := &simulation{now: epoch, rng: rand.New(rand.NewPCG(seed, 1)), newStrategy: newStrategy}
 	for i := range n {
-		nd := &node{id: state.DaemonID(fmt.Sprintf("d%03d", i)), way: newWay()}
+		nd := &node{id: state.DaemonID(fmt.Sprintf("d%03d", i)), strategy: newStrategy()}
 		switch {
-		case !alone:
+		case !oneDaemon:
 			nd.demand = demand / float64(n)
 		case i == 0:
 			nd.demand = demand
 		}
-		w.nodes = append(w.nodes, nd)
+		sim.nodes = append(sim.nodes, nd)
 	}
-	for _, nd := range w.nodes {
-		w.see(nd)
-		w.arrive(nd)
+	for _, nd := range sim.nodes {
+		sim.updateView(nd)
+		sim.scheduleRequest(nd)
 	}
-	return w
+	return sim
 }
 
-func (w *world) in(d time.Duration, run func()) {
-	w.seq++
-	heap.Push(&w.queue, event{at: w.now.Add(d), seq: w.seq, run: run})
+func (sim *simulation) after(d time.Duration, run func()) {
+	sim.seq++
+	heap.Push(&sim.queue, event{at: sim.now.Add(d), seq: sim.seq, run: run})
 }
 
-// run lets time pass.
-func (w *world) run(d time.Duration) {
-	until := w.now.Add(d)
-	for len(w.queue) > 0 && !w.queue[0].at.After(until) {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+// run advances the time.
+func (sim *simulation) run(d time.Duration) {
+	until := sim.now.Add(d)
+	for len(sim.queue) > 0 && !sim.queue[0].at.After(until) {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
 		e.run()
 	}
-	w.now = until
+	sim.now = until
 }
 
-// on runs something at a daemon, once it thaws if it is frozen.
-func (w *world) on(nd *node, run func()) {
-	switch way := nd.way; {
+// on runs a function at a daemon, after its freeze has ended.
+func (sim *simulation) on(nd *node, run func()) {
+	switch strategy := nd.strategy; {
 	case nd.dead:
-	case w.now.Before(nd.frozen):
-		w.in(nd.frozen.Sub(w.now), func() { w.on(nd, run) })
-	case way == nd.way:
+	case sim.now.Before(nd.frozenUntil):
+		sim.after(nd.frozenUntil.Sub(sim.now), func() { sim.on(nd, run) })
+	case strategy == nd.strategy:
 		run()
 	}
 }
 
-// step has a daemon take an event.
-func (w *world) step(nd *node, ev permits.Event) {
-	for _, a := range nd.way.step(w.now, ev) {
+// step lets a daemon process an event.
+func (sim *simulation) step(nd *node, ev permits.Event) {
+	for _, a := range nd.strategy.step(sim.now, ev) {
 		switch a := a.(type) {
 		case permits.Send:
-			w.send(nd, a)
+			sim.send(nd, a)
 		case permits.Broadcast:
-			w.tell(nd, a.LimitNotice)
+			sim.announce(nd, a.LimitNotice)
 		}
 	}
-	w.setTimer(nd)
+	sim.setTimer(nd)
 }
 
-func (w *world) setTimer(nd *node) {
-	next := nd.way.next(w.now)
-	if next.IsZero() || !nd.wake.IsZero() && !next.Before(nd.wake) && nd.wake.After(w.now) {
+func (sim *simulation) setTimer(nd *node) {
+	next := nd.strategy.next(sim.now)
+	if next.IsZero() || !nd.timerAt.IsZero() && !next.Before(nd.timerAt) && nd.timerAt.After(sim.now) {
 		return
 	}
-	at := max(next.Sub(w.now), 2*time.Millisecond)
-	nd.wake = w.now.Add(at)
-	w.in(at, func() { w.on(nd, func() { w.step(nd, permits.Tick{}) }) })
+	at := max(next.Sub(sim.now), 2*time.Millisecond)
+	nd.timerAt = sim.now.Add(at)
+	sim.after(at, func() { sim.on(nd, func() { sim.step(nd, permits.Tick{}) }) })
 }
 
-// send carries a message over a link.
-func (w *world) send(from *node, s permits.Send) {
-	w.sent++
-	for _, to := range w.nodes {
-		if to.id != s.To || to.side != from.side || w.rng.Float64() < w.loss {
+// send delivers a message over a link.
+func (sim *simulation) send(from *node, s permits.Send) {
+	sim.messages++
+	for _, to := range sim.nodes {
+		if to.id != s.To || to.partition != from.partition || sim.rng.Float64() < sim.loss {
 			continue
 		}
-		w.in(w.delay(), func() {
-			w.on(to, func() { w.step(to, permits.MessageReceived{From: from.id, Msg: s.Msg}) })
+		sim.after(sim.delay(), func() {
+			sim.on(to, func() { sim.step(to, permits.MessageReceived{From: from.id, Msg: s.Msg}) })
 		})
 	}
 }
 
-// tell has all daemons of a side learn something, within a second.
-func (w *world) tell(from *node, t permits.LimitNotice) {
-	at := w.now
-	for _, to := range w.nodes {
-		if to == from || to.side != from.side {
+// announce delivers a limit to all daemons of a partition within a second.
+func (sim *simulation) announce(from *node, t permits.LimitNotice) {
+	at := sim.now
+	for _, to := range sim.nodes {
+		if to == from || to.partition != from.partition {
 			continue
 		}
-		w.in(time.Duration(w.rng.Float64()*float64(time.Second)), func() {
-			w.on(to, func() { w.step(to, permits.LimitReceived{LimitNotice: t, At: at}) })
+		sim.after(time.Duration(sim.rng.Float64()*float64(time.Second)), func() {
+			sim.on(to, func() { sim.step(to, permits.LimitReceived{LimitNotice: t, At: at}) })
 		})
 	}
 }
 
-func (w *world) delay() time.Duration {
-	return 300*time.Microsecond + time.Duration(w.rng.ExpFloat64()*float64(time.Millisecond))
+func (sim *simulation) delay() time.Duration {
+	return 300*time.Microsecond + time.Duration(sim.rng.ExpFloat64()*float64(time.Millisecond))
 }
 
-// see has a daemon see those that it can reach.
-func (w *world) see(nd *node) {
+// updateView gives a daemon a membership of the daemons that it can reach.
+func (sim *simulation) updateView(nd *node) {
 	var ids []state.DaemonID
-	for _, other := range w.nodes {
-		if !other.dead && other.side == nd.side && (other == nd || !other.suspected) {
+	for _, other := range sim.nodes {
+		if !other.dead && other.partition == nd.partition && (other == nd || !other.suspected) {
 			ids = append(ids, other.id)
 		}
 	}
-	v := permits.Membership{Self: nd.id, Daemons: ids, Share: float64(len(ids)) / float64(len(w.nodes))}
-	w.on(nd, func() { w.step(nd, v) })
+	v := permits.Membership{Self: nd.id, Daemons: ids, Share: float64(len(ids)) / float64(len(sim.nodes))}
+	sim.on(nd, func() { sim.step(nd, v) })
 }
 
-// seeAll has all daemons see the present state, each after a delay of its own.
-func (w *world) seeAll(least, most time.Duration) {
-	for _, nd := range w.nodes {
-		d := least + time.Duration(w.rng.Float64()*float64(most-least))
-		w.in(d, func() { w.see(nd) })
+// updateViews gives all daemons the current membership, each after a delay of its own.
+func (sim *simulation) updateViews(least, most time.Duration) {
+	for _, nd := range sim.nodes {
+		d := least + time.Duration(sim.rng.Float64()*float64(most-least))
+		sim.after(d, func() { sim.updateView(nd) })
 	}
 }
 
-// arrive has a daemon's next caller come.
-func (w *world) arrive(nd *node) {
+// scheduleRequest schedules the next request at a daemon.
+func (sim *simulation) scheduleRequest(nd *node) {
 	d := time.Hour
 	if nd.demand > 0 {
-		d = time.Duration(w.rng.ExpFloat64() / nd.demand * float64(time.Second))
+		d = time.Duration(sim.rng.ExpFloat64() / nd.demand * float64(time.Second))
 	}
-	w.in(d, func() {
-		w.on(nd, func() { w.request(nd) })
-		w.arrive(nd)
+	sim.after(d, func() {
+		sim.on(nd, func() { sim.request(nd) })
+		sim.scheduleRequest(nd)
 	})
 }
 
-// request is one request that would go to the server.
-func (w *world) request(nd *node) {
-	w.try(nd, w.now.Add(patience), false)
+// request starts one request for the server.
+func (sim *simulation) request(nd *node) {
+	sim.try(nd, sim.now.Add(requestTimeout), false)
 }
 
-// try sends a request, or tries again for a moment before it goes elsewhere.
-func (w *world) try(nd *node, until time.Time, again bool) {
-	if nd.way.send(w.now, again) {
-		told := !nd.told.IsZero() && w.now.Sub(nd.told) >= toldFor
-		w.arrivals = append(w.arrivals, arrival{at: w.now, told: told})
-		w.answer(nd)
-	} else if w.now.Before(until) {
-		w.in(3*time.Millisecond, func() { w.on(nd, func() { w.try(nd, until, true) }) })
+// try sends a request, or retries for a short time before the request goes elsewhere.
+func (sim *simulation) try(nd *node, until time.Time, retry bool) {
+	if nd.strategy.send(sim.now, retry) {
+		informed := !nd.informedAt.IsZero() && sim.now.Sub(nd.informedAt) >= noticeTime
+		sim.arrivals = append(sim.arrivals, arrival{at: sim.now, informed: informed})
+		sim.answer(nd)
+	} else if sim.now.Before(until) {
+		sim.after(3*time.Millisecond, func() { sim.on(nd, func() { sim.try(nd, until, true) }) })
 	}
-	w.step(nd, permits.Tick{})
+	sim.step(nd, permits.Tick{})
 }
 
-// answer has the server answer a daemon, with the limit as it is when the request comes.
-func (w *world) answer(nd *node) {
-	sent, limit := w.now, w.limit
-	w.in(answerAfter, func() {
-		w.on(nd, func() {
-			if limit.Named && nd.told.IsZero() {
-				nd.told = w.now
+// answer schedules the server's answer, with the limit at the time of the request.
+func (sim *simulation) answer(nd *node) {
+	sent, limit := sim.now, sim.limit
+	sim.after(answerDelay, func() {
+		sim.on(nd, func() {
+			if limit.Named && nd.informedAt.IsZero() {
+				nd.informedAt = sim.now
 			}
-			w.step(nd, permits.LimitObserved{Server: engine, Limit: limit, Sent: sent})
+			sim.step(nd, permits.LimitObserved{Server: engine, Limit: limit, Sent: sent})
 		})
 	})
 }
 
-// name has the server name a limit from now on.
-func (w *world) name(perSecond float64) {
-	w.limit = fleet.RateLimit{Named: true, PerSecond: perSecond}
-	w.named = w.now
+// declare lets the server declare a limit from now on.
+func (sim *simulation) declare(perSecond float64) {
+	sim.limit = fleet.RateLimit{Named: true, PerSecond: perSecond}
+	sim.declaredAt = sim.now
 }
 
-// restart has a daemon lose what it knows.
-func (w *world) restart(nd *node) {
-	nd.way, nd.dead, nd.wake, nd.told = w.newWay(), false, time.Time{}, time.Time{}
-	w.see(nd)
+// restart restarts a daemon without its state.
+func (sim *simulation) restart(nd *node) {
+	nd.strategy, nd.dead, nd.timerAt, nd.informedAt = sim.newStrategy(), false, time.Time{}, time.Time{}
+	sim.updateView(nd)
 }
 
-// busiest is the most requests that the server got in any window that begins at a moment or
-// later, from daemons that had been told.
-func (w *world) busiest(from time.Time) int {
+// maxPerWindow returns the maximum number of requests that the server got in any window that begins
+// at from or later, from informed daemons.
+func (sim *simulation) maxPerWindow(from time.Time) int {
 	var at []time.Time
-	for _, a := range w.arrivals {
-		if a.told && !a.at.Before(from) {
+	for _, a := range sim.arrivals {
+		if a.informed && !a.at.Before(from) {
 			at = append(at, a.at)
 		}
 	}
@@ -292,29 +293,29 @@
 	return most
 }
 
-// got is how many requests the server got from a moment on.
-func (w *world) got(from time.Time) int {
-	return len(w.arrivals) - slices.IndexFunc(append(w.arrivals, arrival{at: w.now.Add(time.Hour)}), func(a arrival) bool { return !a.at.Before(from) })
+// receivedSince returns how many requests the server got since from.
+func (sim *simulation) receivedSince(from time.Time) int {
+	return len(sim.arrivals) - slices.IndexFunc(append(sim.arrivals, arrival{at: sim.now.Add(time.Hour)}), func(a arrival) bool { return !a.at.Before(from) })
 }
 
-// issued is the way of the package.
-type issued struct{ p *permits.Limiter }
+// shared is the strategy of the package: all daemons share the limit by means of permits.
+type shared struct{ l *permits.Limiter }
 
-func newIssued() way { return &issued{p: permits.New()} }
+func newShared() strategy { return &shared{l: permits.New()} }
 
-func (i *issued) send(now time.Time, again bool) bool {
-	ok, _ := i.p.Take(now, engine)
+func (s *shared) send(now time.Time, retry bool) bool {
+	ok, _ := s.l.Take(now, engine)
 	if !ok {
-		i.p.RecordDemand(now, engine, again)
+		s.l.RecordDemand(now, engine, retry)
 	}
 	return ok
 }
 
-func (i *issued) step(now time.Time, ev permits.Event) []permits.Action { return i.p.Step(now, ev) }
-func (i *issued) next(now time.Time) time.Time                          { return i.p.NextTick(now) }
+func (s *shared) step(now time.Time, ev permits.Event) []permits.Action { return s.l.Step(now, ev) }
+func (s *shared) next(now time.Time) time.Time                          { return s.l.NextTick(now) }
 
-// split is the other way: each daemon keeps its equal part by itself, a bucket that begins
-// empty and holds one request at least.
+// split is the alternative: each daemon enforces its equal part by itself, with a bucket
+// that starts empty and holds at least one request.
 type split struct {
 	limit fleet.RateLimit
 	part  float64
@@ -323,7 +324,7 @@
 	at    time.Time
 }
 
-func newSplit() way { return &split{} }
+func newSplit() strategy { return &split{} }
 
 func (s *split) send(now time.Time, _ bool) bool {
 	if !s.limit.Named {
