--- a/coordination/controller/events.go
+++ b/coordination/controller/events.go
@@ -7,78 +7,80 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// CallNumber joins a call to its result.
+// CallNumber identifies a call in its result.
 type CallNumber uint64
 
-// Event is what the machine is stepped with.
+// Event is an input of the controller's state machine.
 type Event interface{ event() }
 
-// Tick says that NextTick has come.
+// Tick says that the time of NextTick has come.
 type Tick struct{}
 
-// Lease is the lease machine's status of this service.
+// Lease is the status of this service's lease.
 type Lease struct{ Status lease.Status }
 
-// Adopt brings the replicas last published, by whoever held the lease.
+// Adopt passes the replicas last published by any holder of the lease.
 type Adopt struct{ Table ReplicaTable }
 
-// Desired is the placement in force for a document version. A chain that was
+// Desired is the active placement for a document version. A chain that was
 // changed has another ID.
 type Desired struct {
 	Document state.DocumentVersion
 	Chains   []Chain
 }
 
-// Backends names the servers that are live and not leaving.
+// Backends lists the servers that are live and not leaving.
 type Backends struct{ List []Backend }
 
-// Answered is a server's answer to an Order, with its state after it.
+// OrderResult is a server's answer to an Order, with its state afterwards.
 type OrderResult struct {
 	Call   CallNumber
 	Status OrderStatus
 	State  ServerState
 }
 
-// StateRead is a server's answer to a ReadState.
+// ReadResult is a server's answer to a ReadState.
 type ReadResult struct {
 	Call  CallNumber
 	State ServerState
 }
 
-// Unanswered says that a call's fate is unknown.
+// ResultUnknown says that a call had no answer: an order may or may not have
+// taken effect.
 type ResultUnknown struct{ Call CallNumber }
 
-// Observed is a server's state seen by another daemon.
+// Observed is a server's state as another daemon has seen it.
 type Observed struct {
 	Backend state.BackendID
 	State   ServerState
 }
 
-// InFlight is a replica's home's count of requests that run there.
+// ReplicaRequests is the number of requests that run on a replica, counted by the
+// replica's home.
 type ReplicaRequests struct {
 	Replica state.ReplicaID
 	Count   int
 }
 
-// Running is a server's own count of its requests, queued ones included.
+// BackendRequests is a server's own count of its requests, queued ones included.
 type BackendRequests struct {
 	Backend state.BackendID
 	Count   int
 }
 
-// Published says that the table with Serial is stored, or told to peers while
-// the store is down.
+// Published says that the table with Serial is stored, or has been sent to the
+// peers while the store is down.
 type Published struct{ Serial uint64 }
 
-// Weights says how many loads at one time this service may run beyond
-// Config.LoadsAlways, until a moment.
+// LoadGrant allows this service to run Slots concurrent loads beyond
+// Config.GuaranteedLoads until a given time.
 type LoadGrant struct {
 	Slots int
 	Until time.Time
 }
 
-// Stop ends ordering before a planned stop. Once Clean is true the lease may be
-// released as clean.
+// Stop ends the sending of orders before a planned stop. Once Clean reports true
+// the lease may be released as clean.
 type Stop struct{}
 
 func (Tick) event()            {}
@@ -96,7 +98,7 @@
 func (LoadGrant) event()       {}
 func (Stop) event()            {}
 
-// Action is what the daemon is to do.
+// Action is an output of the state machine, for the daemon to carry out.
 type Action interface{ action() }
 
 // Order asks a server for a change.
@@ -107,8 +109,8 @@
 	Fencing    state.FencingNumber
 	Assignment Assignment
 
-	// NotAfter is when the order may no longer leave; zero where the server
-	// checks Fencing.
+	// NotAfter is the time after which the order must not be sent; zero where the
+	// server checks Fencing.
 	NotAfter time.Time
 }
 
@@ -118,21 +120,23 @@
 	Backend state.BackendID
 }
 
-// Publish stores the table and tells the peers, unless a newer one is there.
+// Publish stores the table and sends it to the peers, unless there is a newer
+// one.
 type Publish struct{ Table ReplicaTable }
 
-// AskRunning asks the homes of replicas and the servers themselves for their
-// counts of requests.
+// QueryRequestCounts asks the homes of replicas and the servers themselves for
+// their request counts.
 type QueryRequestCounts struct {
 	Replicas []state.ReplicaID
 	Backends []state.BackendID
 }
 
-// WantWeights says how many loads wait or run beyond Config.LoadsAlways.
+// RequestLoadSlots says how many loads wait or run beyond
+// Config.GuaranteedLoads.
 type RequestLoadSlots struct{ Slots int }
 
-// NumberRefused says that a server has seen a higher fencing number; it goes to
-// the lease machine as lease.Refused.
+// FencingRefused says that a server has seen a higher fencing number. It is
+// passed to the lease state machine as lease.FencingRejected.
 type FencingRefused struct {
 	Backend state.BackendID
 	Fencing state.FencingNumber
--- a/coordination/controller/machine.go
+++ b/coordination/controller/machine.go
@@ -12,36 +12,37 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Machine is the controller of one service. It belongs to the control goroutine.
+// Machine is the controller of one service, a state machine. Only the control
+// goroutine may use it.
 type Machine struct {
 	cfg      Config
-	rights   rights
+	rights   leaseRights
 	adopted  bool
 	stopping bool
 
-	document state.DocumentVersion
-	chains   []*chain // by ID
-	servers  map[state.BackendID]*server
-	order    []*server // by ID
-	next     int       // where the next round of reads begins
+	document    state.DocumentVersion
+	chains      []*chain // by ID
+	servers     map[state.BackendID]*server
+	serversByID []*server // by ID
+	nextRead    int       // index of the server where the next round of reads begins
 
 	calls    map[CallNumber]*server
 	nextCall CallNumber
 
-	dirty   bool // the chains must be looked at
-	serial  uint64
-	told    []Replica // as last published
-	toldYet bool
+	dirty         bool // the chains must be re-evaluated
+	serial        uint64
+	lastPublished []Replica
+	hasPublished  bool
 
-	weights     LoadGrant
-	wanted      int
-	readTokens  float64
-	readTokenAt time.Time
-	askAt       time.Time
-	stepped     time.Time
+	loadGrant      LoadGrant
+	requestedSlots int
+	readTokens     float64
+	readTokenAt    time.Time
+	nextCountQuery time.Time
+	lastStep       time.Time
 }
 
-// New returns the controller of a service that may not act yet.
+// New returns the controller of a service. It acts only once it has the lease.
 func New(cfg Config) *Machine {
 	return &Machine{
 		cfg:     cfg,
@@ -50,42 +51,42 @@
 	}
 }
 
-// NextTick says when the machine next wants a Tick; the zero time means never.
+// NextTick returns when the next Tick is due; the zero time means never.
 func (m *Machine) NextTick() time.Time {
-	if m.rights.standing == lease.None {
+	if m.rights.leaseState == lease.None {
 		return time.Time{}
 	}
-	return m.stepped.Add(m.cfg.TickInterval)
+	return m.lastStep.Add(m.cfg.TickInterval)
 }
 
-// Clean reports whether no order of this or an earlier holder can be under way.
+// Clean reports whether no order of this or an earlier holder can be in flight.
 func (m *Machine) Clean(now time.Time) bool {
-	if now.Before(m.rights.waitOut) {
+	if now.Before(m.rights.unfencedFrom) {
 		return false
 	}
 	for _, sv := range m.calls {
-		if sv.ordering {
+		if sv.callIsOrder {
 			return false
 		}
 	}
-	for _, sv := range m.order {
-		if now.Before(sv.notUntil) {
-			return false // an unanswered order may still take effect
+	for _, sv := range m.serversByID {
+		if now.Before(sv.retryAt) {
+			return false // an order without an answer may still take effect
 		}
 	}
 	return true
 }
 
-// Step takes in one event and returns what is to be done.
+// Step applies one event and returns the actions to carry out.
 func (m *Machine) Step(now time.Time, ev Event) []Action {
-	m.stepped = now
+	m.lastStep = now
 	var out []Action
 	m.dirty = true
 	switch ev := ev.(type) {
 	case Tick:
 		m.dirty = false
 	case Lease:
-		m.lease(now, ev.Status)
+		m.applyLease(now, ev.Status)
 	case Adopt:
 		m.adopt(ev.Table)
 	case Desired:
@@ -93,17 +94,17 @@
 	case Backends:
 		m.backends(ev.List)
 	case OrderResult:
-		out = m.answered(now, ev)
+		out = m.orderResult(now, ev)
 	case ReadResult:
-		if sv, ok := m.take(ev.Call); ok {
-			m.dirty = sv.learn(now, ev.State)
+		if sv, ok := m.finishCall(ev.Call); ok {
+			m.dirty = sv.updateState(now, ev.State)
 		}
 	case ResultUnknown:
-		m.unanswered(now, ev.Call)
+		m.resultUnknown(now, ev.Call)
 	case Observed:
 		m.observed(now, ev)
 	case ReplicaRequests:
-		m.inFlight(now, ev)
+		m.replicaRequests(now, ev)
 	case BackendRequests:
 		if sv, ok := m.servers[ev.Backend]; ok {
 			sv.idleAt = idleSince(now, ev.Count)
@@ -111,7 +112,7 @@
 	case Published:
 		m.published(now, ev)
 	case LoadGrant:
-		m.weights = ev
+		m.loadGrant = ev
 	case Stop:
 		m.stopping = true
 	default:
@@ -120,44 +121,44 @@
 	if m.expireCalls(now) {
 		m.dirty = true
 	}
-	if m.rights.standing == lease.None || !m.adopted {
+	if m.rights.leaseState == lease.None || !m.adopted {
 		return out
 	}
 	if m.dirty {
 		m.advance()
 		out = m.publish(out)
 	}
-	out = m.ask(out, now)
-	return m.drive(out, now)
+	out = m.queryCounts(out, now)
+	return m.issueCalls(out, now)
 }
 
-// lease takes in a status. A new reign knows nothing for sure of any server: a
-// former holder may have changed it since it was read.
-func (m *Machine) lease(now time.Time, s lease.Status) {
-	if s.State != lease.None && s.TermID != m.rights.reign {
+// applyLease applies a lease status. A new term discards all server states: a
+// former holder may have changed a server since it was read.
+func (m *Machine) applyLease(now time.Time, s lease.Status) {
+	if s.State != lease.None && s.TermID != m.rights.termID {
 		m.adopted = false
-		m.toldYet = false
+		m.hasPublished = false
 		m.chains = lo.Filter(m.chains, func(c *chain, _ int) bool { return c.wanted })
 		for _, c := range m.chains {
 			*c = chain{Chain: c.Chain, wanted: true}
 		}
-		for _, sv := range m.order {
+		for _, sv := range m.serversByID {
 			sv.readAt = time.Time{}
 		}
-		m.rights.began = now
-		m.rights.waitOut = now
+		m.rights.termStart = now
+		m.rights.unfencedFrom = now
 		if !s.Clean {
-			m.rights.waitOut = now.Add(m.cfg.MaxOrderDelay)
+			m.rights.unfencedFrom = now.Add(m.cfg.MaxOrderDelay)
 		}
-		m.rights.reign = s.TermID
-		m.rights.base = s.Fencing
+		m.rights.termID = s.TermID
+		m.rights.termFencing = s.Fencing
 	}
-	m.rights.standing = s.State
+	m.rights.leaseState = s.State
 	m.rights.fencing = s.Fencing
 	m.rights.until = s.Until
 }
 
-// adopt takes over the replicas that callers' requests may be running on.
+// adopt adds the published replicas, on which callers' requests may be running.
 func (m *Machine) adopt(t ReplicaTable) {
 	m.adopted = true
 	m.serial = max(m.serial, t.Serial)
@@ -200,7 +201,7 @@
 			sv = &server{id: b.ID}
 			m.servers[b.ID] = sv
 		}
-		sv.checks = b.ChecksFencing
+		sv.checksFencing = b.ChecksFencing
 	}
 	for id, sv := range m.servers {
 		if !live[id] {
@@ -208,8 +209,8 @@
 			delete(m.calls, sv.call)
 		}
 	}
-	m.order = lo.Values(m.servers)
-	slices.SortFunc(m.order, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
+	m.serversByID = lo.Values(m.servers)
+	slices.SortFunc(m.serversByID, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
 }
 
 func (m *Machine) chain(id state.ReplicaID) *chain {
@@ -225,48 +226,49 @@
 	slices.SortFunc(m.chains, func(a, b *chain) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// answered takes in a server's answer. A server that ignores numbers is read
-// again: its answer shows the order's effect, but not that an older order did
-// not come after it.
-func (m *Machine) answered(now time.Time, ev OrderResult) []Action {
-	sv, ok := m.take(ev.Call)
+// orderResult applies a server's answer to an order. A server that ignores
+// fencing numbers is read again: its answer shows the order's effect, but not
+// that no older order took effect after it.
+func (m *Machine) orderResult(now time.Time, ev OrderResult) []Action {
+	sv, ok := m.finishCall(ev.Call)
 	if !ok {
 		return nil
 	}
-	sv.learn(now, ev.State)
-	if !sv.checks {
+	sv.updateState(now, ev.State)
+	if !sv.checksFencing {
 		sv.readAt = time.Time{}
 	}
 	switch ev.Status {
 	case StatusApplied:
 		return nil
 	case StatusStale:
-		sv.notUntil = now.Add(m.cfg.RetryDelay)
+		sv.retryAt = now.Add(m.cfg.RetryDelay)
 		return []Action{FencingRefused{Backend: sv.id, Fencing: m.rights.fencing, Seen: ev.State.Fencing}}
 	default:
-		sv.notUntil = now.Add(m.cfg.RetryDelay)
+		sv.retryAt = now.Add(m.cfg.RetryDelay)
 		return nil
 	}
 }
 
-// unanswered leaves what the server holds unknown. Where numbers are ignored the
-// order may come late, and after the next one: no further order until it can't.
-func (m *Machine) unanswered(now time.Time, call CallNumber) {
-	sv, ok := m.take(call)
+// resultUnknown marks the server's state as unknown. A server that ignores
+// fencing numbers may receive the order late, even after the next one; it gets no
+// further order until that can't happen any more.
+func (m *Machine) resultUnknown(now time.Time, call CallNumber) {
+	sv, ok := m.finishCall(call)
 	if !ok {
 		return
 	}
-	if sv.ordering && !sv.checks {
-		sv.notUntil = sv.callAt.Add(m.cfg.MaxOrderDelay)
+	if sv.callIsOrder && !sv.checksFencing {
+		sv.retryAt = sv.calledAt.Add(m.cfg.MaxOrderDelay)
 	} else {
-		sv.notUntil = now.Add(m.cfg.RetryDelay)
+		sv.retryAt = now.Add(m.cfg.RetryDelay)
 	}
-	sv.doubt = sv.doubt || (sv.ordering && sv.loads)
+	sv.mayBeLoading = sv.mayBeLoading || (sv.callIsOrder && sv.callIsLoad)
 	sv.readAt = time.Time{}
 }
 
-// observed lets a state that another daemon saw bring the next read forward; an
-// old one can't be told from a new one.
+// observed makes a read due at once if another daemon saw a different state. The
+// state itself is not used, because it may be older than the one read last.
 func (m *Machine) observed(now time.Time, ev Observed) {
 	sv, ok := m.servers[ev.Backend]
 	if !ok || sv.call != 0 || sv.readAt.IsZero() {
@@ -277,7 +279,7 @@
 	}
 }
 
-func (m *Machine) inFlight(now time.Time, ev ReplicaRequests) {
+func (m *Machine) replicaRequests(now time.Time, ev ReplicaRequests) {
 	if c := m.chain(ev.Replica); c != nil {
 		c.idleAt = idleSince(now, ev.Count)
 	}
@@ -292,16 +294,16 @@
 
 func (m *Machine) published(now time.Time, ev Published) {
 	if ev.Serial != m.serial {
-		return // an older table; a newer one is under way
+		return // an older table; the newer one is still being published
 	}
 	for _, c := range m.chains {
-		if c.phase == leaving && c.toldLeaving.IsZero() {
-			c.toldLeaving = now
+		if c.phase == leaving && c.leavingPublishedAt.IsZero() {
+			c.leavingPublishedAt = now
 		}
 	}
 }
 
-func (m *Machine) take(call CallNumber) (*server, bool) {
+func (m *Machine) finishCall(call CallNumber) (*server, bool) {
 	sv, ok := m.calls[call]
 	if !ok {
 		return nil, false
@@ -311,27 +313,28 @@
 	return sv, true
 }
 
-// expireCalls reports whether a call got no answer in time.
+// expireCalls gives the calls that timed out an unknown result and reports whether
+// there were any.
 func (m *Machine) expireCalls(now time.Time) bool {
-	var late []CallNumber
+	var expired []CallNumber
 	for n, sv := range m.calls {
-		if now.Sub(sv.callAt) >= m.cfg.CallTimeout {
-			late = append(late, n)
+		if now.Sub(sv.calledAt) >= m.cfg.CallTimeout {
+			expired = append(expired, n)
 		}
 	}
-	slices.Sort(late)
-	for _, n := range late {
-		m.unanswered(now, n)
+	slices.Sort(expired)
+	for _, n := range expired {
+		m.resultUnknown(now, n)
 	}
-	return len(late) > 0
+	return len(expired) > 0
 }
 
-// learn takes in a state and reports whether it says something new.
-func (sv *server) learn(now time.Time, s ServerState) bool {
-	news := sv.readAt.IsZero() || sv.state.Service != s.Service ||
+// updateState stores a state and reports whether it differs from the one known.
+func (sv *server) updateState(now time.Time, s ServerState) bool {
+	changed := sv.readAt.IsZero() || sv.state.Service != s.Service ||
 		sv.state.Loading != s.Loading || !sv.state.Loaded.equal(s.Loaded)
 	sv.state = s
 	sv.readAt = now
-	sv.doubt = false
-	return news
+	sv.mayBeLoading = false
+	return changed
 }
--- a/coordination/controller/messages.go
+++ b/coordination/controller/messages.go
@@ -2,12 +2,14 @@
 
 import "github.com/hibiscuswick/hibiscuswick/state"
 
-// CountAsk asks a daemon how many requests run on replicas that it is home of.
+// RequestCountQuery asks a daemon how many requests run on replicas that it is
+// the home of.
 type RequestCountQuery struct {
 	Replicas []state.ReplicaID `msgpack:"replicas"`
 }
 
-// CountTold answers a CountAsk with the replicas that the daemon knows.
+// RequestCountReply answers a RequestCountQuery for the replicas that the daemon
+// knows.
 type RequestCountReply struct {
 	Counts []ReplicaCount `msgpack:"counts"`
 }
--- a/coordination/controller/rollout.go
+++ b/coordination/controller/rollout.go
@@ -13,16 +13,16 @@
 func (m *Machine) advance() {
 	for _, c := range m.chains {
 		if c.wanted && c.phase == leaving {
-			// An edit was taken back while the chain drained.
+			// An edit was reverted while the chain drained.
 			*c = chain{Chain: c.Chain, wanted: true}
 		}
-		whole := m.whole(c)
+		complete := m.complete(c)
 		switch {
-		case c.phase == preparing && whole:
+		case c.phase == preparing && complete:
 			c.phase = ready
-		case c.phase == ready && !whole && m.surely(c):
-			// A stage holds something else, or its server is gone. A chain
-			// that is still wanted is loaded again.
+		case c.phase == ready && !complete && m.knownIncomplete(c):
+			// A stage holds something else, or its server is gone. The chain is
+			// loaded again if the placement still has it.
 			if c.wanted {
 				c.phase = preparing
 			} else {
@@ -30,15 +30,15 @@
 			}
 		}
 	}
-	m.leave()
+	m.markLeaving()
 	m.chains = slices.DeleteFunc(m.chains, func(c *chain) bool {
 		return !c.wanted && (c.phase == preparing || (c.phase == leaving && m.drained(c)))
 	})
-	m.retarget()
+	m.setTargets()
 }
 
-// whole reports whether every stage holds what it should.
-func (m *Machine) whole(c *chain) bool {
+// complete reports whether every stage is known to hold its assignment.
+func (m *Machine) complete(c *chain) bool {
 	for _, st := range c.Stages {
 		sv, ok := m.servers[st.Backend]
 		if !ok || sv.readAt.IsZero() || sv.state.Loading || sv.state.Service != m.cfg.Service || !sv.state.Loaded.equal(st.Assignment) {
@@ -48,9 +48,9 @@
 	return true
 }
 
-// surely reports whether some stage is known to be gone or wrong; a server that
-// was not read yet in this reign proves nothing.
-func (m *Machine) surely(c *chain) bool {
+// knownIncomplete reports whether some stage is known to be missing or wrong. A
+// server that was not read yet in this term proves nothing.
+func (m *Machine) knownIncomplete(c *chain) bool {
 	for _, st := range c.Stages {
 		sv, ok := m.servers[st.Backend]
 		if !ok {
@@ -63,10 +63,11 @@
 	return false
 }
 
-// leave marks old chains that are no longer needed. While enough chains are ready
-// without it, an old chain goes at once. Without spare servers the new chains
-// can't get ready before an old one has gone: then one goes at a time.
-func (m *Machine) leave() {
+// markLeaving marks old chains that are no longer needed. An old chain leaves at
+// once while enough chains are ready without it. Without spare servers the new
+// chains can't get ready before an old one has left; then old chains leave one at
+// a time.
+func (m *Machine) markLeaving() {
 	wanted := lo.CountBy(m.chains, func(c *chain) bool { return c.wanted })
 	serving := lo.CountBy(m.chains, func(c *chain) bool { return c.phase == ready })
 	for _, c := range m.chains {
@@ -75,14 +76,14 @@
 			serving--
 		}
 	}
-	if old := m.inTheWay(); old != nil {
+	if old := m.blockingChain(); old != nil {
 		old.phase = leaving
 	}
 }
 
-// inTheWay returns an old chain whose servers the wanted chains need before any
-// of them can get ready, or nil if something else is still going on.
-func (m *Machine) inTheWay() *chain {
+// blockingChain returns an old chain whose servers the wanted chains need before
+// any of them can get ready, or nil while a chain drains or is being loaded.
+func (m *Machine) blockingChain() *chain {
 	var first *chain
 	for _, c := range m.chains {
 		if c.phase == leaving {
@@ -91,7 +92,7 @@
 		if !c.wanted || c.phase != preparing {
 			continue
 		}
-		old := m.blocks(c)
+		old := m.conflictingChain(c)
 		if old == nil {
 			return nil // it is being loaded
 		}
@@ -102,8 +103,9 @@
 	return first
 }
 
-// blocks returns a serving old chain that holds a server of c otherwise.
-func (m *Machine) blocks(c *chain) *chain {
+// conflictingChain returns a ready old chain that has another assignment for one
+// of c's servers.
+func (m *Machine) conflictingChain(c *chain) *chain {
 	for _, st := range c.Stages {
 		for _, o := range m.chains {
 			if o.wanted || o.phase != ready {
@@ -119,21 +121,22 @@
 	return nil
 }
 
-// drained reports whether no daemon can have a request on a leaving chain: the
-// news has spread, and after that its home and its own servers had none. Servers
-// that are gone run nothing; those shared with a chain that stays prove nothing
-// and need not stop.
+// drained reports whether no daemon can have a request on a leaving chain: every
+// daemon has the update, and after that the replica's home and its servers
+// reported no request. Servers that are gone are skipped, because they run
+// nothing. So are servers shared with a chain that stays: they keep running, so
+// their counts prove nothing.
 func (m *Machine) drained(c *chain) bool {
-	if c.toldLeaving.IsZero() {
+	if c.leavingPublishedAt.IsZero() {
 		return false
 	}
-	since := c.toldLeaving.Add(m.cfg.PropagationDelay + m.cfg.ReportLag)
+	since := c.leavingPublishedAt.Add(m.cfg.PropagationDelay + m.cfg.ReportLag)
 	if !c.idleAt.After(since) {
 		return false
 	}
 	for _, st := range c.Stages {
 		sv, ok := m.servers[st.Backend]
-		if !ok || m.shared(c, st) {
+		if !ok || m.sharesStage(c, st) {
 			continue
 		}
 		if !sv.idleAt.After(since) {
@@ -143,8 +146,9 @@
 	return true
 }
 
-// shared reports whether another chain uses the stage's server as it is.
-func (m *Machine) shared(c *chain, st Stage) bool {
+// sharesStage reports whether another chain uses the stage's server with the same
+// assignment.
+func (m *Machine) sharesStage(c *chain, st Stage) bool {
 	for _, o := range m.chains {
 		if o == c {
 			continue
@@ -158,10 +162,10 @@
 	return false
 }
 
-// retarget says what each server is to hold: what a chain that serves or drains
-// on it needs, else what a wanted chain needs, else nothing.
-func (m *Machine) retarget() {
-	for _, sv := range m.order {
+// setTargets sets what each server is to hold: the assignment of a chain that
+// serves or drains on it, else that of a wanted chain, else nothing.
+func (m *Machine) setTargets() {
+	for _, sv := range m.serversByID {
 		sv.target = Assignment{}
 	}
 	set := func(c *chain) {
@@ -183,31 +187,31 @@
 	}
 }
 
-// publish emits the table when a replica came, left or went.
+// publish emits the table when a replica was added, removed or marked as leaving.
 func (m *Machine) publish(out []Action) []Action {
-	var now []Replica
+	var replicas []Replica
 	for _, c := range m.chains {
 		if c.phase != preparing {
-			now = append(now, Replica{Chain: c.Chain, Leaving: c.phase == leaving})
+			replicas = append(replicas, Replica{Chain: c.Chain, Leaving: c.phase == leaving})
 		}
 	}
-	same := slices.EqualFunc(now, m.told, func(a, b Replica) bool {
+	same := slices.EqualFunc(replicas, m.lastPublished, func(a, b Replica) bool {
 		return a.Chain.ID == b.Chain.ID && a.Leaving == b.Leaving
 	})
-	if m.toldYet && same {
+	if m.hasPublished && same {
 		return out
 	}
-	m.told = now
-	m.toldYet = true
+	m.lastPublished = replicas
+	m.hasPublished = true
 	m.serial++
 	return append(out, Publish{Table: ReplicaTable{
 		Service: m.cfg.Service, Document: m.document, Fencing: m.rights.fencing,
-		Serial: m.serial, Replicas: now,
+		Serial: m.serial, Replicas: replicas,
 	}})
 }
 
-func (m *Machine) ask(out []Action, now time.Time) []Action {
-	if now.Before(m.askAt) {
+func (m *Machine) queryCounts(out []Action, now time.Time) []Action {
+	if now.Before(m.nextCountQuery) {
 		return out
 	}
 	var a QueryRequestCounts
@@ -221,6 +225,6 @@
 	if len(a.Replicas) == 0 {
 		return out
 	}
-	m.askAt = now.Add(m.cfg.CountQueryInterval)
+	m.nextCountQuery = now.Add(m.cfg.CountQueryInterval)
 	return append(out, a)
 }
--- a/coordination/controller/types.go
+++ b/coordination/controller/types.go
@@ -12,41 +12,44 @@
 type Config struct {
 	Service state.ServiceID
 
-	// Reconcile is the longest time between two reads of a server's state.
+	// ReconcileInterval is the longest time between two reads of a server's
+	// state.
 	ReconcileInterval time.Duration
-	// ReadsPerSecond bounds the reads that Reconcile makes.
+	// ReadsPerSecond bounds the rate of these reads.
 	ReadsPerSecond int
-	// TakeoverPerSecond takes its place for the first Takeover of a reign, when
-	// every server must be read, and be told the number if it checks that.
+	// TakeoverReadsPerSecond replaces ReadsPerSecond for the first TakeoverPeriod
+	// of a term, when every server must be read and every server that checks
+	// fencing numbers must receive the new one.
 	TakeoverReadsPerSecond int
 	TakeoverPeriod         time.Duration
-	// LongestOrder is how long after its sending an order may take effect,
-	// network and server working as they should.
+	// MaxOrderDelay is the longest time from sending an order until it takes
+	// effect, provided that network and server work normally.
 	MaxOrderDelay time.Duration
-	// ReadFresh is how old a state may be when an order is based on it.
+	// MaxStateAge is the highest age of a state that an order may be based on.
 	MaxStateAge time.Duration
-	// CallTimeout is when a call without an answer counts as unanswered.
+	// CallTimeout is the time after which a call without an answer counts as
+	// ResultUnknown.
 	CallTimeout time.Duration
-	// LoadPoll is the time between reads of a server that is loading.
+	// LoadPollInterval is the time between reads of a server that is loading.
 	LoadPollInterval time.Duration
-	// Retry is the pause after an order that failed.
+	// RetryDelay is the pause after an order that failed.
 	RetryDelay time.Duration
-	// Spread is the longest time from Published until no daemon sends new work
-	// to a leaving replica.
+	// PropagationDelay is the longest time from Published until no daemon sends
+	// new work to a leaving replica.
 	PropagationDelay time.Duration
-	// ReportLag is how far a report of running requests is behind.
+	// ReportLag is the highest age of a reported request count.
 	ReportLag time.Duration
-	// StepEvery is the time between Ticks while the machine may act.
+	// TickInterval is the time between Ticks while the controller may act.
 	TickInterval time.Duration
-	// AskEvery is the time between questions for counts of running requests while
-	// a chain drains.
+	// CountQueryInterval is the time between queries for request counts while a
+	// chain drains.
 	CountQueryInterval time.Duration
-	// LoadsAlways is how many loads at one time need no weight grant.
+	// GuaranteedLoads is how many concurrent loads need no load grant.
 	GuaranteedLoads int
 }
 
-// DefaultConfig returns the settings that docs/design/leases-and-orders.md works
-// out.
+// DefaultConfig returns the settings that docs/design/leases-and-orders.md
+// derives.
 func DefaultConfig(service state.ServiceID) Config {
 	return Config{
 		Service:                service,
@@ -67,7 +70,7 @@
 	}
 }
 
-// Holding is what a server is to hold, or holds.
+// Assignment is the part of a model that a server is to hold, or holds.
 type Assignment struct {
 	Model    string           `msgpack:"model" json:"model"`
 	Version  string           `msgpack:"version" json:"version"`
@@ -81,7 +84,7 @@
 	return h.Model == ""
 }
 
-// sameWeights leaves the role out, which changes without a load.
+// sameWeights ignores the role, which can change without a load.
 func (h Assignment) sameWeights(o Assignment) bool {
 	return h.Model == o.Model && h.Version == o.Version && h.Layers == o.Layers &&
 		slices.Equal(h.Adapters, o.Adapters)
@@ -91,15 +94,15 @@
 	return h.Role == o.Role && h.sameWeights(o)
 }
 
-// ServerState is what a server says that it holds.
+// ServerState is the state that a server reports.
 type ServerState struct {
 	Service state.ServiceID
 	Loaded  Assignment
-	Fencing state.FencingNumber // the highest seen; 0 where numbers are ignored
+	Fencing state.FencingNumber // highest fencing number seen; 0 if the server ignores them
 	Loading bool
 }
 
-// Chain is one replica as it is to be.
+// Chain is the desired form of one replica.
 type Chain struct {
 	ID     state.ReplicaID `msgpack:"id" json:"id"`
 	Stages []Stage         `msgpack:"stages" json:"stages"`
@@ -111,40 +114,40 @@
 	Assignment Assignment      `msgpack:"holding" json:"holding"`
 }
 
-// Backend is one live backend server that the service may use.
+// Backend is a live backend server that the service may use.
 type Backend struct {
 	ID            state.BackendID
 	ChecksFencing bool
 }
 
-// OrderKind says what an order changes.
+// OrderKind is the change that an order asks for.
 type OrderKind string
 
 // The values of OrderKind.
 const (
-	OrderLoad    OrderKind = "load"     // hold Holding
+	OrderLoad    OrderKind = "load"     // hold Order.Assignment
 	OrderUnload  OrderKind = "unload"   // hold nothing
-	OrderSetRole OrderKind = "set_role" // change the role alone
+	OrderSetRole OrderKind = "set_role" // change only the role
 )
 
-// OrderStatus is what a server says of an order.
+// OrderStatus is a server's response to an order.
 type OrderStatus string
 
 // The values of OrderStatus.
 const (
 	StatusApplied OrderStatus = "applied"
-	StatusStale   OrderStatus = "stale" // a higher fencing number was seen
+	StatusStale   OrderStatus = "stale" // the server has seen a higher fencing number
 	StatusRefused OrderStatus = "refused"
 )
 
 // Replica is one published chain.
 type Replica struct {
 	Chain   Chain `msgpack:"chain" json:"chain"`
-	Leaving bool  `msgpack:"leaving" json:"leaving"` // runs what it has and gets nothing new
+	Leaving bool  `msgpack:"leaving" json:"leaving"` // finishes its requests and gets no new ones
 }
 
-// Table is what all daemons need to know of a service's replicas. Of two tables
-// the one with the higher (Fencing, Serial) holds.
+// ReplicaTable is the published state of a service's replicas, for all daemons.
+// Of two tables the one with the higher (Fencing, Serial) is valid.
 type ReplicaTable struct {
 	Service  state.ServiceID       `msgpack:"service" json:"service"`
 	Document state.DocumentVersion `msgpack:"document" json:"document"`
@@ -153,7 +156,7 @@
 	Replicas []Replica             `msgpack:"replicas" json:"replicas"`
 }
 
-// Newer reports whether t takes the place of o.
+// Newer reports whether t supersedes o.
 func (t ReplicaTable) Newer(o ReplicaTable) bool {
 	if t.Fencing != o.Fencing {
 		return t.Fencing > o.Fencing
@@ -161,7 +164,7 @@
 	return t.Serial > o.Serial
 }
 
-// phase is how far a chain is.
+// phase is the state of a chain in its lifecycle.
 type phase int
 
 const (
@@ -172,36 +175,36 @@
 
 type chain struct {
 	Chain
-	wanted bool // of the placement in force
+	wanted bool // part of the active placement
 	phase  phase
 
-	toldLeaving time.Time // when a table that says so was published
-	idleAt      time.Time // when its home last reported no request; zero after any other report
+	leavingPublishedAt time.Time // when a table that lists the chain as leaving was published
+	idleAt             time.Time // when its home last reported no request; zero after a report of some
 }
 
 type server struct {
-	id     state.BackendID
-	checks bool
-	target Assignment
-
-	state    ServerState
-	readAt   time.Time // when state was taken in; zero: not in this reign
-	call     CallNumber
-	callAt   time.Time
-	ordering bool // the last call was an order
-	loads    bool // it was a load
-	doubt    bool // a load was not answered; the server may be loading
-	notUntil time.Time
-	idleAt   time.Time // when it last reported no request
-}
-
-// rights is what the lease allows.
-type rights struct {
-	standing lease.State
-	reign    state.Nonce
-	fencing  state.FencingNumber
-	base     state.FencingNumber // fencing at the start of the reign
-	until    time.Time
-	began    time.Time // of the reign
-	waitOut  time.Time // servers that ignore numbers are not ordered before
+	id            state.BackendID
+	checksFencing bool
+	target        Assignment
+
+	state        ServerState
+	readAt       time.Time // when state was received; zero if not in this term
+	call         CallNumber
+	calledAt     time.Time
+	callIsOrder  bool      // the last call was an order
+	callIsLoad   bool      // the last order was a load
+	mayBeLoading bool      // a load has no known result; the server may be loading
+	retryAt      time.Time // earliest time of the next order
+	idleAt       time.Time // when it last reported no request
+}
+
+// leaseRights is what the lease allows the controller to do.
+type leaseRights struct {
+	leaseState   lease.State
+	termID       state.Nonce
+	fencing      state.FencingNumber
+	termFencing  state.FencingNumber // fencing at the start of the term
+	until        time.Time
+	termStart    time.Time
+	unfencedFrom time.Time // when orders may go to servers that ignore fencing numbers
 }
--- a/coordination/controller/world_test.go
+++ b/coordination/controller/world_test.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	drafts = state.ServiceID("drafts")
-	tickOf = 50 * time.Millisecond
+	testService  = state.ServiceID("drafts")
+	tickInterval = 50 * time.Millisecond
 )
 
-// world runs controllers against fake servers in virtual time.
-type world struct {
+// simulation runs controllers against fake servers in virtual time.
+type simulation struct {
 	rng     *rand.Rand
 	now     time.Time
-	late    []timer
+	timers  []timer
 	cfg     controller.Config
-	servers map[state.BackendID]*fake
+	servers map[state.BackendID]*fakeServer
 	holders []*holder
 	table   controller.ReplicaTable // as last published
-	viewed  controller.ReplicaTable // as the traffic sees it, up to Spread later
+	visible controller.ReplicaTable // as the daemons that send requests see it, up to PropagationDelay later
 
-	lost     float64 // of calls, either way
-	maxDelay time.Duration
-	longest  time.Duration // of a request; 0: no traffic
-	flights  map[state.ReplicaID]int
-	broken   string
-	loading  int // most loads at one time
-	reads    int
+	lossRate        float64 // share of calls lost, and of answers lost
+	maxDelay        time.Duration
+	maxRequestTime  time.Duration // longest duration of a request; 0 for no requests
+	replicaRequests map[state.ReplicaID]int
+	violation       string
+	maxLoading      int // most concurrent loads
+	reads           int
 }
 
 type timer struct {
@@ -41,62 +41,63 @@
 	run func()
 }
 
-// fake is one backend server.
-type fake struct {
-	id       state.BackendID
-	checks   bool
-	state    controller.ServerState
-	ready    time.Time
-	inFlight int
-	numbers  []state.FencingNumber // of the orders that took effect
+// fakeServer is one backend server.
+type fakeServer struct {
+	id             state.BackendID
+	checksFencing  bool
+	state          controller.ServerState
+	loadedAt       time.Time
+	inFlight       int
+	fencingNumbers []state.FencingNumber // of the orders that took effect
 }
 
+// holder is a controller that has, or had, the lease.
 type holder struct {
-	w       *world
-	m       *controller.Machine
-	refused int
-	orders  []controller.Order
-	holdUp  time.Duration // of the next order, once
-	heldUp  state.BackendID
-	pause   time.Duration              // between the decision on an order and its sending
-	dropped int                        // orders whose NotAfter had passed when they were to leave
-	calls   map[state.BackendID]string // "r" for each read, "o" for each order
+	sim             *simulation
+	m               *controller.Machine
+	fencingRefusals int
+	orders          []controller.Order
+	delayNext       time.Duration // delay of the next order, once
+	delayedServer   state.BackendID
+	pause           time.Duration              // between deciding on an order and sending it
+	dropped         int                        // orders not sent because NotAfter had passed
+	calls           map[state.BackendID]string // "r" for each read, "o" for each order
 }
 
-func newWorld(seed uint64, checks func(i int) bool, servers int) *world {
-	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 9)), now: time.Unix(0, 0), cfg: controller.DefaultConfig(drafts),
-		servers: map[state.BackendID]*fake{}, flights: map[state.ReplicaID]int{}, maxDelay: 20 * time.Millisecond,
+func newSimulation(seed uint64, checks func(i int) bool, servers int) *simulation {
+	sim := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 9)), now: time.Unix(0, 0), cfg: controller.DefaultConfig(testService),
+		servers: map[state.BackendID]*fakeServer{}, replicaRequests: map[state.ReplicaID]int{}, maxDelay: 20 * time.Millisecond,
 	}
-	w.cfg.GuaranteedLoads = 4
+	sim.cfg.GuaranteedLoads = 4
 	for i := range servers {
 		id := state.BackendID(fmt.Sprintf("b%02d", i))
-		w.servers[id] = &fake{id: id, checks: checks(i)}
+		sim.servers[id] = &fakeServer{id: id, checksFencing: checks(i)}
 	}
-	return w
+	return sim
 }
 
 func always(int) bool { return true }
 func never(int) bool  { return false }
 
-// hold starts a controller whose lease is held.
-func (w *world) hold(fencing state.FencingNumber, clean bool, d controller.Desired) *holder {
-	h := &holder{w: w, m: controller.New(w.cfg), calls: map[state.BackendID]string{}}
-	w.holders = append(w.holders, h)
+// startHolder starts a controller that holds the lease.
+func (s *simulation) startHolder(fencing state.FencingNumber, clean bool, d controller.Desired) *holder {
+	h := &holder{sim: s, m: controller.New(s.cfg), calls: map[state.BackendID]string{}}
+	s.holders = append(s.holders, h)
 	var list []controller.Backend
-	for _, id := range w.ids() {
-		list = append(list, controller.Backend{ID: id, ChecksFencing: w.servers[id].checks})
+	for _, id := range s.ids() {
+		list = append(list, controller.Backend{ID: id, ChecksFencing: s.servers[id].checksFencing})
 	}
 	h.step(controller.Backends{List: list})
 	h.step(d)
 	h.lease(lease.Held, fencing, clean, time.Hour)
-	h.step(controller.Adopt{Table: w.table})
+	h.step(controller.Adopt{Table: s.table})
 	return h
 }
 
-func (w *world) ids() []state.BackendID {
+func (s *simulation) ids() []state.BackendID {
 	var ids []state.BackendID
-	for id := range w.servers {
+	for id := range s.servers {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -105,149 +106,150 @@
 
 func (h *holder) lease(s lease.State, fencing state.FencingNumber, clean bool, span time.Duration) {
 	h.step(controller.Lease{Status: lease.Status{
-		Service: drafts, State: s, Fencing: fencing, Until: h.w.now.Add(span), Clean: clean,
+		Service: testService, State: s, Fencing: fencing, Until: h.sim.now.Add(span), Clean: clean,
 		TermID: state.Nonce(fmt.Sprint(fencing)),
 	}})
 }
 
-func (w *world) after(d time.Duration, run func()) {
-	w.late = append(w.late, timer{w.now.Add(d), run})
+func (s *simulation) after(d time.Duration, run func()) {
+	s.timers = append(s.timers, timer{s.now.Add(d), run})
 }
 
-// run advances the world; each step runs what is due, then ticks the holders.
-func (w *world) run(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.now = w.now.Add(tickOf)
+// run advances the virtual time; each step runs the due timers, then ticks the
+// holders.
+func (s *simulation) run(d time.Duration) {
+	for end := s.now.Add(d); s.now.Before(end); {
+		s.now = s.now.Add(tickInterval)
 		due, rest := []timer{}, []timer{}
-		for _, t := range w.late {
-			if t.at.After(w.now) {
+		for _, t := range s.timers {
+			if t.at.After(s.now) {
 				rest = append(rest, t)
 			} else {
 				due = append(due, t)
 			}
 		}
-		w.late = rest
+		s.timers = rest
 		for _, t := range due {
 			t.run()
 		}
-		if w.longest > 0 {
-			w.serve()
+		if s.maxRequestTime > 0 {
+			s.startRequest()
 		}
-		for _, h := range w.holders {
+		for _, h := range s.holders {
 			h.step(controller.Tick{})
 		}
 		n := 0
-		for _, f := range w.servers {
-			f.state.Loading = w.now.Before(f.ready)
+		for _, f := range s.servers {
+			f.state.Loading = s.now.Before(f.loadedAt)
 			if f.state.Loading {
 				n++
 			}
 		}
-		w.loading = max(w.loading, n)
+		s.maxLoading = max(s.maxLoading, n)
 	}
 }
 
-// serve starts a request on a random replica of the viewed table.
-func (w *world) serve() {
-	open := slices.DeleteFunc(slices.Clone(w.viewed.Replicas), func(r controller.Replica) bool { return r.Leaving })
+// startRequest starts a request on a random replica of the visible table.
+func (s *simulation) startRequest() {
+	open := slices.DeleteFunc(slices.Clone(s.visible.Replicas), func(r controller.Replica) bool { return r.Leaving })
 	if len(open) == 0 {
 		return
 	}
-	r := open[w.rng.IntN(len(open))]
+	r := open[s.rng.IntN(len(open))]
 	add := func(n int) {
-		w.flights[r.Chain.ID] += n
+		s.replicaRequests[r.Chain.ID] += n
 		for _, st := range r.Chain.Stages {
-			w.servers[st.Backend].inFlight += n
+			s.servers[st.Backend].inFlight += n
 		}
 	}
 	add(1)
-	w.after(time.Duration(w.rng.Int64N(int64(w.longest))), func() { add(-1) })
+	s.after(time.Duration(s.rng.Int64N(int64(s.maxRequestTime))), func() { add(-1) })
 }
 
-func (w *world) delay() time.Duration { return time.Duration(w.rng.Int64N(int64(w.maxDelay)) + 1) }
+func (s *simulation) delay() time.Duration { return time.Duration(s.rng.Int64N(int64(s.maxDelay)) + 1) }
 
 func (h *holder) step(ev controller.Event) {
-	for _, a := range h.m.Step(h.w.now, ev) {
-		h.do(a)
+	for _, a := range h.m.Step(h.sim.now, ev) {
+		h.execute(a)
 	}
 }
 
-func (h *holder) do(a controller.Action) {
-	w := h.w
+func (h *holder) execute(a controller.Action) {
+	sim := h.sim
 	switch a := a.(type) {
 	case controller.Order:
 		h.orders = append(h.orders, a)
 		h.calls[a.Backend] += "o"
-		d := w.delay() + h.holdUp
-		if h.holdUp > 0 {
-			h.heldUp = a.Backend
+		d := sim.delay() + h.delayNext
+		if h.delayNext > 0 {
+			h.delayedServer = a.Backend
 		}
-		h.holdUp = 0
-		w.after(h.pause, func() {
-			if !a.NotAfter.IsZero() && w.now.After(a.NotAfter) {
+		h.delayNext = 0
+		sim.after(h.pause, func() {
+			if !a.NotAfter.IsZero() && sim.now.After(a.NotAfter) {
 				h.dropped++
 				return
 			}
-			h.call(a.Call, d, func() controller.Event { return w.servers[a.Backend].order(w, a) })
+			h.call(a.Call, d, func() controller.Event { return sim.servers[a.Backend].handleOrder(sim, a) })
 		})
 	case controller.ReadState:
-		w.reads++
+		sim.reads++
 		h.calls[a.Backend] += "r"
-		h.call(a.Call, w.delay(), func() controller.Event {
-			return controller.ReadResult{Call: a.Call, State: w.servers[a.Backend].state}
+		h.call(a.Call, sim.delay(), func() controller.Event {
+			return controller.ReadResult{Call: a.Call, State: sim.servers[a.Backend].state}
 		})
 	case controller.Publish:
-		w.table = a.Table
-		w.after(w.delay(), func() { h.step(controller.Published{Serial: a.Table.Serial}) })
-		w.after(time.Duration(w.rng.Int64N(int64(w.cfg.PropagationDelay))), func() {
-			if a.Table.Newer(w.viewed) {
-				w.viewed = a.Table
+		sim.table = a.Table
+		sim.after(sim.delay(), func() { h.step(controller.Published{Serial: a.Table.Serial}) })
+		sim.after(time.Duration(sim.rng.Int64N(int64(sim.cfg.PropagationDelay))), func() {
+			if a.Table.Newer(sim.visible) {
+				sim.visible = a.Table
 			}
 		})
 	case controller.QueryRequestCounts:
 		for _, id := range a.Replicas {
-			n := w.flights[id]
-			w.after(w.delay(), func() { h.step(controller.ReplicaRequests{Replica: id, Count: n}) })
+			n := sim.replicaRequests[id]
+			sim.after(sim.delay(), func() { h.step(controller.ReplicaRequests{Replica: id, Count: n}) })
 		}
 		for _, id := range a.Backends {
-			n := w.servers[id].inFlight
-			w.after(time.Duration(w.rng.Int64N(int64(w.cfg.ReportLag))), func() {
+			n := sim.servers[id].inFlight
+			sim.after(time.Duration(sim.rng.Int64N(int64(sim.cfg.ReportLag))), func() {
 				h.step(controller.BackendRequests{Backend: id, Count: n})
 			})
 		}
 	case controller.FencingRefused:
-		h.refused++
+		h.fencingRefusals++
 	}
 }
 
 func (h *holder) call(c controller.CallNumber, d time.Duration, effect func() controller.Event) {
-	w := h.w
-	if w.rng.Float64() < w.lost {
-		w.after(time.Second, func() { h.step(controller.ResultUnknown{Call: c}) })
+	sim := h.sim
+	if sim.rng.Float64() < sim.lossRate {
+		sim.after(time.Second, func() { h.step(controller.ResultUnknown{Call: c}) })
 		return
 	}
-	w.after(d, func() {
+	sim.after(d, func() {
 		ev := effect()
-		if w.rng.Float64() < w.lost {
+		if sim.rng.Float64() < sim.lossRate {
 			ev = controller.ResultUnknown{Call: c}
 		}
-		w.after(w.delay(), func() { h.step(ev) })
+		sim.after(sim.delay(), func() { h.step(ev) })
 	})
 }
 
-// order is the server's side: a load takes three seconds.
-func (f *fake) order(w *world, o controller.Order) controller.Event {
-	if f.checks && o.Fencing < f.state.Fencing {
+// handleOrder is the server's side of an order. A load takes three seconds.
+func (f *fakeServer) handleOrder(sim *simulation, o controller.Order) controller.Event {
+	if f.checksFencing && o.Fencing < f.state.Fencing {
 		return controller.OrderResult{Call: o.Call, Status: controller.StatusStale, State: f.state}
 	}
-	if f.checks {
+	if f.checksFencing {
 		f.state.Fencing = o.Fencing
 	}
-	if f.inFlight > 0 && w.broken == "" {
-		w.broken = fmt.Sprintf("%v ordered %s while %d requests ran", f.id, o.Kind, f.inFlight)
+	if f.inFlight > 0 && sim.violation == "" {
+		sim.violation = fmt.Sprintf("%v applied %s while %d requests ran", f.id, o.Kind, f.inFlight)
 	}
-	f.numbers = append(f.numbers, o.Fencing)
-	f.state.Service = drafts
+	f.fencingNumbers = append(f.fencingNumbers, o.Fencing)
+	f.state.Service = testService
 	switch o.Kind {
 	case controller.OrderUnload:
 		f.state.Loaded = controller.Assignment{}
@@ -255,13 +257,14 @@
 		f.state.Loaded.Role = o.Assignment.Role
 	case controller.OrderLoad:
 		f.state.Loaded = o.Assignment
-		f.ready = w.now.Add(3 * time.Second)
+		f.loadedAt = sim.now.Add(3 * time.Second)
 		f.state.Loading = true
 	}
 	return controller.OrderResult{Call: o.Call, Status: controller.StatusApplied, State: f.state}
 }
 
-// chains lays a version's replicas of two stages over servers from a first one.
+// chains returns n chains of a version, each with two stages, on the servers from
+// index first on.
 func chains(version string, first, n int) []controller.Chain {
 	var out []controller.Chain
 	for i := range n {
@@ -277,10 +280,11 @@
 	return out
 }
 
-// serving counts the published replicas that take new work.
-func (w *world) serving(version string) int {
+// countServing counts the published replicas of a version that accept new
+// requests; all versions if it is empty.
+func (s *simulation) countServing(version string) int {
 	n := 0
-	for _, r := range w.table.Replicas {
+	for _, r := range s.table.Replicas {
 		if !r.Leaving && (version == "" || r.Chain.Stages[0].Assignment.Version == version) {
 			n++
 		}
