--- a/coordination/claims/batcher.go
+++ b/coordination/claims/batcher.go
@@ -9,25 +9,25 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// BatchConfig tunes a Batcher.
+// BatchConfig holds the settings of a Batcher.
 type BatchConfig struct {
 	MaxRows     int // writes in one transaction
-	MaxInFlight int // transactions under way, not counting halves of a split one
-	MaxPending  int // writes waiting; more are answered NotSent
+	MaxInFlight int // transactions in flight, not counting halves of a split one
+	MaxPending  int // unanswered writes; more are answered NotSent
 
-	// ReadBelow is the size up to which the rows of a conflicting transaction
-	// are read one by one; a larger one is halved.
+	// ReadThreshold is the size up to which the rows of a conflicting transaction
+	// are read one by one; a larger transaction is split in halves.
 	ReadThreshold int
 
-	// Remembered is how many rows a home keeps to answer repeats from, each for
-	// RememberFor, far less than the sweep's retention. A repeat that went to
-	// the store would fail the whole transaction that it is in.
+	// CacheSize is how many rows a home caches to answer repeats, each for
+	// CacheTTL, which is far shorter than the sweep's retention. A repeat that
+	// reached the store would fail the transaction of its entire batch.
 	CacheSize int
 	CacheTTL  time.Duration
 
-	MaxLazyDelay time.Duration // longest wait of a lazy write for company
-	Retry        time.Duration // back-off after a transaction that was not answered
-	WriteTimeout time.Duration // after it a write is answered Unanswered
+	MaxLazyDelay time.Duration // longest delay of a lazy write that no other write joins
+	Retry        time.Duration // delay after a transaction that was not answered
+	WriteTimeout time.Duration // unanswered writes fail after this time
 }
 
 // DefaultBatchConfig returns the values used by a daemon.
@@ -45,12 +45,12 @@
 	}
 }
 
-// BatchEvent is what a Batcher is told: Wanted, Answered or Tick.
+// BatchEvent is an input of a Batcher: WriteRequested, StoreResult or Tick.
 type BatchEvent interface {
 	batchEvent()
 }
 
-// Wanted is one write, from another daemon or this one.
+// WriteRequested is a write requested by this daemon or another one.
 type WriteRequested struct {
 	From    state.Member
 	Request WriteRequest
@@ -60,12 +60,12 @@
 func (StoreResult) batchEvent()    {}
 func (Tick) batchEvent()           {}
 
-// BatchAction is what a Batcher asks for: CallStore or Reply.
+// BatchAction is an output of a Batcher: CallStore or Reply.
 type BatchAction interface {
 	batchAction()
 }
 
-// Reply answers a Wanted.
+// Reply answers a WriteRequested.
 type Reply struct {
 	To    state.Member
 	Reply WriteReply
@@ -74,89 +74,90 @@
 func (CallStore) batchAction() {}
 func (Reply) batchAction()     {}
 
-// item is one write on its way, with the later writes of the same key that
-// wait for what becomes of it.
-type item struct {
-	from      state.Member
-	req       WriteRequest
-	at        time.Time // when it was wanted
-	maySent   bool      // some transaction with it may have landed
-	followers []*item
-}
-
-// flight is one store call under way.
-type flight struct {
-	items   []*item
-	read    bool      // a Get of the only item
-	retryAt time.Time // waiting to be sent again, zero while under way
-	txn     store.Txn
-	half    bool // half of a split transaction
-}
-
-// Batcher is the key home's machine: it gathers the writes of many claims into
-// few transactions, and joins writes of one key so that only one is sent. It
-// is a relay: a claimant that gets no answer goes to the store itself, and a
-// Batcher that is wrong, late or doubled costs writes, never a second run.
+// write is an unanswered write, with later writes of the same key that wait for
+// its result.
+type write struct {
+	from             state.Member
+	req              WriteRequest
+	receivedAt       time.Time // when it was requested
+	mayHaveCommitted bool      // a transaction with this write may have been committed
+	duplicates       []*write
+}
+
+// storeCall is a store call that is in flight or waits to be sent again.
+type storeCall struct {
+	writes    []*write
+	read      bool      // a Get of the only write's row
+	retryAt   time.Time // when to send it again; zero while in flight
+	txn       store.Txn
+	splitHalf bool // half of a split transaction
+}
+
+// Batcher is the key home's state machine. It combines the writes of many claims
+// into few transactions, and coalesces writes of the same key so that only one is
+// sent. It is only a relay: a claimant that gets no answer uses the store
+// directly, and a Batcher that is wrong, late or duplicated costs extra writes,
+// never a second run.
 //
-// One transaction is under way at a time, and takes all that came meanwhile:
-// no write waits while the store is idle, and the busier the store the larger
-// the batches.
+// One transaction is in flight at a time; the next one contains all writes that
+// arrived meanwhile. So no write waits while the store is idle, and batches grow
+// with the store's latency.
 type Batcher struct {
-	cfg     BatchConfig
-	urgent  []*item
-	lazy    []*item
-	byKey   map[string]*item
-	recent  *lru.Cache[string, seen]
-	flights map[store.CallID]*flight
-	order   []store.CallID // ids of flights, oldest first
-	last    store.CallID
-	now     time.Time
-	out     []BatchAction
-	stats   BatchStats
-}
-
-// BatchStats counts what a Batcher did since it was made.
+	cfg      BatchConfig
+	urgent   []*write
+	lazy     []*write
+	byKey    map[string]*write
+	cache    *lru.Cache[string, cachedRow]
+	calls    map[store.CallID]*storeCall
+	callIDs  []store.CallID // keys of calls, oldest first
+	lastCall store.CallID
+	now      time.Time
+	out      []BatchAction
+	stats    BatchStats
+}
+
+// BatchStats holds the counters of a Batcher since its creation.
 type BatchStats struct {
-	Requested int // writes asked for
-	Coalesced int // of them, not sent because another of the key was under way
-	FromCache int // of them, answered by a row that this home knew
+	Requested int // writes requested
+	Coalesced int // of them, not sent because another write of the key was in flight
+	FromCache int // of them, answered from the cache
 	Txns      int // transactions sent
 	Rows      int // rows in them
-	Reads     int // rows read to settle conflicts
+	Reads     int // rows read to resolve conflicts
 	Conflicts int // transactions that conflicted
 }
 
-// seen is a row as a home last saw it.
-type seen struct {
-	row store.Row
-	at  time.Time
+// cachedRow is a row as the home last saw it.
+type cachedRow struct {
+	row    store.Row
+	seenAt time.Time
 }
 
 // NewBatcher returns an empty Batcher.
 func NewBatcher(cfg BatchConfig) *Batcher {
-	recent, err := lru.New[string, seen](cfg.CacheSize)
+	cache, err := lru.New[string, cachedRow](cfg.CacheSize)
 	if err != nil {
-		panic("claims: BatchConfig.Remembered must be positive: " + err.Error())
+		panic("claims: BatchConfig.CacheSize must be positive: " + err.Error())
 	}
 	return &Batcher{
-		cfg:     cfg,
-		recent:  recent,
-		byKey:   make(map[string]*item),
-		flights: make(map[store.CallID]*flight),
+		cfg:   cfg,
+		cache: cache,
+		byKey: make(map[string]*write),
+		calls: make(map[store.CallID]*storeCall),
 	}
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (b *Batcher) Stats() BatchStats {
 	return b.stats
 }
 
-// Pending counts the writes that are not answered yet, followers aside.
+// Pending returns the number of unanswered writes, duplicates not counted.
 func (b *Batcher) Pending() int {
 	return len(b.byKey)
 }
 
-// NextTick returns when the Batcher next wants a Tick, zero for never.
+// NextTick returns when the next Tick is due, zero for never.
 func (b *Batcher) NextTick() time.Time {
 	var next time.Time
 	earlier := func(t time.Time) {
@@ -164,66 +165,67 @@
 			next = t
 		}
 	}
-	for _, f := range b.flights {
-		earlier(f.retryAt)
+	for _, c := range b.calls {
+		earlier(c.retryAt)
 	}
-	if len(b.lazy) > 0 && len(b.flights) == 0 {
-		earlier(b.lazy[0].at.Add(b.cfg.MaxLazyDelay))
+	if len(b.lazy) > 0 && len(b.calls) == 0 {
+		earlier(b.lazy[0].receivedAt.Add(b.cfg.MaxLazyDelay))
 	}
 	return next
 }
 
-// Step applies one event and returns what is to be done, in order.
+// Step applies one event and returns the actions to carry out, in order.
 func (b *Batcher) Step(now time.Time, ev BatchEvent) []BatchAction {
 	b.now = now
 	b.out = nil
 	switch ev := ev.(type) {
 	case WriteRequested:
-		b.want(&item{from: ev.From, req: ev.Request, at: now})
+		b.enqueueOrAnswer(&write{from: ev.From, req: ev.Request, receivedAt: now})
 	case StoreResult:
-		b.answered(ev.Result)
+		b.storeResult(ev.Result)
 	case Tick:
 	}
-	b.retry()
-	b.fill()
+	b.sendRetries()
+	b.sendBatches()
 	return b.out
 }
 
-func (b *Batcher) want(it *item) {
+func (b *Batcher) enqueueOrAnswer(w *write) {
 	b.stats.Requested++
-	if lead, ok := b.byKey[it.req.Key]; ok {
+	if first, ok := b.byKey[w.req.Key]; ok {
 		b.stats.Coalesced++
-		lead.followers = append(lead.followers, it)
+		first.duplicates = append(first.duplicates, w)
 		return
 	}
-	if row, ok := b.remembered(it); ok {
+	if row, ok := b.fromCache(w); ok {
 		b.stats.FromCache++
-		b.reply(it, store.Conflict, &row)
+		b.reply(w, store.Conflict, &row)
 		return
 	}
 	if len(b.byKey) >= b.cfg.MaxPending {
-		b.reply(it, store.NotSent, nil)
+		b.reply(w, store.NotSent, nil)
 		return
 	}
-	b.queue(it)
+	b.enqueue(w)
 }
 
-// remembered returns a row that shows that the write can't land: revisions only
-// grow. The row may have changed since; whatever the claimant does next is
-// conditioned on its revision, or ends in a phase that does not change.
-func (b *Batcher) remembered(it *item) (store.Row, bool) {
-	s, ok := b.recent.Get(it.req.Key)
-	if !ok || b.now.Sub(s.at) > b.cfg.CacheTTL || s.row.Revision <= it.req.Base {
+// fromCache returns a cached row that proves that the write would conflict:
+// revisions only grow. The row may have changed since. That is safe, because the
+// claimant's next write is conditional on the cached revision, or the row is in a
+// phase that never changes.
+func (b *Batcher) fromCache(w *write) (store.Row, bool) {
+	s, ok := b.cache.Get(w.req.Key)
+	if !ok || b.now.Sub(s.seenAt) > b.cfg.CacheTTL || s.row.Revision <= w.req.Base {
 		return store.Row{}, false
 	}
 	return s.row, true
 }
 
-func (b *Batcher) queue(it *item) {
-	b.byKey[it.req.Key] = it
-	if it.req.Lazy {
-		b.lazy = append(b.lazy, it)
+func (b *Batcher) enqueue(w *write) {
+	b.byKey[w.req.Key] = w
+	if w.req.Lazy {
+		b.lazy = append(b.lazy, w)
 		return
 	}
-	b.urgent = append(b.urgent, it)
+	b.urgent = append(b.urgent, w)
 }
--- a/coordination/claims/batcher_test.go
+++ b/coordination/claims/batcher_test.go
@@ -12,50 +12,50 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// load drives key homes in virtual time: claims arrive by a Poisson process,
-// are inserted, and write their terminal outcome a second later.
-type load struct {
-	now       time.Time
-	rng       *rand.Rand
-	store     *table
-	homes     []*claims.Batcher
-	latency   time.Duration
-	pace      time.Duration // between transactions of a home, 0 for none
-	free      []time.Time   // when a home may send its next
-	due       []dueCall
-	lazy      []lazyWrite
-	homeKnows bool // repeats are of keys that the home saw
-	asked     map[uint64]time.Time
-	waits     []time.Duration
-	conflicts int
+// loadTest runs key homes in virtual time: claims arrive in a Poisson process, are
+// written, and write their terminal outcome a second later.
+type loadTest struct {
+	now           time.Time
+	rng           *rand.Rand
+	store         *fakeStore
+	homes         []*claims.Batcher
+	latency       time.Duration
+	minTxnGap     time.Duration // least time between transactions of a home
+	nextTxnAt     []time.Time   // by home, when it may send its next transaction
+	pendingCalls  []pendingCall
+	outcomeWrites []outcomeWrite
+	repeatsCached bool // repeats use keys that the home has seen
+	requestedAt   map[uint64]time.Time
+	latencies     []time.Duration
+	conflicts     int
 }
 
-type dueCall struct {
+type pendingCall struct {
 	at   time.Time
 	home int
 	call store.Call
 }
 
-type lazyWrite struct {
+type outcomeWrite struct {
 	at  time.Time
 	req claims.WriteRequest
 }
 
-func (l *load) homeOf(key string) int {
+func (l *loadTest) homeOf(key string) int {
 	return int(state.Attempt(len(key))+state.Attempt(key[len(key)-1])*7+state.Attempt(key[len(key)-2])) % len(l.homes)
 }
 
-func (l *load) act(home int, actions []claims.BatchAction) {
+func (l *loadTest) act(home int, actions []claims.BatchAction) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case claims.CallStore:
 			at := l.now
 			if a.Call.Writes() {
-				at = later(at, l.free[home])
-				l.free[home] = at.Add(l.pace)
+				at = later(at, l.nextTxnAt[home])
+				l.nextTxnAt[home] = at.Add(l.minTxnGap)
 			}
-			l.due = append(l.due, dueCall{at.Add(l.latency), home, a.Call})
-			slices.SortStableFunc(l.due, func(a, b dueCall) int { return a.at.Compare(b.at) })
+			l.pendingCalls = append(l.pendingCalls, pendingCall{at.Add(l.latency), home, a.Call})
+			slices.SortStableFunc(l.pendingCalls, func(a, b pendingCall) int { return a.at.Compare(b.at) })
 		case claims.Reply:
 			l.replied(a.Reply)
 		}
@@ -69,33 +69,33 @@
 	return b
 }
 
-func (l *load) replied(r claims.WriteReply) {
-	at, ok := l.asked[r.Call]
+func (l *loadTest) replied(r claims.WriteReply) {
+	at, ok := l.requestedAt[r.Call]
 	if !ok {
 		return
 	}
-	delete(l.asked, r.Call)
-	l.waits = append(l.waits, l.now.Sub(at))
+	delete(l.requestedAt, r.Call)
+	l.latencies = append(l.latencies, l.now.Sub(at))
 	if r.Status == store.Conflict {
 		l.conflicts++
 		return
 	}
 	req := claims.WriteRequest{Call: r.Call + 1<<40, Key: fmt.Sprintf("k%08d", r.Call), Base: r.Revision, Value: []byte("done"), Lazy: true}
-	l.lazy = append(l.lazy, lazyWrite{l.now.Add(time.Second), req})
+	l.outcomeWrites = append(l.outcomeWrites, outcomeWrite{l.now.Add(time.Second), req})
 }
 
-// repeat returns the key of a claim of late, or marks key as claimed before
-// through another home.
-func (l *load) repeat(n uint64, key string) string {
-	if l.homeKnows {
+// repeat returns the key of a recent claim, or marks key as claimed before through
+// another home.
+func (l *loadTest) repeat(n uint64, key string) string {
+	if l.repeatsCached {
 		return fmt.Sprintf("k%08d", n-min(n-1, l.rng.Uint64N(1000)))
 	}
 	l.store.rows[key] = store.Row{Key: key, Value: []byte("other"), Revision: 3}
 	return key
 }
 
-// run returns the claims asked for.
-func (l *load) run(perSecond float64, repeats float64, span time.Duration) int {
+// run returns the number of claims requested.
+func (l *loadTest) run(perSecond float64, repeats float64, span time.Duration) int {
 	const tick = time.Millisecond
 	n := uint64(0)
 	next := 0.0
@@ -108,20 +108,20 @@
 			if l.rng.Float64() < repeats {
 				key = l.repeat(n, key)
 			}
-			l.asked[n] = l.now
+			l.requestedAt[n] = l.now
 			h := l.homeOf(key)
 			l.act(h, l.homes[h].Step(l.now, claims.WriteRequested{Request: claims.WriteRequest{Call: n, Key: key, Value: []byte("claim")}}))
 		}
-		for len(l.lazy) > 0 && !l.lazy[0].at.After(l.now) {
-			req := l.lazy[0].req
-			l.lazy = l.lazy[1:]
+		for len(l.outcomeWrites) > 0 && !l.outcomeWrites[0].at.After(l.now) {
+			req := l.outcomeWrites[0].req
+			l.outcomeWrites = l.outcomeWrites[1:]
 			h := l.homeOf(req.Key)
 			l.act(h, l.homes[h].Step(l.now, claims.WriteRequested{Request: req}))
 		}
-		for len(l.due) > 0 && !l.due[0].at.After(l.now) {
-			d := l.due[0]
-			l.due = l.due[1:]
-			res := l.store.serve(d.call.Request, fateOK)
+		for len(l.pendingCalls) > 0 && !l.pendingCalls[0].at.After(l.now) {
+			d := l.pendingCalls[0]
+			l.pendingCalls = l.pendingCalls[1:]
+			res := l.store.serve(d.call.Request, outcomeOK)
 			res.Call = d.call.ID
 			l.act(d.home, l.homes[d.home].Step(l.now, claims.StoreResult{Result: res}))
 		}
@@ -134,9 +134,9 @@
 	return int(n)
 }
 
-// BenchmarkWritesPerClaim measures what batching saves. A claim costs two row
-// writes: the claim and its outcome. The store takes 10 ms a call, and one
-// claim in a hundred finds a row.
+// BenchmarkWritesPerClaim measures the savings of batching. A claim needs two row
+// writes: the claim and its outcome. A store call takes 10 ms, and one claim in a
+// hundred finds a row.
 func BenchmarkWritesPerClaim(b *testing.B) {
 	for _, rate := range []float64{10, 100, 1000, 5000} {
 		for _, homes := range []int{1, 4, 9, 64} {
@@ -149,9 +149,9 @@
 	}
 }
 
-// BenchmarkPacedClaims gives each of four key homes 33 transactions a second,
-// halves of split ones included: its share of the site's writes among 420
-// daemons.
+// BenchmarkPacedClaims limits each of four key homes to 33 transactions per second,
+// halves of split ones included: that is a home's share of the site's writes among
+// 420 daemons.
 func BenchmarkPacedClaims(b *testing.B) {
 	for _, rate := range []float64{500, 1000, 2000, 3000, 4000} {
 		for _, repeats := range []float64{0.001, 0.01} {
@@ -168,16 +168,16 @@
 
 func measure(b *testing.B, rate float64, homes int, pace time.Duration, repeats float64, known bool) {
 	const span = 20 * time.Second
-	l := &load{
-		now:     time.Unix(0, 0),
-		rng:     rand.New(rand.NewPCG(1, 1)),
-		store:   &table{rows: map[string]store.Row{}},
-		latency: 10 * time.Millisecond,
-		pace:    pace,
-		free:    make([]time.Time, homes),
-
-		homeKnows: known,
-		asked:     map[uint64]time.Time{},
+	l := &loadTest{
+		now:       time.Unix(0, 0),
+		rng:       rand.New(rand.NewPCG(1, 1)),
+		store:     &fakeStore{rows: map[string]store.Row{}},
+		latency:   10 * time.Millisecond,
+		minTxnGap: pace,
+		nextTxnAt: make([]time.Time, homes),
+
+		repeatsCached: known,
+		requestedAt:   map[uint64]time.Time{},
 	}
 	for range homes {
 		l.homes = append(l.homes, claims.NewBatcher(claims.DefaultBatchConfig()))
@@ -189,21 +189,21 @@
 		s.Rows += h.Stats().Rows
 		s.Reads += h.Stats().Reads
 	}
-	slices.Sort(l.waits)
+	slices.Sort(l.latencies)
 	b.ReportMetric(float64(s.Txns)/float64(n), "txns/claim")
 	b.ReportMetric(float64(s.Rows)/float64(n), "rows/claim")
 	b.ReportMetric(float64(s.Reads)/float64(n), "reads/claim")
 	b.ReportMetric(float64(s.Txns)/span.Seconds(), "txns/s")
-	b.ReportMetric(float64(n-len(l.waits))/float64(n), "unanswered/claim")
-	b.ReportMetric(float64(l.waits[len(l.waits)*99/100].Milliseconds()), "p99-wait-ms")
+	b.ReportMetric(float64(n-len(l.latencies))/float64(n), "unanswered/claim")
+	b.ReportMetric(float64(l.latencies[len(l.latencies)*99/100].Milliseconds()), "p99-wait-ms")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkClaimStep runs one claim from Start to its recorded outcome: four
-// events.
+// BenchmarkClaimStep runs one claim from Start to its recorded outcome, which
+// takes four events.
 func BenchmarkClaimStep(b *testing.B) {
 	now := time.Unix(0, 0)
-	n := &node{honest: true, w: &world{}}
+	n := &node{accurateView: true, sim: &simulation{}}
 	rng := rand.New(rand.NewPCG(1, 1))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -223,29 +223,29 @@
 	}
 }
 
-// BenchmarkBatcherStep is one write through a Batcher, in batches of 64.
+// BenchmarkBatcherStep passes one write through a Batcher, in batches of 64.
 func BenchmarkBatcherStep(b *testing.B) {
 	now := time.Unix(0, 0)
 	m := claims.NewBatcher(claims.DefaultBatchConfig())
-	s := &table{rows: map[string]store.Row{}}
-	var under []claims.BatchAction
+	s := &fakeStore{rows: map[string]store.Row{}}
+	var inFlight []claims.BatchAction
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		req := claims.WriteRequest{Call: uint64(i), Key: fmt.Sprintf("k%d", i%1024), Value: []byte("v"), Base: s.rows[fmt.Sprintf("k%d", i%1024)].Revision}
 		for _, a := range m.Step(now, claims.WriteRequested{Request: req}) {
 			if _, ok := a.(claims.CallStore); ok {
-				under = append(under, a)
+				inFlight = append(inFlight, a)
 			}
 		}
 		if i%64 == 63 {
-			for len(under) > 0 {
-				call := under[0].(claims.CallStore).Call
-				under = under[1:]
-				res := s.serve(call.Request, fateOK)
+			for len(inFlight) > 0 {
+				call := inFlight[0].(claims.CallStore).Call
+				inFlight = inFlight[1:]
+				res := s.serve(call.Request, outcomeOK)
 				res.Call = call.ID
 				for _, a := range m.Step(now, claims.StoreResult{Result: res}) {
 					if _, ok := a.(claims.CallStore); ok {
-						under = append(under, a)
+						inFlight = append(inFlight, a)
 					}
 				}
 			}
--- a/coordination/claims/claim.go
+++ b/coordination/claims/claim.go
@@ -8,22 +8,24 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Config tunes the claims of a daemon.
+// Config holds the settings of a daemon's claims.
 type Config struct {
-	// RetryMin and RetryMax bound the back-off between store calls that were
-	// not answered; each wait is drawn from the upper half of the current one.
+	// MinBackoff and MaxBackoff bound the backoff after store calls that were not
+	// answered. Each delay is random, between half of the current backoff and all
+	// of it.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 
-	// SettleGrace is how long a claim that is given up waits for the store
-	// before its caller is told VerdictUnsettled.
+	// SettleTimeout is how long a claim that is given up waits for the store
+	// before its caller gets VerdictUnsettled.
 	SettleTimeout time.Duration
 
-	// EndTries bounds the writes of a terminal outcome. Losing it costs a
-	// later repeat a "duplicate" for an "unknown", never a second run.
+	// MaxOutcomeWrites bounds the attempts to write a terminal outcome. If all
+	// fail, a later repeat gets "unknown" instead of "duplicate", but never a
+	// second run.
 	MaxOutcomeWrites int
 
-	// ViaHome sends the first try of each write through the key's home.
+	// ViaHome sends the first attempt of each write through the key's home.
 	ViaHome bool
 }
 
@@ -38,24 +40,25 @@
 	}
 }
 
-// View is the daemon's belief about owners of claims. It may be wrong: it
-// decides between joining and taking over, both of which are safe.
+// OwnerView is the daemon's view of the owners of claims. It may be wrong: it
+// only decides between joining and taking over, which are both safe.
 type OwnerView interface {
-	// Owns reports whether rec.Owner is believed to live and to hold
-	// rec.Request. For the daemon itself that is whether it keeps the Claim.
+	// Owns reports whether rec.Owner seems to be alive and to have rec.Request.
+	// For the daemon itself that is whether it keeps the Claim.
 	Owns(rec Record) bool
 }
 
-// Request is one submission of a never-repeat request.
+// Request is one submission of a request that must never be repeated.
 type Request struct {
 	Key      Key
-	Content  string // digest of everything that makes the work what it is
+	Content  string // digest of everything that defines the work
 	ID       state.RequestID
 	Owner    state.Member
 	Nonce    state.Nonce // unique to this Claim, site-wide
 	Deadline time.Time   // no Dispatch after it
 
-	// OwnerNumber is the owner's part of an epoch; see state.Epoch.
+	// OwnerNumber is the part of an epoch that identifies its owner; see
+	// state.Epoch.
 	OwnerNumber uint32
 }
 
@@ -63,24 +66,25 @@
 
 const (
 	modeIdle     mode = iota // before Start
-	modeWriting              // the store loop runs towards target
-	modeAsking               // backend servers are being asked
-	modeHeld                 // dispatched or continued
-	modeJoined               // another owner runs it
-	modeReleased             // over
+	modeWriting              // target is being written
+	modeQuerying             // backend servers are being queried
+	modeOwned                // dispatched or continued
+	modeJoined               // another owner runs the work
+	modeReleased             // the claim has ended
 )
 
+// intent is what the claim does once target is confirmed.
 type intent uint8
 
 const (
-	intentClaim    intent = iota // dispatch once target is confirmed
-	intentTakeover               // ask the backend servers once target is confirmed
-	intentVoid                   // refuse once target is confirmed
-	intentEnd                    // release once target is confirmed
+	intentClaim    intent = iota // dispatch
+	intentTakeover               // query the backend servers
+	intentVoid                   // refuse
+	intentOutcome                // release
 )
 
-// Claim is the machine of one never-repeat request at one daemon. It belongs
-// to one goroutine.
+// Claim is the state machine of one never-repeated request at one daemon. Only
+// one goroutine may use it.
 type Claim struct {
 	cfg  Config
 	rng  *rand.Rand
@@ -89,50 +93,50 @@
 
 	mode   mode
 	intent intent
-	slot   Slot // in hand, for the next dispatch
-
-	target      Record // the latest write of this claim
-	base        uint64 // revision that target is conditioned on; 0: no row
-	confirmed   Record // the last write known to have landed
-	isConfirmed bool   // confirmed is set
-	conflicted  bool   // a row stands that was not read yet
-	checked     bool   // the row was seen
-	clean       bool   // proof that no attempt under the key ran or will
-	dispatched  bool   // this claim was given Dispatch or Continue
-	continued   bool   // it was Continue: an earlier owner's attempt did run
-	joined      Record // whose owner runs the work, in modeJoined
-
-	call      store.CallID // outstanding, 0 for none
-	lastCall  store.CallID
-	callWrite bool   // the outstanding call is a write
-	sentSeq   uint32 // the highest write that may have landed or may yet land
-	sentPrev  uint32 // sentSeq before the outstanding write
-	readNext  bool   // the loop's next call is a read
-	direct    bool   // the key's home was tried in vain
-	endTries  int
+	slot   Slot // reserved for the next dispatch
+
+	target       Record // the latest write of this claim
+	base         uint64 // revision that target's write is conditional on; 0 for no row
+	confirmed    Record // the last write known to be committed
+	isConfirmed  bool   // confirmed is set
+	conflicted   bool   // there is a row that was not read yet
+	keyChecked   bool   // the row was read
+	notRunProven bool   // there is proof that no attempt under the key ran or will run
+	dispatched   bool   // this claim has emitted Dispatch or Continue
+	tookOver     bool   // it was Continue: an earlier owner's attempt ran
+	joinedRecord Record // in modeJoined, the row of the owner that runs the work
+
+	call         store.CallID // outstanding, 0 for none
+	lastCall     store.CallID
+	callIsWrite  bool   // the outstanding call is a write
+	maxSentSeq   uint32 // the highest write that may be committed, now or later
+	prevSentSeq  uint32 // maxSentSeq before the outstanding write
+	readNext     bool   // the next store call is a read
+	skipHome     bool   // a write through the key's home has failed
+	outcomeTries int
 
 	backoff time.Duration
-	wakeAt  time.Time // when the loop goes on, zero for not waiting
-
-	gaveUpAt   time.Time // zero while wanted
-	gaveUp     state.Reason
-	unsettled  bool // VerdictUnsettled was told
-	now        time.Time
-	out        []Action
-	askBackoff time.Duration
+	retryAt time.Time // when the next store call or query is due; zero if none is
+
+	gaveUpAt     time.Time // zero if the claim was not given up
+	giveUpReason state.Reason
+	unsettled    bool // VerdictUnsettled was emitted
+	now          time.Time
+	out          []Action
+	queryBackoff time.Duration
 }
 
-// New returns the claim of req. It does nothing before Start.
+// New returns a claim for req. It does nothing before Start.
 func New(cfg Config, rng *rand.Rand, view OwnerView, req Request) *Claim {
-	return &Claim{cfg: cfg, rng: rng, view: view, req: req, clean: true}
+	return &Claim{cfg: cfg, rng: rng, view: view, req: req, notRunProven: true}
 }
 
-// Key returns the key that the claim is for.
+// Key returns the key of the claim.
 func (c *Claim) Key() Key {
 	return c.req.Key
 }
 
-// Request returns the submission that the claim now serves.
+// Request returns the submission that the claim currently serves.
 func (c *Claim) Request() Request {
 	return c.req
 }
@@ -143,14 +147,14 @@
 	return c.mode == modeWriting && c.intent == intentVoid
 }
 
-// Released reports whether the claim is over.
+// Released reports whether the claim has ended.
 func (c *Claim) Released() bool {
 	return c.mode == modeReleased
 }
 
-// NextTick returns when the claim next wants a Tick, zero for never.
+// NextTick returns when the next Tick is due, zero for never.
 func (c *Claim) NextTick() time.Time {
-	next := c.wakeAt
+	next := c.retryAt
 	earlier := func(t time.Time) {
 		if next.IsZero() || t.Before(next) {
 			next = t
@@ -165,7 +169,7 @@
 	return next
 }
 
-// Step applies one event and returns what is to be done, in order.
+// Step applies one event and returns the actions to carry out, in order.
 func (c *Claim) Step(now time.Time, ev Event) []Action {
 	c.now = now
 	c.out = nil
@@ -176,14 +180,14 @@
 	case Start:
 		c.start(ev.Slot)
 	case StoreResult:
-		c.answered(ev.Result)
+		c.storeResult(ev.Result)
 	case Tick:
 	case GiveUp:
 		c.giveUp(ev)
 	case Reuse:
 		c.reuse(ev)
 	case Redispatch:
-		c.move(ev)
+		c.redispatch(ev)
 	case Ended:
 		c.ended(ev)
 	case Evidence:
@@ -191,7 +195,7 @@
 	case OwnerGone:
 		c.ownerGone(ev)
 	}
-	c.timers()
+	c.checkTimers()
 	return c.out
 }
 
@@ -200,7 +204,7 @@
 		return
 	}
 	c.slot = slot
-	c.aim(intentClaim, Record{
+	c.startWrite(intentClaim, Record{
 		Content: c.req.Content,
 		Request: c.req.ID,
 		Slot:    slot,
@@ -208,40 +212,39 @@
 	}, 0)
 }
 
-// giveUp drops the work. Whether that is a refusal depends on what may stand
-// in the store.
+// giveUp abandons the work. The verdict depends on what may be in the store.
 func (c *Claim) giveUp(ev GiveUp) {
-	if !c.gaveUpAt.IsZero() || c.intent == intentEnd {
+	if !c.gaveUpAt.IsZero() || c.intent == intentOutcome {
 		return
 	}
 	if c.dispatched {
-		if !ev.Proof.Valid() || c.continued {
+		if !ev.Proof.Valid() || c.tookOver {
 			c.ended(Ended{Phase: PhaseUnknown})
 			return
 		}
-		c.clean = true
+		c.notRunProven = true
 	}
 	c.gaveUpAt = c.now
-	c.gaveUp = ev.Reason
+	c.giveUpReason = ev.Reason
 	switch {
-	case !c.clean:
-		// A row of an owner that is gone is never voided without proof.
+	case !c.notRunProven:
+		// The row of an owner that is gone is never voided without proof.
 		c.finish(VerdictUnknown, c.target)
 	case c.mode == modeJoined:
 		c.release(false)
-	case c.untouched():
+	case c.leftNoTrace():
 		c.finish(VerdictNotRun, Record{})
 	default:
 		rec := c.target
 		rec.Phase = PhaseVoided
-		c.aim(intentVoid, rec, c.base)
+		c.startWrite(intentVoid, rec, c.base)
 	}
 }
 
-// untouched reports whether nothing of this claim can stand in the store and
-// no other row is known to.
-func (c *Claim) untouched() bool {
-	return c.sentSeq == 0 && !c.conflicted && !c.isConfirmed
+// leftNoTrace reports whether no write of this claim can be in the store and no
+// other row of the key is known.
+func (c *Claim) leftNoTrace() bool {
+	return c.maxSentSeq == 0 && !c.conflicted && !c.isConfirmed
 }
 
 func (c *Claim) reuse(ev Reuse) {
@@ -254,12 +257,13 @@
 	c.gaveUpAt = time.Time{}
 	c.unsettled = false
 
-	// Where nothing after the confirmed claim left this daemon, it still
-	// stands and needs no write: the only way to run while the store is down.
-	if c.stands() && !c.dispatched && c.confirmed.Slot.Replica == ev.Slot.Replica {
+	// If this daemon sent no write after the confirmed claim, that claim is still
+	// valid and needs no further write. This is the only way to run the work while
+	// the store is down.
+	if c.claimStands() && !c.dispatched && c.confirmed.Slot.Replica == ev.Slot.Replica {
 		c.target = c.confirmed
 		c.intent = intentClaim
-		c.wakeAt = time.Time{}
+		c.retryAt = time.Time{}
 		c.dispatch()
 		return
 	}
@@ -267,38 +271,38 @@
 	rec.Phase = PhaseClaimed
 	rec.Request = ev.Request
 	rec.Slot = ev.Slot
-	c.aim(intentClaim, rec, c.base)
+	c.startWrite(intentClaim, rec, c.base)
 }
 
-// stands reports whether the row holds a claim of ours and no later write of
-// ours may land.
-func (c *Claim) stands() bool {
-	return c.isConfirmed && c.confirmed.Phase == PhaseClaimed && c.sentSeq <= c.confirmed.Seq
+// claimStands reports whether the row holds a claim of ours that no later write
+// of ours can replace.
+func (c *Claim) claimStands() bool {
+	return c.isConfirmed && c.confirmed.Phase == PhaseClaimed && c.maxSentSeq <= c.confirmed.Seq
 }
 
-func (c *Claim) move(ev Redispatch) {
-	if c.mode != modeHeld || c.continued || !ev.Proof.Valid() {
+func (c *Claim) redispatch(ev Redispatch) {
+	if c.mode != modeOwned || c.tookOver || !ev.Proof.Valid() {
 		return
 	}
-	c.clean = true
+	c.notRunProven = true
 	c.dispatched = false
 	c.slot = ev.Slot
 	rec := c.target
 	rec.Slot = ev.Slot
-	c.aim(intentClaim, rec, c.base)
+	c.startWrite(intentClaim, rec, c.base)
 }
 
 func (c *Claim) ended(ev Ended) {
-	if c.mode != modeHeld || !ev.Phase.Terminal() {
+	if c.mode != modeOwned || !ev.Phase.Terminal() {
 		return
 	}
-	c.end(ev)
+	c.recordOutcome(ev)
 }
 
-func (c *Claim) end(ev Ended) {
+func (c *Claim) recordOutcome(ev Ended) {
 	rec := c.target
 	rec.Phase = ev.Phase
 	rec.Digest = ev.Digest
-	c.endTries = c.cfg.MaxOutcomeWrites
-	c.aim(intentEnd, rec, c.base)
+	c.outcomeTries = c.cfg.MaxOutcomeWrites
+	c.startWrite(intentOutcome, rec, c.base)
 }
--- a/coordination/claims/decide.go
+++ b/coordination/claims/decide.go
@@ -7,9 +7,9 @@
 	"github.com/samber/lo"
 )
 
-// decide settles on a row that another claimant wrote last.
-func (c *Claim) decide(rec Record, revision uint64) {
-	if c.intent == intentEnd {
+// handleForeignRow decides what to do if another claimant wrote the row last.
+func (c *Claim) handleForeignRow(rec Record, revision uint64) {
+	if c.intent == intentOutcome {
 		c.release(false)
 		return
 	}
@@ -27,9 +27,9 @@
 		c.finish(verdictOf(rec.Phase), rec)
 	case c.intent == intentVoid:
 		c.finish(VerdictJoin, rec)
-	case c.view.Owns(rec) && !c.mayLandAt(revision):
+	case c.view.Owns(rec) && !c.mayCommitAt(revision):
 		c.mode = modeJoined
-		c.joined = rec
+		c.joinedRecord = rec
 		c.base = revision
 		c.verdict(VerdictJoin, rec)
 	default:
@@ -44,18 +44,19 @@
 	return VerdictDuplicate
 }
 
-// reclaim writes over a row that was voided: proof that nothing ran under it.
+// reclaim claims a voided row again. That the row is voided proves that nothing
+// ran under it.
 func (c *Claim) reclaim(rec Record, revision uint64) {
-	c.clean = true
+	c.notRunProven = true
 	if c.intent == intentVoid {
-		if c.mayLandAt(revision) {
-			c.advance() // our own void bars the claim that is still under way
+		if c.mayCommitAt(revision) {
+			c.advance() // our voided row makes the claim that is still in flight fail
 			return
 		}
 		c.finish(VerdictNotRun, Record{})
 		return
 	}
-	c.aim(intentClaim, Record{
+	c.startWrite(intentClaim, Record{
 		Content: c.req.Content,
 		Request: c.req.ID,
 		Slot:    c.slot,
@@ -64,71 +65,73 @@
 	}, revision)
 }
 
-// mayLandAt reports whether a write of ours, conditioned on the revision at which
-// the row stands, may still be under way.
-func (c *Claim) mayLandAt(revision uint64) bool {
-	return c.sentSeq > 0 && c.base == revision
+// mayCommitAt reports whether a write of ours that is conditional on the row's
+// current revision may still be in flight.
+func (c *Claim) mayCommitAt(revision uint64) bool {
+	return c.maxSentSeq > 0 && c.base == revision
 }
 
-// takeOver claims the row of an owner that is gone. The higher epoch bars its
-// late steps at backend servers that are asked with it.
+// takeOver claims the row of an owner that is gone. Backend servers that are
+// queried with the higher epoch refuse delayed steps of that owner.
 func (c *Claim) takeOver(rec Record, revision uint64) {
-	c.clean = false
+	c.notRunProven = false
 	rec.Epoch = rec.Epoch.TakeOver(c.req.OwnerNumber)
-	c.aim(intentTakeover, rec, revision)
+	c.startWrite(intentTakeover, rec, revision)
 }
 
 func (c *Claim) ownerGone(ev OwnerGone) {
-	if c.mode != modeJoined || c.joined.Owner != ev.Owner {
+	if c.mode != modeJoined || c.joinedRecord.Owner != ev.Owner {
 		return
 	}
-	c.takeOver(c.joined, c.base)
+	c.takeOver(c.joinedRecord, c.base)
 }
 
 func (c *Claim) evidence(ev Evidence) {
-	if c.mode != modeAsking || ev.Epoch != c.target.Epoch {
+	if c.mode != modeQuerying || ev.Epoch != c.target.Epoch {
 		return
 	}
 	switch {
-	case ev.Kind == EvidenceHeld && !forgot(c.target.Slot.Backends, ev.BootIDs):
-		c.mode = modeHeld
+	case ev.Kind == EvidenceHeld && !restarted(c.target.Slot.Backends, ev.BootIDs):
+		c.mode = modeOwned
 		c.dispatched = true
-		c.continued = true
+		c.tookOver = true
 		c.out = append(c.out, Continue{Record: c.target})
 	case ev.Kind == EvidenceUnavailable:
-		c.askBackoff = nextBackoff(c.askBackoff, c.cfg)
-		c.wakeAt = c.now.Add(c.jitter(c.askBackoff))
+		c.queryBackoff = nextBackoff(c.queryBackoff, c.cfg)
+		c.retryAt = c.now.Add(c.jitter(c.queryBackoff))
 	case ev.Kind == EvidenceNotStarted && sameBoots(c.target.Slot.Backends, ev.BootIDs):
-		c.rerun()
+		c.dispatchAgain()
 	default:
-		// Never to be known, so a later repeat need not ask again.
+		// The outcome will never be known. It is recorded, so that a later repeat
+		// does not query again.
 		c.verdict(VerdictUnknown, c.target)
-		c.end(Ended{Phase: PhaseUnknown})
+		c.recordOutcome(Ended{Phase: PhaseUnknown})
 	}
 }
 
-// rerun dispatches the work of an owner that is gone, whose attempt never
-// began and is barred, in the slot in hand.
-func (c *Claim) rerun() {
-	c.clean = true
+// dispatchAgain dispatches, in the reserved slot, the work of an owner that is
+// gone. Its attempt never started and the servers will refuse it.
+func (c *Claim) dispatchAgain() {
+	c.notRunProven = true
 	rec := c.target
 	rec.Request = c.req.ID
 	rec.Slot = c.slot
-	c.wakeAt = time.Time{}
-	c.aim(intentClaim, rec, c.base)
+	c.retryAt = time.Time{}
+	c.startWrite(intentClaim, rec, c.base)
 }
 
-// sameBoots guards against a backend server that restarted and forgot: it
-// would say that the attempt never began, although it ran before the restart.
+// sameBoots guards against a backend server that has restarted and lost its
+// memory of attempts: it would report that the attempt never started, although it
+// ran before the restart.
 func sameBoots(backends []Backend, boots []string) bool {
 	recorded := lo.Map(backends, func(b Backend, _ int) string { return b.BootID })
 	return len(recorded) > 0 && !slices.Contains(recorded, "") && slices.Equal(recorded, boots)
 }
 
-// forgot reports whether a backend server with a boot has another one now. In a
-// chain that holds the attempt elsewhere, such a stage would run its last step
-// once more.
-func forgot(backends []Backend, boots []string) bool {
+// restarted reports whether a backend server with a recorded boot id now has
+// another one. If the chain's other stages still hold the attempt, such a stage
+// would run its last step a second time.
+func restarted(backends []Backend, boots []string) bool {
 	for i, b := range backends {
 		if b.BootID != "" && (i >= len(boots) || boots[i] != b.BootID) {
 			return true
--- a/coordination/claims/failure_test.go
+++ b/coordination/claims/failure_test.go
@@ -11,41 +11,42 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// steady returns a world of n daemons whose beliefs are true; nothing in it is
-// random, and a write goes through the first daemon as the key's home.
-func steady(n int) *world {
+// newAccurateSimulation returns a simulation of n daemons with accurate views of
+// each other. Nothing in it is random, and every write goes through the first
+// daemon as the key's home.
+func newAccurateSimulation(n int) *simulation {
 	clear(replies)
-	w := newWorld(func(int, string) int { return 0 })
+	sim := newSimulation(func(int, string) int { return 0 })
 	for i := range n {
-		w.addNode(fmt.Sprintf("d%d", i), 1).honest = true
+		sim.addNode(fmt.Sprintf("d%d", i), 1).accurateView = true
 	}
-	return w
+	return sim
 }
 
-// calls ends all store calls under way, and those that they lead to. Waits for
-// a home's reply do not time out.
-func (w *world) calls(f fate) {
-	for i := 0; i < len(w.air); {
-		if w.air[i].req == nil {
+// finishCalls ends all store calls in flight, and those that they cause, with the
+// outcome f. It does not time out waits for a home's reply.
+func (sim *simulation) finishCalls(f outcome) {
+	for i := 0; i < len(sim.storeCalls); {
+		if sim.storeCalls[i].req == nil {
 			i++
 			continue
 		}
-		w.deliverCall(i, f)
+		sim.finishCall(i, f)
 		i = 0
 	}
 }
 
-// outage answers all store calls with f for a while.
-func (w *world) outage(d time.Duration, f fate) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.calls(f)
-		w.advance(50 * time.Millisecond)
+// outage ends all store calls with the outcome f for the duration d.
+func (sim *simulation) outage(d time.Duration, f outcome) {
+	for end := sim.now.Add(d); sim.now.Before(end); {
+		sim.finishCalls(f)
+		sim.advance(50 * time.Millisecond)
 	}
-	w.calls(f)
+	sim.finishCalls(f)
 }
 
-func (w *world) last(id state.RequestID) claims.VerdictKind {
-	vs := w.verdicts[id]
+func (sim *simulation) lastVerdict(id state.RequestID) claims.VerdictKind {
+	vs := sim.verdicts[id]
 	if len(vs) == 0 {
 		return 0
 	}
@@ -53,210 +54,211 @@
 }
 
 var _ = Describe("A claim", func() {
-	// A clerk's note is claimed; the store's answer is lost, and the write
-	// lands only after a read found no row. The note is dispatched once, and
-	// only when the row is known to be there.
-	It("waits for proof that its row stands", Label("failure:store-answer-lost"), func() {
-		w := steady(1)
-		id := w.submit(w.nodes[0], "k", "x", 0, time.Minute)
-		w.outage(1500*time.Millisecond, fateLate)
-		Expect(w.steps).To(BeEmpty())
-		w.settle()
-		Expect(w.began[id]).To(Equal(1))
-		Expect(w.total).To(Equal(1))
+	// A request is claimed; the store's answer is lost, and the write is committed
+	// only after a read has found no row. The request is dispatched once, and only
+	// when the row is known to be there.
+	It("waits for proof that its row is committed", Label("failure:store-answer-lost"), func() {
+		sim := newAccurateSimulation(1)
+		id := sim.submit(sim.nodes[0], "k", "x", 0, time.Minute)
+		sim.outage(1500*time.Millisecond, outcomeAppliedLate)
+		Expect(sim.firstSteps).To(BeEmpty())
+		sim.finishAll()
+		Expect(sim.started[id]).To(Equal(1))
+		Expect(sim.executions).To(Equal(1))
 	})
 
-	// The store is down while a caller waits for its deadline. Nothing left
-	// this daemon, so the caller is truly told "not run", and its repeat runs
-	// when the store is back.
-	It("refuses truly while the store is down", Label("failure:store-down"), func() {
-		w := steady(1)
-		id := w.submit(w.nodes[0], "k", "x", 0, time.Second)
-		w.outage(2*time.Second, fateNotSent)
-		Expect(w.last(id)).To(Equal(claims.VerdictNotRun))
-		again := w.submit(w.nodes[0], "k", "x", 0, time.Minute)
-		w.settle()
-		Expect(w.began[again]).To(Equal(1))
+	// The store is down until the caller's deadline. This daemon sent nothing, so
+	// the answer "not run" is correct, and the caller's repeat runs once the store
+	// is available again.
+	It("correctly refuses as not run while the store is down", Label("failure:store-down"), func() {
+		sim := newAccurateSimulation(1)
+		id := sim.submit(sim.nodes[0], "k", "x", 0, time.Second)
+		sim.outage(2*time.Second, outcomeNotSent)
+		Expect(sim.lastVerdict(id)).To(Equal(claims.VerdictNotRun))
+		again := sim.submit(sim.nodes[0], "k", "x", 0, time.Minute)
+		sim.finishAll()
+		Expect(sim.started[again]).To(Equal(1))
 	})
 
-	// The store goes down with the claim's answer. The caller is told
-	// "unknown", not "not run". When the store is back the row is voided, and
-	// a repeat at another daemon runs.
-	It("voids what it gave up once the store is back", Label("failure:store-down"), func() {
-		w := steady(2)
-		id := w.submit(w.nodes[0], "k", "x", 0, time.Second)
-		w.outage(4*time.Second, fateLost)
-		Expect(w.last(id)).To(Equal(claims.VerdictUnsettled))
-		back := w.now
-		for w.last(id) != claims.VerdictNotRun && w.now.Sub(back) < 10*time.Second {
-			w.calls(fateOK)
-			w.advance(10 * time.Millisecond)
+	// The store goes down and the answer to the claim's write is lost. The caller
+	// gets "unknown", not "not run". Once the store is available again the row is
+	// voided, and a repeat at another daemon runs.
+	It("voids its row once the store is available again", Label("failure:store-down"), func() {
+		sim := newAccurateSimulation(2)
+		id := sim.submit(sim.nodes[0], "k", "x", 0, time.Second)
+		sim.outage(4*time.Second, outcomeAnswerLost)
+		Expect(sim.lastVerdict(id)).To(Equal(claims.VerdictUnsettled))
+		back := sim.now
+		for sim.lastVerdict(id) != claims.VerdictNotRun && sim.now.Sub(back) < 10*time.Second {
+			sim.finishCalls(outcomeOK)
+			sim.advance(10 * time.Millisecond)
 		}
-		GinkgoWriter.Printf("voided %v after the store was back\n", w.now.Sub(back))
-		Expect(w.last(id)).To(Equal(claims.VerdictNotRun))
-		again := w.submit(w.nodes[1], "k", "x", 0, time.Minute)
-		w.settle()
-		Expect(w.began[again]).To(Equal(1))
-		Expect(w.began[id]).To(BeZero())
+		GinkgoWriter.Printf("voided %v after the store was available again\n", sim.now.Sub(back))
+		Expect(sim.lastVerdict(id)).To(Equal(claims.VerdictNotRun))
+		again := sim.submit(sim.nodes[1], "k", "x", 0, time.Minute)
+		sim.finishAll()
+		Expect(sim.started[again]).To(Equal(1))
+		Expect(sim.started[id]).To(BeZero())
 	})
 
-	// A key was voided; a repeat claims it anew, its write is lost on the way,
-	// and it gives up and reads the old void. The lost write lands after all:
-	// it must not lock the key behind a caller that was told "not run".
-	It("bars its own lost write when it gives up", Label("failure:store-answer-lost"), func() {
-		w := steady(2)
-		first := w.submit(w.nodes[0], "k", "x", 0, time.Minute)
-		w.step(w.nodes[0], w.nodes[0].claims[0], claims.GiveUp{Reason: state.ReasonCanceled})
-		w.outage(100*time.Millisecond, fateOK)
-		Expect(w.last(first)).To(Equal(claims.VerdictNotRun))
-		w.choose = func(n int, _ string) int { return n - 1 }
-		second := w.submit(w.nodes[1], "k", "x", 2, time.Minute) // a plain service
-		w.deliverCall(w.lastReal(), fateOK)                      // conflicts
-		w.deliverCall(w.lastReal(), fateOK)                      // the home reads the void
-		w.step(w.nodes[1], w.nodes[1].claims[0], claims.GiveUp{Reason: state.ReasonCanceled})
-		w.outage(1500*time.Millisecond, fateLate)
-		late := w.store.late
-		w.store.late = nil
-		w.outage(2*time.Second, fateOK)
-		Expect(w.last(second)).To(Equal(claims.VerdictNotRun))
-		w.store.late = late
-		w.settle()
-		third := w.submit(w.nodes[1], "k", "x", 0, time.Minute)
-		w.settle()
-		Expect(w.began[third]).To(Equal(1))
+	// A key was voided. A repeat claims it again, the write is delayed, and the
+	// claim gives up and reads the old voided row. If the delayed write were
+	// committed then, the key would stay claimed although its caller got "not
+	// run".
+	It("makes its own delayed write fail when it gives up", Label("failure:store-answer-lost"), func() {
+		sim := newAccurateSimulation(2)
+		first := sim.submit(sim.nodes[0], "k", "x", 0, time.Minute)
+		sim.step(sim.nodes[0], sim.nodes[0].claims[0], claims.GiveUp{Reason: state.ReasonCanceled})
+		sim.outage(100*time.Millisecond, outcomeOK)
+		Expect(sim.lastVerdict(first)).To(Equal(claims.VerdictNotRun))
+		sim.pick = func(n int, _ string) int { return n - 1 }
+		second := sim.submit(sim.nodes[1], "k", "x", 2, time.Minute) // a plain service
+		sim.finishCall(sim.nextStoreCall(), outcomeOK)               // conflicts
+		sim.finishCall(sim.nextStoreCall(), outcomeOK)               // the home reads the voided row
+		sim.step(sim.nodes[1], sim.nodes[1].claims[0], claims.GiveUp{Reason: state.ReasonCanceled})
+		sim.outage(1500*time.Millisecond, outcomeAppliedLate)
+		late := sim.store.lateTxns
+		sim.store.lateTxns = nil
+		sim.outage(2*time.Second, outcomeOK)
+		Expect(sim.lastVerdict(second)).To(Equal(claims.VerdictNotRun))
+		sim.store.lateTxns = late
+		sim.finishAll()
+		third := sim.submit(sim.nodes[1], "k", "x", 0, time.Minute)
+		sim.finishAll()
+		Expect(sim.started[third]).To(Equal(1))
 	})
 
-	// The claim is held when the caller leaves, and the store is down, so that
-	// it can't be voided. The caller's repeat comes to the same daemon and
-	// runs on the claim that stands, without the store.
+	// The claim's row is committed when the caller leaves, and the store is down,
+	// so that it can't be voided. The caller's repeat arrives at the same daemon
+	// and runs on the existing claim, without the store.
 	It("is reused by a repeat at the same daemon", Label("failure:store-down"), func() {
-		w := steady(1)
-		n := w.nodes[0]
-		id := w.submit(n, "k", "x", 0, time.Minute)
+		sim := newAccurateSimulation(1)
+		n := sim.nodes[0]
+		id := sim.submit(n, "k", "x", 0, time.Minute)
 		first := n.claims[0]
-		w.step(n, first, claims.GiveUp{Reason: state.ReasonCanceled})
-		w.deliverCall(w.lastReal(), fateOK) // the claim lands; the void follows
-		w.outage(1200*time.Millisecond, fateNotSent)
-		Expect(w.began[id]).To(BeZero())
-		w.submit(n, "k", "x", 0, time.Minute)
-		Expect(w.steps).To(HaveLen(1))
-		w.settle()
-		Expect(w.total).To(Equal(1))
+		sim.step(n, first, claims.GiveUp{Reason: state.ReasonCanceled})
+		sim.finishCall(sim.nextStoreCall(), outcomeOK) // the claim is committed; its voiding follows
+		sim.outage(1200*time.Millisecond, outcomeNotSent)
+		Expect(sim.started[id]).To(BeZero())
+		sim.submit(n, "k", "x", 0, time.Minute)
+		Expect(sim.firstSteps).To(HaveLen(1))
+		sim.finishAll()
+		Expect(sim.executions).To(Equal(1))
 	})
 
-	// A postman's app sends one note through two daemons at the same moment.
-	// One runs it; the other is told where.
+	// A caller sends the same request to two daemons at the same time. One runs
+	// it; the other gets the owner's name.
 	It("joins the same request at two daemons", Label("failure:repeat-at-two-daemons"), func() {
-		w := steady(2)
-		a := w.submit(w.nodes[0], "k", "x", 0, time.Minute)
-		b := w.submit(w.nodes[1], "k", "x", 1, time.Minute)
-		w.calls(fateOK)
-		Expect(w.steps).To(HaveLen(1))
-		Expect(w.last(b)).To(Equal(claims.VerdictJoin))
-		Expect(w.verdicts[b][0].Record.Request).To(Equal(a))
-		w.settle()
-		Expect(w.total).To(Equal(1))
-		other := w.submit(w.nodes[1], "k", "y", 1, time.Minute)
-		w.settle()
-		Expect(w.last(other)).To(Equal(claims.VerdictKeyReused))
+		sim := newAccurateSimulation(2)
+		a := sim.submit(sim.nodes[0], "k", "x", 0, time.Minute)
+		b := sim.submit(sim.nodes[1], "k", "x", 1, time.Minute)
+		sim.finishCalls(outcomeOK)
+		Expect(sim.firstSteps).To(HaveLen(1))
+		Expect(sim.lastVerdict(b)).To(Equal(claims.VerdictJoin))
+		Expect(sim.verdicts[b][0].Record.Request).To(Equal(a))
+		sim.finishAll()
+		Expect(sim.executions).To(Equal(1))
+		other := sim.submit(sim.nodes[1], "k", "y", 1, time.Minute)
+		sim.finishAll()
+		Expect(sim.lastVerdict(other)).To(Equal(claims.VerdictKeyReused))
 	})
 
-	// A daemon dies after the engine began the request. The repeat at another
-	// daemon takes the attempt over where the engine holds it; where the
-	// engine restarted and forgot, or is a plain service, the caller is told
-	// "unknown", and it never runs again.
+	// A daemon dies after the engine has started the request. The repeat at
+	// another daemon takes the attempt over if the engine still holds it. If the
+	// engine has restarted and lost it, or is a plain service, the caller gets
+	// "unknown", and the request never runs again.
 	It("is taken over only with proof", Label("failure:daemon-dies-mid-stream"), func() {
 		for _, c := range []struct {
 			server  int
 			forget  bool
 			verdict claims.VerdictKind
 		}{{0, false, 0}, {0, true, claims.VerdictUnknown}, {2, false, claims.VerdictUnknown}} {
-			w := steady(2)
-			w.submit(w.nodes[0], "k", "x", c.server, time.Minute)
-			w.calls(fateOK)
-			w.nodes[0].dead = true
-			w.deliverStep(0, false)
+			sim := newAccurateSimulation(2)
+			sim.submit(sim.nodes[0], "k", "x", c.server, time.Minute)
+			sim.finishCalls(outcomeOK)
+			sim.nodes[0].dead = true
+			sim.deliverFirstStep(0, false)
 			if c.forget {
-				w.reboot(replica(c.server))
+				sim.restartBackend(replica(c.server))
 			}
-			w.choose = func(n int, _ string) int { return n - 1 } // the home that lives
-			b := w.submit(w.nodes[1], "k", "x", 1, time.Minute)
-			w.settle()
-			Expect(w.total).To(Equal(1))
-			Expect(w.last(b)).To(Equal(c.verdict))
+			sim.pick = func(n int, _ string) int { return n - 1 } // the daemon that is alive is the home
+			b := sim.submit(sim.nodes[1], "k", "x", 1, time.Minute)
+			sim.finishAll()
+			Expect(sim.executions).To(Equal(1))
+			Expect(sim.lastVerdict(b)).To(Equal(c.verdict))
 		}
 	})
 
-	// The daemon dies mid-stream, and one stage of the chain restarts. What
-	// the other stages hold must not be continued over it: the stage that
-	// forgot would run a step that it ran before.
-	It("is not continued over a stage that forgot", Label("failure:daemon-dies-mid-stream"), func() {
+	// The daemon dies mid-stream and one stage of the chain restarts. Continuing
+	// with what the other stages hold would make the restarted stage run a step
+	// that it has run before.
+	It("is not continued if a stage has restarted", Label("failure:daemon-dies-mid-stream"), func() {
 		for _, boots := range [][]string{{"boot-0"}, {"another"}, nil} {
-			w := steady(2)
-			w.submit(w.nodes[0], "k", "x", 0, time.Minute)
-			w.calls(fateOK)
-			w.nodes[0].dead = true
-			w.choose = func(n int, _ string) int { return n - 1 }
-			b := w.submit(w.nodes[1], "k", "x", 1, time.Minute)
-			w.calls(fateOK)
-			Expect(w.asks).To(HaveLen(1))
-			ask := w.asks[0]
-			w.step(ask.owner, ask.claim, claims.Evidence{Epoch: ask.rec.Epoch, Kind: claims.EvidenceHeld, BootIDs: boots})
+			sim := newAccurateSimulation(2)
+			sim.submit(sim.nodes[0], "k", "x", 0, time.Minute)
+			sim.finishCalls(outcomeOK)
+			sim.nodes[0].dead = true
+			sim.pick = func(n int, _ string) int { return n - 1 }
+			b := sim.submit(sim.nodes[1], "k", "x", 1, time.Minute)
+			sim.finishCalls(outcomeOK)
+			Expect(sim.queries).To(HaveLen(1))
+			query := sim.queries[0]
+			sim.step(query.owner, query.claim, claims.Evidence{Epoch: query.record.Epoch, Kind: claims.EvidenceHeld, BootIDs: boots})
 			same := len(boots) == 1 && boots[0] == "boot-0"
-			Expect(ask.claim.continued).To(Equal(same))
-			Expect(w.last(b) == claims.VerdictUnknown).To(Equal(!same))
+			Expect(query.claim.tookOver).To(Equal(same))
+			Expect(sim.lastVerdict(b) == claims.VerdictUnknown).To(Equal(!same))
 		}
 	})
 
-	// A daemon dies between claim and dispatch. The engine has not restarted
-	// and says that nothing began, so the repeat runs; the dead daemon's step,
-	// should it still be on its way, is barred.
-	It("runs again what surely never began", Label("failure:daemon-dies-mid-stream"), func() {
-		w := steady(2)
-		a := w.submit(w.nodes[0], "k", "x", 0, time.Minute)
-		w.calls(fateOK)
-		w.nodes[0].dead = true
-		late := w.steps
-		w.steps = nil
-		w.choose = func(n int, _ string) int { return n - 1 }
-		b := w.submit(w.nodes[1], "k", "x", 1, time.Minute)
-		w.settle()
-		w.steps = late
-		w.settle()
-		Expect(w.began[b]).To(Equal(1))
-		Expect(w.began[a]).To(BeZero())
+	// A daemon dies between claim and dispatch. The engine has not restarted and
+	// reports that nothing started, so the repeat runs. A delayed step of the dead
+	// daemon is refused.
+	It("runs the work again if it provably never started", Label("failure:daemon-dies-mid-stream"), func() {
+		sim := newAccurateSimulation(2)
+		a := sim.submit(sim.nodes[0], "k", "x", 0, time.Minute)
+		sim.finishCalls(outcomeOK)
+		sim.nodes[0].dead = true
+		late := sim.firstSteps
+		sim.firstSteps = nil
+		sim.pick = func(n int, _ string) int { return n - 1 }
+		b := sim.submit(sim.nodes[1], "k", "x", 1, time.Minute)
+		sim.finishAll()
+		sim.firstSteps = late
+		sim.finishAll()
+		Expect(sim.started[b]).To(Equal(1))
+		Expect(sim.started[a]).To(BeZero())
 	})
 
-	// A daemon is paused just as its claim is granted. Meanwhile the request
-	// is taken over and runs elsewhere. When the paused one wakes it
-	// dispatches, is barred, and finds that it was overtaken.
+	// A daemon is paused when its claim is committed. Meanwhile the request is
+	// taken over and runs elsewhere. After the pause the first daemon dispatches,
+	// the engine refuses the step, and the daemon detects that it was overtaken.
 	It("does not run what was taken over during a pause", Label("failure:stale-holder-acts"), func() {
-		w := steady(2)
-		a := w.submit(w.nodes[0], "k", "x", 0, time.Minute)
-		home := w.nodes[0].home
+		sim := newAccurateSimulation(2)
+		a := sim.submit(sim.nodes[0], "k", "x", 0, time.Minute)
+		home := sim.nodes[0].batcher
 		Expect(home.Pending()).To(Equal(1))
-		w.deliverCall(w.lastReal(), fateOK)
-		late := w.steps
-		w.steps = nil
-		w.nodes[0].paused, w.nodes[1].honest = true, false
-		w.nodes[1].lie = func() bool { return false } // believes that d0 is dead
-		w.choose = func(n int, _ string) int { return n - 1 }
-		b := w.submit(w.nodes[1], "k", "x", 1, time.Minute)
+		sim.finishCall(sim.nextStoreCall(), outcomeOK)
+		late := sim.firstSteps
+		sim.firstSteps = nil
+		sim.nodes[0].paused, sim.nodes[1].accurateView = true, false
+		sim.nodes[1].wrongView = func() bool { return false } // d1 takes d0 for dead
+		sim.pick = func(n int, _ string) int { return n - 1 }
+		b := sim.submit(sim.nodes[1], "k", "x", 1, time.Minute)
 		for range 20 {
-			w.calls(fateOK)
-			for len(w.asks) > 0 {
-				w.deliverAsk(0, true)
+			sim.finishCalls(outcomeOK)
+			for len(sim.queries) > 0 {
+				sim.answerQuery(0, true)
 			}
-			for len(w.steps) > 0 {
-				w.deliverStep(0, false)
+			for len(sim.firstSteps) > 0 {
+				sim.deliverFirstStep(0, false)
 			}
-			w.advance(100 * time.Millisecond)
+			sim.advance(100 * time.Millisecond)
 		}
-		Expect(w.began[b]).To(Equal(1))
-		w.wake(w.nodes[0])
-		w.steps = late
-		w.settle()
-		Expect(w.began[a]).To(BeZero())
-		Expect(w.last(a)).NotTo(Equal(claims.VerdictNotRun))
+		Expect(sim.started[b]).To(Equal(1))
+		sim.resume(sim.nodes[0])
+		sim.firstSteps = late
+		sim.finishAll()
+		Expect(sim.started[a]).To(BeZero())
+		Expect(sim.lastVerdict(a)).NotTo(Equal(claims.VerdictNotRun))
 	})
 })
--- a/coordination/claims/flight.go
+++ b/coordination/claims/flight.go
@@ -7,213 +7,216 @@
 	"github.com/hibiscuswick/hibiscuswick/coordination/store"
 )
 
-// fill sends transactions while the store has room.
-func (b *Batcher) fill() {
-	for b.underWay() < b.cfg.MaxInFlight {
-		items := b.take()
-		if len(items) == 0 {
+// sendBatches sends transactions while fewer than MaxInFlight are in flight.
+func (b *Batcher) sendBatches() {
+	for b.inFlight() < b.cfg.MaxInFlight {
+		writes := b.nextBatch()
+		if len(writes) == 0 {
 			return
 		}
-		b.commit(items, false)
+		b.commit(writes, false)
 	}
 }
 
-func (b *Batcher) underWay() int {
+func (b *Batcher) inFlight() int {
 	n := 0
-	for _, f := range b.flights {
-		if !f.half && !f.read {
+	for _, c := range b.calls {
+		if !c.splitHalf && !c.read {
 			n++
 		}
 	}
 	return n
 }
 
-// take picks the next batch: urgent writes first; lazy ones ride along, or go
-// alone once the oldest has waited long enough.
-func (b *Batcher) take() []*item {
+// nextBatch removes the next batch from the queues. Lazy writes fill up a batch of
+// urgent ones; they make a batch of their own once the oldest has waited for
+// MaxLazyDelay.
+func (b *Batcher) nextBatch() []*write {
 	n := min(len(b.urgent), b.cfg.MaxRows)
-	items := b.urgent[:n:n]
+	writes := b.urgent[:n:n]
 	b.urgent = b.urgent[n:]
-	if n == 0 && (len(b.lazy) == 0 || b.now.Before(b.lazy[0].at.Add(b.cfg.MaxLazyDelay))) {
+	if n == 0 && (len(b.lazy) == 0 || b.now.Before(b.lazy[0].receivedAt.Add(b.cfg.MaxLazyDelay))) {
 		return nil
 	}
 	m := min(len(b.lazy), b.cfg.MaxRows-n)
-	items = append(items, b.lazy[:m]...)
+	writes = append(writes, b.lazy[:m]...)
 	b.lazy = b.lazy[m:]
-	return items
+	return writes
 }
 
-func (b *Batcher) commit(items []*item, half bool) {
+func (b *Batcher) commit(writes []*write, splitHalf bool) {
 	var txn store.Txn
-	for _, it := range items {
-		txn.Conditions = append(txn.Conditions, store.Condition{Table: Table, Key: it.req.Key, Revision: it.req.Base})
-		txn.Writes = append(txn.Writes, store.Write{Table: Table, Key: it.req.Key, Value: it.req.Value})
+	for _, w := range writes {
+		txn.Conditions = append(txn.Conditions, store.Condition{Table: Table, Key: w.req.Key, Revision: w.req.Base})
+		txn.Writes = append(txn.Writes, store.Write{Table: Table, Key: w.req.Key, Value: w.req.Value})
 	}
-	b.send(&flight{items: items, txn: txn, half: half}, store.Commit{Txn: txn})
+	b.send(&storeCall{writes: writes, txn: txn, splitHalf: splitHalf}, store.Commit{Txn: txn})
 }
 
-func (b *Batcher) send(f *flight, req store.Request) {
-	b.last++
-	b.flights[b.last] = f
-	b.order = append(b.order, b.last)
-	f.retryAt = time.Time{}
-	if f.read {
+func (b *Batcher) send(c *storeCall, req store.Request) {
+	b.lastCall++
+	b.calls[b.lastCall] = c
+	b.callIDs = append(b.callIDs, b.lastCall)
+	c.retryAt = time.Time{}
+	if c.read {
 		b.stats.Reads++
 	} else {
 		b.stats.Txns++
-		b.stats.Rows += len(f.items)
+		b.stats.Rows += len(c.writes)
 	}
-	b.out = append(b.out, CallStore{Call: store.Call{ID: b.last, Class: store.ClassClaim, Request: req}})
+	b.out = append(b.out, CallStore{Call: store.Call{ID: b.lastCall, Class: store.ClassClaim, Request: req}})
 }
 
-func (b *Batcher) answered(res store.Result) {
-	f, ok := b.flights[res.Call]
-	if !ok || !f.retryAt.IsZero() {
+func (b *Batcher) storeResult(res store.Result) {
+	c, ok := b.calls[res.Call]
+	if !ok || !c.retryAt.IsZero() {
 		return
 	}
-	if f.read {
-		b.drop(res.Call)
-		b.didRead(f.items[0], res)
+	if c.read {
+		b.removeCall(res.Call)
+		b.readDone(c.writes[0], res)
 		return
 	}
 	switch res.Status {
 	case store.Done:
-		b.drop(res.Call)
-		b.done(f, res)
+		b.removeCall(res.Call)
+		b.batchCommitted(c, res)
 	case store.Conflict:
-		b.drop(res.Call)
-		b.conflict(f)
+		b.removeCall(res.Call)
+		b.batchConflicted(c)
 	case store.NotSent:
-		b.again(res.Call, f)
+		b.scheduleRetry(res.Call, c)
 	case store.Unanswered:
-		// All or nothing: the same transaction sent again either lands, or
-		// conflicts because it (or another) did, and then the rows tell.
-		for _, it := range f.items {
-			it.maySent = true
+		// Transactions are atomic: the same transaction sent again is either
+		// committed, or conflicts because it or another one was committed before.
+		// Reading the rows then shows which.
+		for _, w := range c.writes {
+			w.mayHaveCommitted = true
 		}
-		b.again(res.Call, f)
+		b.scheduleRetry(res.Call, c)
 	}
 }
 
-func (b *Batcher) drop(id store.CallID) {
-	delete(b.flights, id)
-	for i, o := range b.order {
+func (b *Batcher) removeCall(id store.CallID) {
+	delete(b.calls, id)
+	for i, o := range b.callIDs {
 		if o == id {
-			b.order = append(b.order[:i], b.order[i+1:]...)
+			b.callIDs = append(b.callIDs[:i], b.callIDs[i+1:]...)
 			return
 		}
 	}
 }
 
-func (b *Batcher) done(f *flight, res store.Result) {
-	for i, it := range f.items {
+func (b *Batcher) batchCommitted(c *storeCall, res store.Result) {
+	for i, w := range c.writes {
 		if i < len(res.Rows) {
-			b.finish(it, store.Done, &res.Rows[i])
+			b.finish(w, store.Done, &res.Rows[i])
 			continue
 		}
-		b.finish(it, store.Unanswered, nil)
+		b.finish(w, store.Unanswered, nil)
 	}
 }
 
-// conflict narrows down which row conflicted. Nothing was written.
-func (b *Batcher) conflict(f *flight) {
+// batchConflicted finds out which row conflicted. Nothing was written.
+func (b *Batcher) batchConflicted(c *storeCall) {
 	b.stats.Conflicts++
-	if len(f.items) > b.cfg.ReadThreshold {
-		mid := len(f.items) / 2
-		b.commit(f.items[:mid:mid], true)
-		b.commit(f.items[mid:], true)
+	if len(c.writes) > b.cfg.ReadThreshold {
+		mid := len(c.writes) / 2
+		b.commit(c.writes[:mid:mid], true)
+		b.commit(c.writes[mid:], true)
 		return
 	}
-	for _, it := range f.items {
-		b.send(&flight{items: []*item{it}, read: true}, store.Get{Table: Table, Key: it.req.Key})
+	for _, w := range c.writes {
+		b.send(&storeCall{writes: []*write{w}, read: true}, store.Get{Table: Table, Key: w.req.Key})
 	}
 }
 
-func (b *Batcher) didRead(it *item, res store.Result) {
+func (b *Batcher) readDone(w *write, res store.Result) {
 	if res.Status != store.Done {
-		b.finish(it, b.unanswered(it), nil)
+		b.finish(w, b.failureStatus(w), nil)
 		return
 	}
 	row, ok := res.Row()
 	switch {
-	case ok && row.Revision != it.req.Base && bytes.Equal(row.Value, it.req.Value):
-		b.finish(it, store.Done, &row) // a lost transaction had landed
-	case !ok && it.req.Base == 0, ok && row.Revision == it.req.Base:
-		b.requeue(it) // another row of the batch conflicted
+	case ok && row.Revision != w.req.Base && bytes.Equal(row.Value, w.req.Value):
+		b.finish(w, store.Done, &row) // a transaction without an answer was committed
+	case !ok && w.req.Base == 0, ok && row.Revision == w.req.Base:
+		b.requeue(w) // another row of the batch conflicted
 	case ok:
-		b.finish(it, store.Conflict, &row)
+		b.finish(w, store.Conflict, &row)
 	default:
-		b.finish(it, store.Conflict, nil)
+		b.finish(w, store.Conflict, nil)
 	}
 }
 
-func (b *Batcher) requeue(it *item) {
-	if !b.now.Before(it.at.Add(b.cfg.WriteTimeout)) {
-		b.finish(it, b.unanswered(it), nil)
+func (b *Batcher) requeue(w *write) {
+	if !b.now.Before(w.receivedAt.Add(b.cfg.WriteTimeout)) {
+		b.finish(w, b.failureStatus(w), nil)
 		return
 	}
-	b.urgent = append([]*item{it}, b.urgent...)
+	b.urgent = append([]*write{w}, b.urgent...)
 }
 
-func (b *Batcher) unanswered(it *item) store.Status {
-	if it.maySent {
+func (b *Batcher) failureStatus(w *write) store.Status {
+	if w.mayHaveCommitted {
 		return store.Unanswered
 	}
 	return store.NotSent
 }
 
-// again waits to send a flight once more, or gives its writes up.
-func (b *Batcher) again(id store.CallID, f *flight) {
-	f.retryAt = b.now.Add(b.cfg.Retry)
-	if f.retryAt.Before(f.items[0].at.Add(b.cfg.WriteTimeout)) {
+// scheduleRetry schedules the transaction to be sent again, or fails its writes if
+// the write timeout would pass before that.
+func (b *Batcher) scheduleRetry(id store.CallID, c *storeCall) {
+	c.retryAt = b.now.Add(b.cfg.Retry)
+	if c.retryAt.Before(c.writes[0].receivedAt.Add(b.cfg.WriteTimeout)) {
 		return
 	}
-	b.drop(id)
-	for _, it := range f.items {
-		b.finish(it, b.unanswered(it), nil)
+	b.removeCall(id)
+	for _, w := range c.writes {
+		b.finish(w, b.failureStatus(w), nil)
 	}
 }
 
-func (b *Batcher) retry() {
-	for _, id := range append([]store.CallID(nil), b.order...) {
-		f := b.flights[id]
-		if f.retryAt.IsZero() || b.now.Before(f.retryAt) {
+func (b *Batcher) sendRetries() {
+	for _, id := range append([]store.CallID(nil), b.callIDs...) {
+		c := b.calls[id]
+		if c.retryAt.IsZero() || b.now.Before(c.retryAt) {
 			continue
 		}
-		b.drop(id)
-		b.send(f, store.Commit{Txn: f.txn})
+		b.removeCall(id)
+		b.send(c, store.Commit{Txn: c.txn})
 	}
 }
 
-// finish answers a write. Where its row is known, writes of the same key that
-// waited conflict with it; otherwise the first of them is tried.
-func (b *Batcher) finish(it *item, status store.Status, row *store.Row) {
-	b.reply(it, status, row)
-	delete(b.byKey, it.req.Key)
+// finish answers a write. If its row is known, the waiting writes of the same key
+// conflict with it; otherwise the first of them is tried.
+func (b *Batcher) finish(w *write, status store.Status, row *store.Row) {
+	b.reply(w, status, row)
+	delete(b.byKey, w.req.Key)
 	if row != nil {
-		b.recent.Add(it.req.Key, seen{row: *row, at: b.now})
+		b.cache.Add(w.req.Key, cachedRow{row: *row, seenAt: b.now})
 	}
-	if len(it.followers) == 0 {
+	if len(w.duplicates) == 0 {
 		return
 	}
 	if row != nil {
-		for _, f := range it.followers {
-			b.reply(f, store.Conflict, row)
+		for _, d := range w.duplicates {
+			b.reply(d, store.Conflict, row)
 		}
 		return
 	}
-	next := it.followers[0]
-	next.followers = it.followers[1:]
-	next.at = b.now
-	b.queue(next)
+	next := w.duplicates[0]
+	next.duplicates = w.duplicates[1:]
+	next.receivedAt = b.now
+	b.enqueue(next)
 }
 
-func (b *Batcher) reply(it *item, status store.Status, row *store.Row) {
-	r := WriteReply{Call: it.req.Call, Status: status}
+func (b *Batcher) reply(w *write, status store.Status, row *store.Row) {
+	r := WriteReply{Call: w.req.Call, Status: status}
 	if row != nil {
 		r.HasRow = true
 		r.Revision = row.Revision
 		r.Value = row.Value
 	}
-	b.out = append(b.out, Reply{To: it.from, Reply: r})
+	b.out = append(b.out, Reply{To: w.from, Reply: r})
 }
--- a/coordination/claims/message.go
+++ b/coordination/claims/message.go
@@ -4,18 +4,17 @@
 	"github.com/hibiscuswick/hibiscuswick/coordination/store"
 )
 
-// WriteRequest asks the key's home daemon for one conditional write of a claim
-// row.
+// WriteRequest asks the key's home daemon for a conditional write of a claim row.
 type WriteRequest struct {
-	Call  uint64 `msgpack:"call"` // the claimant's own number
+	Call  uint64 `msgpack:"call"` // chosen by the claimant
 	Key   string `msgpack:"key"`  // row key
-	Base  uint64 `msgpack:"base"` // revision to hold, 0 for no row
+	Base  uint64 `msgpack:"base"` // required revision of the row, 0 for no row
 	Value []byte `msgpack:"value"`
-	Lazy  bool   `msgpack:"lazy"` // may wait for other writes
+	Lazy  bool   `msgpack:"lazy"` // may be delayed to share a transaction
 }
 
-// WriteReply answers a WriteRequest. Revision and Value are the row as written
-// (store.Done) or as it stands (store.Conflict), where known: HasRow.
+// WriteReply answers a WriteRequest. If HasRow is set, Revision and Value are the
+// row as written (store.Done) or the conflicting row (store.Conflict).
 type WriteReply struct {
 	Call     uint64       `msgpack:"call"`
 	Status   store.Status `msgpack:"status"`
@@ -24,7 +23,8 @@
 	Value    []byte       `msgpack:"value"`
 }
 
-// WriteRequest gives the message for a CallStore with ViaHome.
+// WriteRequest returns the message for a CallStore with ViaHome, or false if the
+// call is not a write.
 func (a CallStore) WriteRequest(call uint64) (WriteRequest, bool) {
 	commit, ok := a.Call.Request.(store.Commit)
 	if !ok {
@@ -40,7 +40,7 @@
 	}, true
 }
 
-// Result gives the answer to the CallStore that the request came from.
+// Result returns the result of the CallStore that the request was made from.
 func (r WriteReply) Result(call store.CallID, key string) store.Result {
 	res := store.Result{Call: call, Status: r.Status}
 	if r.HasRow {
--- a/coordination/claims/suite_test.go
+++ b/coordination/claims/suite_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestClaims(t *testing.T) {
-	// The histories are cheap and the faults many: more than rapid's usual
-	// hundred, unless the command line says otherwise.
+	// A random event sequence runs quickly and there are many kinds of faults, so
+	// run 2000 instead of rapid's default of 100, unless a flag sets the number.
 	if f := flag.Lookup("rapid.checks"); f.Value.String() == f.DefValue {
 		_ = flag.Set("rapid.checks", "2000")
 	}
--- a/coordination/claims/sweep.go
+++ b/coordination/claims/sweep.go
@@ -9,15 +9,15 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// shards is how many pieces the claims table is swept in. At a thousand claims
-// a second and a day's retention one holds about 1300 rows.
-const shards = 1 << 16
+// sweepShards is the number of parts in which the claims table is swept. At 1000
+// claims per second and a retention of a day, one holds about 1300 rows.
+const sweepShards = 1 << 16
 
-// SweepConfig tunes a Sweeper.
+// SweepConfig holds the settings of a Sweeper.
 type SweepConfig struct {
-	// Retention is how long a key is remembered after its last write. A repeat
-	// of the key after it is new work. It is far longer than any clock is off
-	// and any daemon is paused.
+	// Retention is how long a row is kept after its last write. A later repeat of
+	// the key is new work. Retention is far longer than any clock error and any
+	// pause of a daemon.
 	Retention time.Duration
 
 	MaxRows int // deletions in one transaction
@@ -28,108 +28,108 @@
 	return SweepConfig{Retention: 24 * time.Hour, MaxRows: 64}
 }
 
-// Sweeper deletes old claim rows at a key home: each home sweeps its part of
-// the shards, twice in a Retention, by calls of store.ClassLazy. Two homes that
-// sweep one shard only find each other's rows gone.
+// Sweeper deletes expired claim rows at a key home. Each home sweeps its part of
+// the shards twice per Retention, by calls of store.ClassBackground. Two homes may
+// sweep the same shard: one of them then finds rows already deleted.
 type Sweeper struct {
-	cfg   SweepConfig
-	self  state.DaemonID
-	homes []state.DaemonID
-	next  int // shard
-	at    time.Time
-	rows  []store.Row // to delete, of the shard just read
-	call  store.CallID
-	last  store.CallID
-	done  int
+	cfg       SweepConfig
+	self      state.DaemonID
+	homes     []state.DaemonID
+	nextShard int // shard
+	nextScan  time.Time
+	toDelete  []store.Row // the expired rows of the shard read last
+	call      store.CallID
+	lastCall  store.CallID
+	deleted   int
 }
 
-// NewSweeper returns a Sweeper that begins at shard first, so that daemons that
-// are replaced often do not all sweep the same ones.
+// NewSweeper returns a Sweeper that begins at shard first. Different values of
+// first keep daemons that restart often from always sweeping the same shards.
 func NewSweeper(cfg SweepConfig, self state.DaemonID, first uint16) *Sweeper {
-	return &Sweeper{cfg: cfg, self: self, next: int(first)}
+	return &Sweeper{cfg: cfg, self: self, nextShard: int(first)}
 }
 
-// SetHomes tells the key homes; each shard is swept by one of them.
+// SetHomes sets the key homes; each shard is swept by one of them.
 func (s *Sweeper) SetHomes(now time.Time, homes []state.DaemonID) {
 	s.homes = homes
-	if s.at.IsZero() {
-		s.at = now
+	if s.nextScan.IsZero() {
+		s.nextScan = now
 	}
 }
 
 // Deleted counts the rows deleted so far.
 func (s *Sweeper) Deleted() int {
-	return s.done
+	return s.deleted
 }
 
-// NextTick returns when the Sweeper next wants a Tick, zero for never.
+// NextTick returns when the next Tick is due, zero for never.
 func (s *Sweeper) NextTick() time.Time {
 	if s.call != 0 || len(s.homes) == 0 {
 		return time.Time{}
 	}
-	return s.at
+	return s.nextScan
 }
 
 // Tick returns the next call, if one is due.
 func (s *Sweeper) Tick(now time.Time) (store.Call, bool) {
-	if s.call != 0 || now.Before(s.at) {
+	if s.call != 0 || now.Before(s.nextScan) {
 		return store.Call{}, false
 	}
 	return s.advance(now)
 }
 
-// Answered takes the result of a call and returns the next one, if it is due at
-// once.
+// Answered applies the result of a call and returns the next call, if that is due
+// at once.
 func (s *Sweeper) Answered(now time.Time, res store.Result) (store.Call, bool) {
 	if res.Call != s.call {
 		return store.Call{}, false
 	}
 	s.call = 0
-	if res.Status == store.Done && s.rows == nil {
-		s.rows = s.old(now, res.Rows)
+	if res.Status == store.Done && s.toDelete == nil {
+		s.toDelete = s.expired(now, res.Rows)
 		return s.advance(now)
 	}
-	// A deletion: one that conflicted or was lost is left to the next round.
-	n := min(len(s.rows), s.cfg.MaxRows)
+	// A deletion that conflicted or was lost is left to the next sweep.
+	n := min(len(s.toDelete), s.cfg.MaxRows)
 	if res.Status == store.Done {
-		s.done += n
+		s.deleted += n
 	}
-	s.rows = s.rows[n:]
+	s.toDelete = s.toDelete[n:]
 	return s.advance(now)
 }
 
 func (s *Sweeper) advance(now time.Time) (store.Call, bool) {
-	if len(s.rows) > 0 {
-		return s.send(store.Commit{Txn: deletion(s.rows[:min(len(s.rows), s.cfg.MaxRows)])}), true
+	if len(s.toDelete) > 0 {
+		return s.send(store.Commit{Txn: deletion(s.toDelete[:min(len(s.toDelete), s.cfg.MaxRows)])}), true
 	}
-	s.rows = nil
-	if now.Before(s.at) {
+	s.toDelete = nil
+	if now.Before(s.nextScan) {
 		return store.Call{}, false
 	}
-	for range shards {
-		shard := uint16(s.next)
-		s.next = (s.next + 1) % shards
+	for range sweepShards {
+		shard := uint16(s.nextShard)
+		s.nextShard = (s.nextShard + 1) % sweepShards
 		owner, ok := rendezvous.Owner(strconv.Itoa(int(shard)), s.homes)
 		if !ok {
 			return store.Call{}, false
 		}
 		if owner == s.self {
-			s.at = now.Add(s.cfg.Retention / 2 * time.Duration(len(s.homes)) / shards)
+			s.nextScan = now.Add(s.cfg.Retention / 2 * time.Duration(len(s.homes)) / sweepShards)
 			return s.send(store.Scan{Table: Table, Prefix: shardPrefix(shard)}), true
 		}
 	}
-	s.at = now.Add(time.Minute) // not a key home
+	s.nextScan = now.Add(time.Minute) // not a key home
 	return store.Call{}, false
 }
 
 func (s *Sweeper) send(req store.Request) store.Call {
-	s.last++
-	s.call = s.last
+	s.lastCall++
+	s.call = s.lastCall
 	return store.Call{ID: s.call, Class: store.ClassBackground, Request: req}
 }
 
-// old picks the rows whose last write is past the retention.
-func (s *Sweeper) old(now time.Time, rows []store.Row) []store.Row {
+// expired returns the rows whose last write is older than the retention.
+func (s *Sweeper) expired(now time.Time, rows []store.Row) []store.Row {
 	oldest := now.Add(-s.cfg.Retention).Unix()
 	var old []store.Row
 	for _, row := range rows {
--- a/coordination/claims/sweep_test.go
+++ b/coordination/claims/sweep_test.go
@@ -13,8 +13,8 @@
 )
 
 var _ = Describe("The sweep", func() {
-	It("deletes old rows, each by one home, and keeps young ones", func() {
-		s := &table{rows: map[string]store.Row{}}
+	It("deletes expired rows, each by one home, and keeps recent ones", func() {
+		s := &fakeStore{rows: map[string]store.Row{}}
 		now := time.Unix(10_000_000, 0)
 		put := func(n int, at time.Time) {
 			k := claims.Key{Service: "a/b", Customer: "c", Key: state.IdempotencyKey(fmt.Sprint(n))}
@@ -26,7 +26,7 @@
 		}
 		homes := []state.DaemonID{"d0", "d1"}
 		deleted := 0
-		var most time.Time
+		var lastScan time.Time
 		for _, id := range homes {
 			sw := claims.NewSweeper(claims.DefaultSweepConfig(), id, 7)
 			sw.SetHomes(now, homes)
@@ -35,16 +35,16 @@
 				call, ok := sw.Tick(at)
 				for ok {
 					Expect(call.Class).To(Equal(store.ClassBackground))
-					res := s.serve(call.Request, fateOK)
+					res := s.serve(call.Request, outcomeOK)
 					res.Call = call.ID
 					call, ok = sw.Answered(at, res)
 				}
 				at = sw.NextTick()
 			}
 			deleted += sw.Deleted()
-			most = at
+			lastScan = at
 		}
-		Expect(most).To(BeTemporally(">", now.Add(12*time.Hour)))
+		Expect(lastScan).To(BeTemporally(">", now.Add(12*time.Hour)))
 		Expect(deleted).To(Equal(500))
 		Expect(s.rows).To(HaveLen(500))
 	})
--- a/coordination/claims/timers.go
+++ b/coordination/claims/timers.go
@@ -6,8 +6,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// timers applies the deadline and the grace of a claim that was given up.
-func (c *Claim) timers() {
+// checkTimers applies the deadline, the settle timeout and the retry time.
+func (c *Claim) checkTimers() {
 	if c.awaitsDispatch() && !c.now.Before(c.req.Deadline) {
 		reason := state.ReasonDeadline
 		if !c.isConfirmed {
@@ -19,9 +19,9 @@
 		c.unsettled = true
 		c.verdict(VerdictUnsettled, Record{})
 	}
-	if !c.wakeAt.IsZero() && !c.now.Before(c.wakeAt) {
-		c.wakeAt = time.Time{}
-		if c.mode == modeAsking {
+	if !c.retryAt.IsZero() && !c.now.Before(c.retryAt) {
+		c.retryAt = time.Time{}
+		if c.mode == modeQuerying {
 			c.out = append(c.out, QueryAttempt{Record: c.target})
 			return
 		}
@@ -30,7 +30,7 @@
 }
 
 func (c *Claim) awaitsDispatch() bool {
-	if c.mode == modeAsking {
+	if c.mode == modeQuerying {
 		return true
 	}
 	return c.mode == modeWriting && (c.intent == intentClaim || c.intent == intentTakeover)
@@ -42,16 +42,16 @@
 
 func (c *Claim) dispatch() {
 	if !c.now.Before(c.req.Deadline) {
-		return // timers gives up
+		return // checkTimers gives the claim up
 	}
-	c.mode = modeHeld
+	c.mode = modeOwned
 	c.dispatched = true
-	c.clean = false
+	c.notRunProven = false
 	c.out = append(c.out, Dispatch{Record: c.target})
 }
 
 func (c *Claim) verdict(kind VerdictKind, rec Record) {
-	c.out = append(c.out, Verdict{Kind: kind, Reason: c.gaveUp, Record: rec, KeyChecked: c.checked})
+	c.out = append(c.out, Verdict{Kind: kind, Reason: c.giveUpReason, Record: rec, KeyChecked: c.keyChecked})
 }
 
 func (c *Claim) finish(kind VerdictKind, rec Record) {
@@ -61,6 +61,6 @@
 
 func (c *Claim) release(recorded bool) {
 	c.mode = modeReleased
-	c.wakeAt = time.Time{}
+	c.retryAt = time.Time{}
 	c.out = append(c.out, Released{Recorded: recorded})
 }
--- a/coordination/claims/world_test.go
+++ b/coordination/claims/world_test.go
@@ -11,233 +11,236 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// server is one backend server. One with a boot remembers attempts and bars
-// until it restarts; one without is a plain service that can't be asked.
-type server struct {
-	boot string
-	bars map[string]state.Epoch
-	held map[string]bool
+// backend is one backend server. One with a boot id keeps its attempts and minimum
+// epochs until it restarts; one without is a plain service that can't be queried.
+type backend struct {
+	bootID    string
+	minEpochs map[string]state.Epoch
+	attempts  map[string]bool
 }
 
-// step is a first step on its way to a server.
-type step struct {
-	owner *node
-	claim *kept
-	rec   claims.Record
+// firstStep is the first step of an attempt in flight to a server, or a query
+// about that attempt.
+type firstStep struct {
+	owner  *node
+	claim  *trackedClaim
+	record claims.Record
 }
 
-// kept is one claim at a daemon with what its daemon knows of it.
-type kept struct {
+// trackedClaim is a claim with the state that its daemon keeps for it.
+type trackedClaim struct {
 	*claims.Claim
-	nonce      state.Nonce
-	dispatches *state.Dispatches
-	sent       bool
-	continued  bool
-	doomed     bool // its outcome is on the way
+	nonce       state.Nonce
+	dispatches  *state.Dispatches
+	dispatched  bool
+	tookOver    bool
+	outcomeSent bool // its outcome was sent
 }
 
 // node is one daemon.
 type node struct {
-	w      *world
-	member state.Member
-	paused bool
-	dead   bool
-	claims []*kept
-	inbox  []func()
-	home   *claims.Batcher
-	honest bool // Owns tells the truth
-	lie    func() bool
-}
-
-// Owns is the daemon's belief about other daemons, which may be wrong.
+	sim          *simulation
+	member       state.Member
+	paused       bool
+	dead         bool
+	claims       []*trackedClaim
+	inbox        []func()
+	batcher      *claims.Batcher
+	accurateView bool // Owns is correct
+	wrongView    func() bool
+}
+
+// Owns is the daemon's view of other daemons, which may be wrong.
 func (n *node) Owns(rec claims.Record) bool {
-	if !n.honest {
-		return n.lie()
+	if !n.accurateView {
+		return n.wrongView()
 	}
-	for _, o := range n.w.nodes {
+	for _, o := range n.sim.nodes {
 		if o.member == rec.Owner && !o.dead {
-			return slices.ContainsFunc(o.claims, func(k *kept) bool { return k.nonce == rec.Nonce && !k.Released() })
+			return slices.ContainsFunc(o.claims, func(k *trackedClaim) bool { return k.nonce == rec.Nonce && !k.Released() })
 		}
 	}
 	return false
 }
 
-// airCall is a store call under way.
-type airCall struct {
+// storeCall is a store call in flight. Without a request it is the claimant's
+// timeout of a write sent through a home.
+type storeCall struct {
 	from  *node
 	req   store.Request
 	reply func(store.Result)
 }
 
-// world runs several daemons, a store and backend servers in virtual time. All
-// choices come from choose, so that a history can be shrunk.
-type world struct {
-	now      time.Time
-	store    *table
-	nodes    []*node
-	servers  map[state.ReplicaID]*server
-	air      []airCall
-	steps    []step
-	asks     []step
-	began    map[state.RequestID]int // executions begun, by request
-	total    int
-	verdicts map[state.RequestID][]claims.Verdict
-	nonces   int
-	choose   func(n int, what string) int
-}
-
-func newWorld(choose func(int, string) int) *world {
-	w := &world{
+// simulation runs several daemons, a store and backend servers in virtual time.
+// All random choices come from pick, so that rapid can shrink an event sequence.
+type simulation struct {
+	now        time.Time
+	store      *fakeStore
+	nodes      []*node
+	servers    map[state.ReplicaID]*backend
+	storeCalls []storeCall
+	firstSteps []firstStep
+	queries    []firstStep
+	started    map[state.RequestID]int // executions started, by request
+	executions int
+	verdicts   map[state.RequestID][]claims.Verdict
+	nonces     int
+	pick       func(n int, what string) int
+}
+
+func newSimulation(choose func(int, string) int) *simulation {
+	sim := &simulation{
 		now:      time.Unix(1_000_000, 0),
-		store:    &table{rows: map[string]store.Row{}},
-		servers:  map[state.ReplicaID]*server{},
-		began:    map[state.RequestID]int{},
+		store:    &fakeStore{rows: map[string]store.Row{}},
+		servers:  map[state.ReplicaID]*backend{},
+		started:  map[state.RequestID]int{},
 		verdicts: map[state.RequestID][]claims.Verdict{},
-		choose:   choose,
+		pick:     choose,
 	}
 	for i, boot := range []string{"boot-0", "boot-1", ""} {
-		w.servers[replica(i)] = &server{boot: boot, bars: map[string]state.Epoch{}, held: map[string]bool{}}
+		sim.servers[replica(i)] = &backend{bootID: boot, minEpochs: map[string]state.Epoch{}, attempts: map[string]bool{}}
 	}
-	return w
+	return sim
 }
 
 func replica(i int) state.ReplicaID {
 	return state.ReplicaID(fmt.Sprintf("r%d", i))
 }
 
-func (w *world) addNode(id string, inc state.Incarnation) *node {
+func (sim *simulation) addNode(id string, inc state.Incarnation) *node {
 	n := &node{
-		w:      w,
-		member: state.Member{ID: state.DaemonID(id), Incarnation: inc},
-		home:   claims.NewBatcher(claims.DefaultBatchConfig()),
+		sim:     sim,
+		member:  state.Member{ID: state.DaemonID(id), Incarnation: inc},
+		batcher: claims.NewBatcher(claims.DefaultBatchConfig()),
 	}
-	n.lie = func() bool { return w.choose(2, "owns") == 1 }
-	w.nodes = append(w.nodes, n)
+	n.wrongView = func() bool { return sim.pick(2, "owns") == 1 }
+	sim.nodes = append(sim.nodes, n)
 	return n
 }
 
-func (w *world) slot(i int, n int) claims.Slot {
+func (sim *simulation) slot(i int, n int) claims.Slot {
 	return claims.Slot{
 		Attempt:  state.Attempt(0).Next(uint32(n)),
 		Replica:  replica(i),
-		Backends: []claims.Backend{{ID: state.BackendID(replica(i)), BootID: w.servers[replica(i)].boot}},
+		Backends: []claims.Backend{{ID: state.BackendID(replica(i)), BootID: sim.servers[replica(i)].bootID}},
 	}
 }
 
-// submit sends a request under key to a daemon. A claim there that was given
-// up and is not voided yet is reused.
-func (w *world) submit(n *node, key, content string, slot int, deadline time.Duration) state.RequestID {
-	w.nonces++
-	id := state.RequestID(fmt.Sprintf("q%d", w.nonces))
-	s := w.slot(slot, w.nonces)
+// submit sends a request with the given key to a daemon. It reuses a claim there
+// that was given up and is not voided yet.
+func (sim *simulation) submit(n *node, key, content string, slot int, deadline time.Duration) state.RequestID {
+	sim.nonces++
+	id := state.RequestID(fmt.Sprintf("q%d", sim.nonces))
+	s := sim.slot(slot, sim.nonces)
 	k := claims.Key{Service: "s", Customer: "c", Key: state.IdempotencyKey(key)}
 	for _, old := range n.claims {
 		if old.Reusable() && old.Key() == k && old.Request().Content == content {
-			w.step(n, old, claims.Reuse{Request: id, Slot: s, Deadline: w.now.Add(deadline)})
+			sim.step(n, old, claims.Reuse{Request: id, Slot: s, Deadline: sim.now.Add(deadline)})
 			return id
 		}
 	}
-	kc := &kept{nonce: state.Nonce(fmt.Sprintf("n%d", w.nonces)), dispatches: state.NewDispatches()}
+	kc := &trackedClaim{nonce: state.Nonce(fmt.Sprintf("n%d", sim.nonces)), dispatches: state.NewDispatches()}
 	kc.Claim = claims.New(claims.DefaultConfig(), rand.New(rand.NewPCG(1, 2)), n, claims.Request{
 		Key: k, Content: content, ID: id, Owner: n.member, Nonce: kc.nonce,
-		Deadline: w.now.Add(deadline), OwnerNumber: uint32(w.nonces),
+		Deadline: sim.now.Add(deadline), OwnerNumber: uint32(sim.nonces),
 	})
 	n.claims = append(n.claims, kc)
-	w.step(n, kc, claims.Start{Slot: s})
+	sim.step(n, kc, claims.Start{Slot: s})
 	return id
 }
 
-func (w *world) step(n *node, k *kept, ev claims.Event) {
+func (sim *simulation) step(n *node, k *trackedClaim, ev claims.Event) {
 	if n.dead {
 		return
 	}
 	if n.paused {
-		n.inbox = append(n.inbox, func() { w.step(n, k, ev) })
+		n.inbox = append(n.inbox, func() { sim.step(n, k, ev) })
 		return
 	}
-	for _, a := range k.Step(w.now, ev) {
-		w.act(n, k, a)
+	for _, a := range k.Step(sim.now, ev) {
+		sim.execute(n, k, a)
 	}
 }
 
-func (w *world) act(n *node, k *kept, a claims.Action) {
+func (sim *simulation) execute(n *node, k *trackedClaim, a claims.Action) {
 	switch a := a.(type) {
 	case claims.CallStore:
 		if a.ViaHome {
-			w.viaHome(n, k, a)
+			sim.viaHome(n, k, a)
 			return
 		}
-		w.air = append(w.air, airCall{n, a.Call.Request, func(res store.Result) {
+		sim.storeCalls = append(sim.storeCalls, storeCall{n, a.Call.Request, func(res store.Result) {
 			res.Call = a.Call.ID
-			w.step(n, k, claims.StoreResult{Result: res})
+			sim.step(n, k, claims.StoreResult{Result: res})
 		}})
 	case claims.Dispatch:
-		k.sent = true
+		k.dispatched = true
 		k.dispatches.Sent(a.Record.Slot.Attempt)
-		w.steps = append(w.steps, step{n, k, a.Record})
+		sim.firstSteps = append(sim.firstSteps, firstStep{n, k, a.Record})
 	case claims.Continue:
-		k.sent = true
-		k.continued = true
+		k.dispatched = true
+		k.tookOver = true
 	case claims.QueryAttempt:
-		w.asks = append(w.asks, step{n, k, a.Record})
+		sim.queries = append(sim.queries, firstStep{n, k, a.Record})
 	case claims.Verdict:
 		id := k.Request().ID
-		w.verdicts[id] = append(w.verdicts[id], a)
+		sim.verdicts[id] = append(sim.verdicts[id], a)
 	}
 }
 
-// viaHome sends a write through a daemon that takes itself for the key's home;
-// daemons need not agree on it.
-func (w *world) viaHome(n *node, k *kept, a claims.CallStore) {
-	home := w.nodes[w.choose(len(w.nodes), "home")]
+// viaHome sends a write through a random daemon as the key's home: daemons may
+// disagree about it.
+func (sim *simulation) viaHome(n *node, k *trackedClaim, a claims.CallStore) {
+	home := sim.nodes[sim.pick(len(sim.nodes), "home")]
 	req, _ := a.WriteRequest(uint64(a.Call.ID))
 	if home.dead || home.paused {
-		w.step(n, k, claims.StoreResult{Result: store.Result{Call: a.Call.ID, Status: store.NotSent}})
+		sim.step(n, k, claims.StoreResult{Result: store.Result{Call: a.Call.ID, Status: store.NotSent}})
 		return
 	}
-	// The claimant's own timeout: the reply may come after it, and is ignored.
-	w.air = append(w.air, airCall{n, nil, func(store.Result) {
-		w.step(n, k, claims.StoreResult{Result: store.Result{Call: a.Call.ID}})
+	// The claimant's own timeout. A reply that arrives later is ignored.
+	sim.storeCalls = append(sim.storeCalls, storeCall{n, nil, func(store.Result) {
+		sim.step(n, k, claims.StoreResult{Result: store.Result{Call: a.Call.ID}})
 	}})
 	replies[replyKey{home, n, k, uint64(a.Call.ID)}] = func(r claims.WriteReply) {
-		w.step(n, k, claims.StoreResult{Result: r.Result(a.Call.ID, req.Key)})
+		sim.step(n, k, claims.StoreResult{Result: r.Result(a.Call.ID, req.Key)})
 	}
-	w.stepHome(home, claims.WriteRequested{From: memberOf(n, k), Request: req})
+	sim.stepHome(home, claims.WriteRequested{From: memberOf(n, k), Request: req})
 }
 
-// replyKey routes a Reply back; memberOf makes the claimant unique by claim.
+// replyKey identifies the claim that waits for a Reply. memberOf gives each claim
+// a member of its own.
 type replyKey struct {
 	home *node
 	n    *node
-	k    *kept
+	k    *trackedClaim
 	call uint64
 }
 
 var replies = map[replyKey]func(claims.WriteReply){}
 
-func memberOf(n *node, k *kept) state.Member {
+func memberOf(n *node, k *trackedClaim) state.Member {
 	return state.Member{ID: state.DaemonID(k.nonce), Incarnation: n.member.Incarnation}
 }
 
-func (w *world) stepHome(home *node, ev claims.BatchEvent) {
+func (sim *simulation) stepHome(home *node, ev claims.BatchEvent) {
 	if home.dead {
 		return
 	}
-	for _, a := range home.home.Step(w.now, ev) {
+	for _, a := range home.batcher.Step(sim.now, ev) {
 		switch a := a.(type) {
 		case claims.CallStore:
-			w.air = append(w.air, airCall{home, a.Call.Request, func(res store.Result) {
+			sim.storeCalls = append(sim.storeCalls, storeCall{home, a.Call.Request, func(res store.Result) {
 				res.Call = a.Call.ID
-				w.stepHome(home, claims.StoreResult{Result: res})
+				sim.stepHome(home, claims.StoreResult{Result: res})
 			}})
 		case claims.Reply:
-			w.route(home, a)
+			sim.deliverReply(home, a)
 		}
 	}
 }
 
-func (w *world) route(home *node, a claims.Reply) {
-	for _, n := range w.nodes {
+func (sim *simulation) deliverReply(home *node, a claims.Reply) {
+	for _, n := range sim.nodes {
 		for _, k := range n.claims {
 			if memberOf(n, k) == a.To {
 				if f := replies[replyKey{home, n, k, a.Reply.Call}]; f != nil {
--- a/coordination/claims/worldsteps_test.go
+++ b/coordination/claims/worldsteps_test.go
@@ -10,95 +10,96 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// deliverCall ends a store call, or the wait for a home's reply.
-func (w *world) deliverCall(i int, f fate) {
-	c := w.air[i]
-	w.air = slices.Delete(w.air, i, i+1)
+// finishCall ends a store call, or times out the wait for a home's reply.
+func (sim *simulation) finishCall(i int, f outcome) {
+	c := sim.storeCalls[i]
+	sim.storeCalls = slices.Delete(sim.storeCalls, i, i+1)
 	if c.req == nil {
 		c.reply(store.Result{})
 		return
 	}
-	c.reply(w.store.serve(c.req, f))
+	c.reply(sim.store.serve(c.req, f))
 }
 
-func (w *world) landLate(i int) {
-	txn := w.store.late[i]
-	w.store.late = slices.Delete(w.store.late, i, i+1)
-	w.store.commit(txn)
+func (sim *simulation) commitLate(i int) {
+	txn := sim.store.lateTxns[i]
+	sim.store.lateTxns = slices.Delete(sim.store.lateTxns, i, i+1)
+	sim.store.commit(txn)
 }
 
 func attemptKey(rec claims.Record) string {
 	return fmt.Sprintf("%s/%d", rec.Request, rec.Slot.Attempt)
 }
 
-// deliverStep lets a first step reach its server, or refuses the connection.
-func (w *world) deliverStep(i int, refused bool) {
-	s := w.steps[i]
-	w.steps = slices.Delete(w.steps, i, i+1)
-	srv := w.servers[s.rec.Slot.Replica]
-	boot := s.rec.Slot.Backends[0].BootID
-	key := attemptKey(s.rec)
-	barred := srv.bars[key] > s.rec.Epoch || (boot != "" && boot != srv.boot)
-	if refused || barred {
-		w.unstarted(s)
+// deliverFirstStep delivers a first step to its server, or refuses the connection.
+func (sim *simulation) deliverFirstStep(i int, refused bool) {
+	s := sim.firstSteps[i]
+	sim.firstSteps = slices.Delete(sim.firstSteps, i, i+1)
+	srv := sim.servers[s.record.Slot.Replica]
+	boot := s.record.Slot.Backends[0].BootID
+	key := attemptKey(s.record)
+	fenced := srv.minEpochs[key] > s.record.Epoch || (boot != "" && boot != srv.bootID)
+	if refused || fenced {
+		sim.handleNotStarted(s)
 		return
 	}
-	srv.held[key] = true
-	w.began[s.rec.Request]++
-	w.total++
-	s.claim.doomed = true
-	w.step(s.owner, s.claim, claims.Ended{Phase: claims.PhaseDone, Digest: "d"})
+	srv.attempts[key] = true
+	sim.started[s.record.Request]++
+	sim.executions++
+	s.claim.outcomeSent = true
+	sim.step(s.owner, s.claim, claims.Ended{Phase: claims.PhaseDone, Digest: "d"})
 }
 
-// unstarted has the owner move the request to another slot or give it up.
-func (w *world) unstarted(s step) {
-	s.claim.dispatches.Unstarted(s.rec.Slot.Attempt)
+// handleNotStarted makes the owner dispatch the request in another slot or give it
+// up.
+func (sim *simulation) handleNotStarted(s firstStep) {
+	s.claim.dispatches.Unstarted(s.record.Slot.Attempt)
 	proof, _ := s.claim.dispatches.NotRun()
-	if w.choose(2, "move") == 1 {
-		w.nonces++
-		w.step(s.owner, s.claim, claims.Redispatch{Slot: w.slot(w.choose(3, "slot"), w.nonces), Proof: proof})
+	if sim.pick(2, "move") == 1 {
+		sim.nonces++
+		sim.step(s.owner, s.claim, claims.Redispatch{Slot: sim.slot(sim.pick(3, "slot"), sim.nonces), Proof: proof})
 		return
 	}
-	w.step(s.owner, s.claim, claims.GiveUp{Reason: state.ReasonNoReplica, Proof: proof})
+	sim.step(s.owner, s.claim, claims.GiveUp{Reason: state.ReasonNoReplica, Proof: proof})
 }
 
-// deliverAsk answers a question to the recorded server.
-func (w *world) deliverAsk(i int, reachable bool) {
-	s := w.asks[i]
-	w.asks = slices.Delete(w.asks, i, i+1)
-	srv := w.servers[s.rec.Slot.Replica]
-	key := attemptKey(s.rec)
-	ev := claims.Evidence{Epoch: s.rec.Epoch}
+// answerQuery answers a query to the recorded server.
+func (sim *simulation) answerQuery(i int, reachable bool) {
+	s := sim.queries[i]
+	sim.queries = slices.Delete(sim.queries, i, i+1)
+	srv := sim.servers[s.record.Slot.Replica]
+	key := attemptKey(s.record)
+	ev := claims.Evidence{Epoch: s.record.Epoch}
 	switch {
 	case !reachable:
 		ev.Kind = claims.EvidenceUnavailable
-	case srv.boot == "":
-		// A server that remembers nothing, asked by a careful daemon or by
-		// one that takes its ignorance for an answer.
+	case srv.bootID == "":
+		// A server that keeps no attempts, queried by a daemon that handles this
+		// correctly or by one that takes the answer for evidence.
 		ev.Kind = claims.EvidenceNone
-		if w.choose(2, "careful") == 1 {
+		if sim.pick(2, "careful") == 1 {
 			ev.Kind = claims.EvidenceNotStarted
 			ev.BootIDs = []string{""}
 		}
 	default:
-		srv.bars[key] = max(srv.bars[key], s.rec.Epoch)
+		srv.minEpochs[key] = max(srv.minEpochs[key], s.record.Epoch)
 		ev.Kind = claims.EvidenceNotStarted
-		ev.BootIDs = []string{srv.boot}
-		if srv.held[key] {
+		ev.BootIDs = []string{srv.bootID}
+		if srv.attempts[key] {
 			ev.Kind = claims.EvidenceHeld
 		}
 	}
-	w.step(s.owner, s.claim, ev)
+	sim.step(s.owner, s.claim, ev)
 }
 
-func (w *world) reboot(r state.ReplicaID) {
-	w.nonces++
-	if w.servers[r].boot != "" {
-		w.servers[r] = &server{boot: fmt.Sprintf("boot-n%d", w.nonces), bars: map[string]state.Epoch{}, held: map[string]bool{}}
+func (sim *simulation) restartBackend(r state.ReplicaID) {
+	sim.nonces++
+	if sim.servers[r].bootID != "" {
+		sim.servers[r] = &backend{bootID: fmt.Sprintf("boot-n%d", sim.nonces), minEpochs: map[string]state.Epoch{}, attempts: map[string]bool{}}
 	}
 }
 
-func (w *world) wake(n *node) {
+func (sim *simulation) resume(n *node) {
 	n.paused = false
 	inbox := n.inbox
 	n.inbox = nil
@@ -107,53 +108,54 @@
 	}
 }
 
-// advance lets time pass and gives the ticks that are due.
-func (w *world) advance(d time.Duration) {
-	w.now = w.now.Add(d)
-	for _, n := range w.nodes {
+// advance advances the virtual time and sends the ticks that are due.
+func (sim *simulation) advance(d time.Duration) {
+	sim.now = sim.now.Add(d)
+	for _, n := range sim.nodes {
 		if n.dead || n.paused {
 			continue
 		}
 		for _, k := range slices.Clone(n.claims) {
-			if t := k.NextTick(); !t.IsZero() && !t.After(w.now) {
-				w.step(n, k, claims.Tick{})
+			if t := k.NextTick(); !t.IsZero() && !t.After(sim.now) {
+				sim.step(n, k, claims.Tick{})
 			}
 		}
-		if t := n.home.NextTick(); !t.IsZero() && !t.After(w.now) {
-			w.stepHome(n, claims.Tick{})
+		if t := n.batcher.NextTick(); !t.IsZero() && !t.After(sim.now) {
+			sim.stepHome(n, claims.Tick{})
 		}
-		n.claims = slices.DeleteFunc(n.claims, func(k *kept) bool { return k.Released() })
+		n.claims = slices.DeleteFunc(n.claims, func(k *trackedClaim) bool { return k.Released() })
 	}
 }
 
-// settle lets everything under way end well.
-func (w *world) settle() {
-	for _, n := range w.nodes {
-		n.honest = true
+// finishAll lets everything in flight succeed.
+func (sim *simulation) finishAll() {
+	for _, n := range sim.nodes {
+		n.accurateView = true
 		if n.paused {
-			w.wake(n)
+			sim.resume(n)
 		}
 	}
 	for range 200 {
-		for len(w.store.late) > 0 {
-			w.landLate(0)
+		for len(sim.store.lateTxns) > 0 {
+			sim.commitLate(0)
 		}
-		for len(w.air) > 0 {
-			w.deliverCall(w.lastReal(), fateOK)
+		for len(sim.storeCalls) > 0 {
+			sim.finishCall(sim.nextStoreCall(), outcomeOK)
 		}
-		for len(w.asks) > 0 {
-			w.deliverAsk(0, true)
+		for len(sim.queries) > 0 {
+			sim.answerQuery(0, true)
 		}
-		for len(w.steps) > 0 {
-			w.deliverStep(0, false)
+		for len(sim.firstSteps) > 0 {
+			sim.deliverFirstStep(0, false)
 		}
-		w.advance(100 * time.Millisecond)
+		sim.advance(100 * time.Millisecond)
 	}
 }
 
-// lastReal prefers store calls to the timeouts of home replies.
-func (w *world) lastReal() int {
-	for i, c := range w.air {
+// nextStoreCall returns the index of the first store call, or 0 if there are only
+// timeouts of home replies.
+func (sim *simulation) nextStoreCall() int {
+	for i, c := range sim.storeCalls {
 		if c.req != nil {
 			return i
 		}
--- a/coordination/claims/worldstore_test.go
+++ b/coordination/claims/worldstore_test.go
@@ -4,28 +4,28 @@
 	"github.com/hibiscuswick/hibiscuswick/coordination/store"
 )
 
-// fate is what befalls one store call.
-type fate int
+// outcome is the result of one simulated store call.
+type outcome int
 
 const (
-	fateOK      fate = iota // applied and answered
-	fateLost                // applied, answer lost
-	fateLate                // answer lost, applied at some later moment
-	fateNever               // answer lost, never applied
-	fateNotSent             // refused before it left
-	fates
+	outcomeOK           outcome = iota // committed and answered
+	outcomeAnswerLost                  // committed, answer lost
+	outcomeAppliedLate                 // answer lost, committed later
+	outcomeNeverApplied                // answer lost, never committed
+	outcomeNotSent                     // failed before it was sent
+	numOutcomes
 )
 
-// table is the table service: rows and conditional writes.
-type table struct {
-	rows map[string]store.Row
-	late []store.Txn
-	txns int
+// fakeStore is the table service: rows and conditional writes.
+type fakeStore struct {
+	rows     map[string]store.Row
+	lateTxns []store.Txn
+	txns     int
 
-	byPrefix map[string][]string // of the rows at the first scan
+	byPrefix map[string][]string // keys by prefix at the first scan
 }
 
-func (s *table) commit(txn store.Txn) store.Result {
+func (s *fakeStore) commit(txn store.Txn) store.Result {
 	s.txns++
 	for _, c := range txn.Conditions {
 		if s.rows[c.Key].Revision != c.Revision {
@@ -45,25 +45,25 @@
 	return res
 }
 
-func (s *table) serve(req store.Request, f fate) store.Result {
-	if f == fateNotSent {
+func (s *fakeStore) serve(req store.Request, f outcome) store.Result {
+	if f == outcomeNotSent {
 		return store.Result{Status: store.NotSent}
 	}
 	switch req := req.(type) {
 	case store.Commit:
 		switch f {
-		case fateOK:
+		case outcomeOK:
 			return s.commit(req.Txn)
-		case fateLost:
+		case outcomeAnswerLost:
 			s.commit(req.Txn)
-		case fateLate:
-			s.late = append(s.late, req.Txn)
+		case outcomeAppliedLate:
+			s.lateTxns = append(s.lateTxns, req.Txn)
 		default:
 		}
 	case store.Scan:
 		return s.scan(req.Prefix)
 	case store.Get:
-		if f != fateOK {
+		if f != outcomeOK {
 			break
 		}
 		res := store.Result{Status: store.Done}
@@ -75,7 +75,7 @@
 	return store.Result{}
 }
 
-func (s *table) scan(prefix string) store.Result {
+func (s *fakeStore) scan(prefix string) store.Result {
 	if s.byPrefix == nil {
 		s.byPrefix = map[string][]string{}
 		for key := range s.rows {
--- a/coordination/claims/write.go
+++ b/coordination/claims/write.go
@@ -6,9 +6,9 @@
 	"github.com/hibiscuswick/hibiscuswick/coordination/store"
 )
 
-// aim makes rec, under this claim's nonce and the next sequence number, the
-// write that the store loop works towards.
-func (c *Claim) aim(in intent, rec Record, base uint64) {
+// startWrite makes rec, with this claim's nonce and the next sequence number, the
+// target, and starts to write it.
+func (c *Claim) startWrite(in intent, rec Record, base uint64) {
 	rec.Nonce = c.req.Nonce
 	rec.Owner = c.req.Owner
 	rec.Seq = c.target.Seq + 1
@@ -18,46 +18,47 @@
 	c.intent = in
 	c.mode = modeWriting
 	c.backoff = 0
-	c.wakeAt = time.Time{}
+	c.retryAt = time.Time{}
 	if c.call == 0 {
 		c.advance()
 	}
 }
 
-// advance sends the loop's next call.
+// advance sends the next store call, unless one is in flight.
 func (c *Claim) advance() {
 	if c.mode != modeWriting || c.call != 0 {
 		return
 	}
 	if c.readNext {
-		c.read()
+		c.sendRead()
 		return
 	}
-	c.write()
+	c.sendWrite()
 }
 
-// write sends target, conditioned on the revision last seen. A write of target
-// that was lost and is sent again can't land twice, nor after a later write of
-// this claim: the first of them to land ends the revision of the others.
-func (c *Claim) write() {
+// sendWrite sends target, conditional on the revision last seen. A write that was
+// lost and is sent again can't be committed twice, nor after a later write of
+// this claim: the first one committed changes the revision that the others
+// require.
+func (c *Claim) sendWrite() {
 	key := c.req.Key.Row()
 	class := store.ClassClaim
-	if c.intent == intentEnd {
+	if c.intent == intentOutcome {
 		class = store.ClassBackground
 	}
 	c.send(class, store.Commit{Txn: store.Txn{
 		Conditions: []store.Condition{{Table: Table, Key: key, Revision: c.base}},
 		Writes:     []store.Write{{Table: Table, Key: key, Value: c.target.Encode()}},
-	}}, c.cfg.ViaHome && !c.direct)
-	c.callWrite = true
-	c.sentPrev = c.sentSeq
-	c.sentSeq = c.target.Seq
+	}}, c.cfg.ViaHome && !c.skipHome)
+	c.callIsWrite = true
+	c.prevSentSeq = c.maxSentSeq
+	c.maxSentSeq = c.target.Seq
 }
 
-// read settles a lost answer or a conflict.
-func (c *Claim) read() {
+// sendRead reads the row after a lost answer or a conflict.
+func (c *Claim) sendRead() {
 	c.send(store.ClassClaim, store.Get{Table: Table, Key: c.req.Key.Row()}, false)
-	c.callWrite = false
+	c.callIsWrite = false
 }
 
 func (c *Claim) send(class store.Class, req store.Request, viaHome bool) {
@@ -69,85 +70,86 @@
 	})
 }
 
-func (c *Claim) answered(res store.Result) {
+func (c *Claim) storeResult(res store.Result) {
 	if res.Call != c.call {
 		return
 	}
 	c.call = 0
-	if c.callWrite {
-		c.wrote(res)
+	if c.callIsWrite {
+		c.writeDone(res)
 	} else {
-		c.didRead(res)
+		c.readDone(res)
 	}
 }
 
-func (c *Claim) wrote(res store.Result) {
+func (c *Claim) writeDone(res store.Result) {
 	switch res.Status {
 	case store.Done:
 		if row, ok := res.Row(); ok {
-			c.sawRow(row)
+			c.handleRow(row)
 			return
 		}
 		c.readNext = true
 		c.advance()
 	case store.Conflict:
-		c.sentSeq = c.sentPrev
-		if row, ok := res.Row(); ok && c.final(row) {
-			c.sawRow(row)
+		c.maxSentSeq = c.prevSentSeq
+		if row, ok := res.Row(); ok && c.conclusive(row) {
+			c.handleRow(row)
 			return
 		}
 		c.conflicted = true
 		c.readNext = true
 		c.advance()
 	case store.NotSent:
-		c.sentSeq = c.sentPrev
-		c.direct = true
-		c.later()
+		c.maxSentSeq = c.prevSentSeq
+		c.skipHome = true
+		c.scheduleRetry()
 	case store.Unanswered:
-		c.direct = true
+		c.skipHome = true
 		c.readNext = true
-		c.later()
+		c.scheduleRetry()
 	}
 }
 
-// final reports whether a row that the key's home knew is enough to decide on:
-// it may be older than the store's. One that another claimed is read afresh,
-// or a repeat would wait for an owner that has voided it since.
-func (c *Claim) final(row store.Row) bool {
+// conclusive reports whether a row from the home's cache, which may be older than
+// the store's, is enough to decide on. A row that another claimant has claimed is
+// read again from the store; otherwise a repeat could wait for an owner that has
+// voided the row since.
+func (c *Claim) conclusive(row store.Row) bool {
 	rec, err := DecodeRecord(row)
 	return err == nil && (rec.Nonce == c.req.Nonce || rec.Phase != PhaseClaimed)
 }
 
-func (c *Claim) didRead(res store.Result) {
+func (c *Claim) readDone(res store.Result) {
 	if res.Status != store.Done {
-		c.later()
+		c.scheduleRetry()
 		return
 	}
 	c.readNext = false
 	c.conflicted = false
 	c.backoff = 0
 	if row, ok := res.Row(); ok {
-		c.sawRow(row)
+		c.handleRow(row)
 		return
 	}
-	c.sawNoRow()
+	c.handleNoRow()
 }
 
-// later goes on after a back-off with jitter. A terminal outcome is given up
-// after a few tries.
-func (c *Claim) later() {
+// scheduleRetry schedules the next call after a backoff with jitter. The write of
+// a terminal outcome is abandoned after MaxOutcomeWrites attempts.
+func (c *Claim) scheduleRetry() {
 	if c.mode != modeWriting {
 		return
 	}
-	if c.intent == intentEnd {
-		c.endTries--
-		if c.endTries <= 0 {
+	if c.intent == intentOutcome {
+		c.outcomeTries--
+		if c.outcomeTries <= 0 {
 			c.release(false)
 			return
 		}
 	}
 	c.backoff = nextBackoff(c.backoff, c.cfg)
-	c.wakeAt = c.now.Add(c.jitter(c.backoff))
+	c.retryAt = c.now.Add(c.jitter(c.backoff))
 }
 
 func nextBackoff(last time.Duration, cfg Config) time.Duration {
@@ -161,41 +163,42 @@
 	return d/2 + time.Duration(c.rng.Int64N(int64(d/2)+1))
 }
 
-// sawNoRow goes on where the key has no row. A write of ours that is still
-// under way may yet create one, so giving up also writes: the voided row bars
-// it.
-func (c *Claim) sawNoRow() {
-	c.checked = true
-	if c.isConfirmed || !c.clean {
-		c.lost()
+// handleNoRow continues if the key has no row. A write of ours that is still in
+// flight may yet create one. Giving up therefore also writes: the voided row
+// makes that write fail.
+func (c *Claim) handleNoRow() {
+	c.keyChecked = true
+	if c.isConfirmed || !c.notRunProven {
+		c.rowDeleted()
 		return
 	}
 	c.base = 0
 	c.advance()
 }
 
-// lost ends a claim whose row was swept: it outlived the retention.
-func (c *Claim) lost() {
-	if c.intent == intentEnd {
+// rowDeleted ends a claim whose row was deleted because the claim outlived the
+// retention.
+func (c *Claim) rowDeleted() {
+	if c.intent == intentOutcome {
 		c.release(false)
 		return
 	}
 	c.finish(VerdictUnknown, Record{})
 }
 
-func (c *Claim) sawRow(row store.Row) {
-	c.checked = true
+func (c *Claim) handleRow(row store.Row) {
+	c.keyChecked = true
 	c.conflicted = false
 	c.readNext = false
 	rec, err := DecodeRecord(row)
 	if err != nil {
-		// Not a row of ours; nothing is known of the key.
-		c.clean = false
+		// The row can't be decoded, so nothing is known of the key.
+		c.notRunProven = false
 		c.finish(VerdictUnknown, Record{})
 		return
 	}
 	if rec.Nonce != c.req.Nonce {
-		c.decide(rec, row.Revision)
+		c.handleForeignRow(rec, row.Revision)
 		return
 	}
 	c.base = row.Revision
@@ -205,23 +208,23 @@
 		c.advance()
 		return
 	}
-	c.settled()
+	c.writeConfirmed()
 }
 
-// settled goes on once the row holds target, and so no other write of this
-// claim can land any more.
-func (c *Claim) settled() {
+// writeConfirmed continues once the row holds target. No other write of this
+// claim can be committed any more.
+func (c *Claim) writeConfirmed() {
 	c.backoff = 0
 	switch c.intent {
 	case intentClaim:
 		c.dispatch()
 	case intentTakeover:
-		c.mode = modeAsking
-		c.askBackoff = 0
+		c.mode = modeQuerying
+		c.queryBackoff = 0
 		c.out = append(c.out, QueryAttempt{Record: c.target})
 	case intentVoid:
 		c.finish(VerdictNotRun, Record{})
-	case intentEnd:
+	case intentOutcome:
 		c.release(true)
 	}
 }
