--- a/coordination/limit/bench_test.go
+++ b/coordination/limit/bench_test.go
@@ -10,9 +10,9 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// BenchmarkFleet measures what one daemon sends, without framing, when each
-// takes 26 requests a second for customers drawn evenly: 11,000 a second at 420
-// daemons. The limits leave room.
+// BenchmarkFleet measures what one daemon sends, without framing, when each daemon
+// gets 26 requests per second for uniformly random customers, which makes 11,000
+// per second with 420 daemons. The limits are twice the demand.
 func BenchmarkFleet(b *testing.B) {
 	for _, f := range []struct{ daemons, seats, keys int }{
 		{9, 9, 10}, {9, 9, 100}, {50, 17, 100}, {50, 17, 480}, {150, 17, 480}, {420, 17, 480}, {420, 17, 2400},
@@ -35,41 +35,42 @@
 			ID: state.CustomerID(fmt.Sprintf("customer-%04d", i)), RequestsPerSecond: rate, Burst: int(rate) + 1,
 		})
 	}
-	w := newWorld(1, daemons, seats, customers...)
-	w.measure = true
-	w.minDelay, w.maxDelay = time.Millisecond, 10*time.Millisecond
+	sim := newSimulation(1, daemons, seats, customers...)
+	sim.measure = true
+	sim.minDelay, sim.maxDelay = time.Millisecond, 10*time.Millisecond
 	for k := range keys {
-		w.load(k, 4*time.Second, (6+seconds)*time.Second, total/float64(keys), w.anyNode)
+		sim.generateLoad(k, 4*time.Second, (6+seconds)*time.Second, total/float64(keys), sim.anyNode)
 	}
-	w.run(6 * time.Second)
-	w.messages = 0
-	for _, n := range w.nodes {
+	sim.run(6 * time.Second)
+	sim.messages = 0
+	for _, n := range sim.nodes {
 		n.sent = 0
 	}
-	asked, admitted := w.sums()
-	w.run((6 + seconds) * time.Second)
-	askedNow, admittedNow := w.sums()
+	requested, admitted := sim.totals()
+	sim.run((6 + seconds) * time.Second)
+	requestedNow, admittedNow := sim.totals()
 	sum, most := 0, 0
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		sum += n.sent
 		most = max(most, n.sent)
 	}
-	b.ReportMetric(float64(w.messages)/seconds/float64(daemons), "msg/s/daemon")
+	b.ReportMetric(float64(sim.messages)/seconds/float64(daemons), "msg/s/daemon")
 	b.ReportMetric(float64(sum)/seconds/float64(daemons), "B/s/daemon")
 	b.ReportMetric(float64(most)/seconds, "B/s-most")
-	b.ReportMetric(float64(admittedNow-admitted)/float64(askedNow-asked), "admitted")
+	b.ReportMetric(float64(admittedNow-admitted)/float64(requestedNow-requested), "admitted")
 }
 
-func (w *world) sums() (asked, admitted int) {
-	for _, t := range w.truth {
-		asked += t.asked
+func (sim *simulation) totals() (requested, admitted int) {
+	for _, t := range sim.reference {
+		requested += t.requests
 		admitted += t.admitted
 	}
-	return asked, admitted
+	return requested, admitted
 }
 
-// single returns a daemon that is the only seat, with its own seat lent.
-func single() (*limit.Limiter, time.Time) {
+// newSingleSeat returns a daemon that is the only seat and has lent that seat to
+// itself.
+func newSingleSeat() (*limit.Limiter, time.Time) {
 	m := limit.New(limit.Config{Self: state.Member{ID: "a", Incarnation: 1}, Seats: []state.DaemonID{"a"}}, epoch)
 	m.Step(epoch, limit.Limits{Service: "s", Customers: []service.Customer{{ID: "c", RequestsPerSecond: 1e9, Burst: 1 << 30}}})
 	now := epoch
@@ -80,10 +81,10 @@
 	return m, now
 }
 
-// BenchmarkAsk measures a request with its tokens at hand; the reports that
-// refill them are in it.
+// BenchmarkAsk measures a request for which tokens are available, including the
+// reports that obtain them.
 func BenchmarkAsk(b *testing.B) {
-	m, now := single()
+	m, now := newSingleSeat()
 	b.ReportAllocs()
 	for i := range b.N {
 		now = now.Add(10 * time.Microsecond)
@@ -94,9 +95,9 @@
 	}
 }
 
-// BenchmarkReport measures an owner's answer to a report on 20 keys.
+// BenchmarkReport measures an owner's answer to a report with 20 usages.
 func BenchmarkReport(b *testing.B) {
-	m, now := single()
+	m, now := newSingleSeat()
 	from := state.Member{ID: "b", Incarnation: 1}
 	r := limit.Report{}
 	for range 20 {
--- a/coordination/limit/choose.go
+++ b/coordination/limit/choose.go
@@ -6,10 +6,11 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// choose returns the owner to ask and to lend to for a shard: the first by rank
-// that answers. One that was not tried yet is taken unless it would replace an
-// owner that answers; that one is kept until the better has answered too.
-func (m *Limiter) choose(now time.Time, shard int) *session {
+// chooseOwner returns the owner of a shard to send reports and lend the seat to:
+// the responsive one with the best rank. An owner that was not tried yet is chosen
+// too, unless it would replace a responsive one. The latter is kept until the
+// better-ranked owner has answered.
+func (m *Limiter) chooseOwner(now time.Time, shard int) *session {
 	var fallback *session
 	for _, id := range m.ranks[shard] {
 		s := m.session(id)
@@ -17,13 +18,13 @@
 			continue
 		}
 		switch s.state(now, m.cfg.OwnerTimeout) {
-		case sessionAnswering:
+		case sessionResponsive:
 			return s
-		case sessionUntried:
-			if !m.lends(now, shard) {
+		case sessionNew:
+			if !m.lendsTo(now, shard) {
 				return s
 			}
-		case sessionOut:
+		case sessionUnavailable:
 		}
 		if fallback == nil {
 			fallback = s
@@ -35,65 +36,66 @@
 	return fallback
 }
 
-// lends reports whether this seat lends shard to an owner that answers.
-func (m *Limiter) lends(now time.Time, shard int) bool {
+// lendsTo reports whether this seat lends shard to a responsive owner.
+func (m *Limiter) lendsTo(now time.Time, shard int) bool {
 	if m.lender == nil {
 		return false
 	}
 	ln := m.lender.loans[shard]
-	if !now.Before(ln.until) {
+	if !now.Before(ln.expires) {
 		return false
 	}
-	return m.session(ln.owner.ID).state(now, m.cfg.OwnerTimeout) == sessionAnswering
+	return m.session(ln.owner.ID).state(now, m.cfg.OwnerTimeout) == sessionResponsive
 }
 
 func (m *Limiter) session(id state.DaemonID) *session {
 	return m.sessions[m.owner.seatIndex[id]]
 }
 
-// due reports whether a regular Report to the owner of s is to leave: to renew
-// or ask back loans, to tell of tokens, or to see whether it answers again.
-func (m *Limiter) due(now time.Time, s *session) bool {
-	quiet := now.Sub(s.lastSent)
+// reportDue reports whether a regular Report to the owner of s is due: to renew or
+// reclaim loans, to report or request tokens, or to probe whether it answers
+// again.
+func (m *Limiter) reportDue(now time.Time, s *session) bool {
+	sinceLast := now.Sub(s.lastSent)
 	if m.lender != nil {
-		if s.state(now, m.cfg.OwnerTimeout) == sessionUntried && s.lastSent.IsZero() {
+		if s.state(now, m.cfg.OwnerTimeout) == sessionNew && s.lastSent.IsZero() {
 			return true
 		}
-		renew := m.cfg.LoanTTL/renewals - m.cfg.ReportInterval/2
-		if quiet >= renew && (m.lender.lentTo(now, s.id) || m.chosen(now, s)) {
+		renew := m.cfg.LoanTTL/reportsPerLoan - m.cfg.ReportInterval/2
+		if sinceLast >= renew && (m.lender.lentTo(now, s.id) || m.isChosen(now, s)) {
 			return true
 		}
 	}
-	if s.state(now, m.cfg.OwnerTimeout) == sessionOut {
-		return quiet >= m.cfg.LoanTTL/2
+	if s.state(now, m.cfg.OwnerTimeout) == sessionUnavailable {
+		return sinceLast >= m.cfg.LoanTTL/2
 	}
-	for _, e := range m.order {
-		if m.wants(now, e, s) {
+	for _, e := range m.orderedEntries {
+		if m.needsReport(now, e, s) {
 			return true
 		}
 	}
 	return false
 }
 
-// chosen reports whether s is chosen for any shard.
-func (m *Limiter) chosen(now time.Time, s *session) bool {
+// isChosen reports whether s is the chosen owner of any shard.
+func (m *Limiter) isChosen(now time.Time, s *session) bool {
 	for n := range m.ranks {
-		if m.choose(now, n) == s {
+		if m.chooseOwner(now, n) == s {
 			return true
 		}
 	}
 	return false
 }
 
-// wants reports whether there is something to say to the owner of s on e.
-func (m *Limiter) wants(now time.Time, e *entry, s *session) bool {
+// needsReport reports whether a Report to the owner of s is needed for e.
+func (m *Limiter) needsReport(now time.Time, e *entry, s *session) bool {
 	for i := range e.held {
-		if e.untold(&e.held[i], s) {
+		if e.unreported(&e.held[i], s) {
 			return true
 		}
 	}
-	if m.choose(now, e.shard) != s {
+	if m.chooseOwner(now, e.shard) != s {
 		return false
 	}
-	return len(e.pending) > 0 || e.target(m.cfg.ReportInterval) > e.tokens(now)
+	return len(e.pending) > 0 || e.targetTokens(m.cfg.ReportInterval) > e.tokens(now)
 }
--- a/coordination/limit/export_test.go
+++ b/coordination/limit/export_test.go
@@ -7,41 +7,42 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Counts reports, by seat, whether m as owner counts it for the key's shard.
+// Counts reports for each seat whether m, as owner, counts it for the key's shard.
 func (m *Limiter) Counts(now time.Time, key Key) []bool {
 	var counts []bool
-	for _, until := range m.owner.shards[key.shard(m.cfg.Shards)].lent {
+	for _, until := range m.owner.shards[key.shard(m.cfg.Shards)].loanExpiry {
 		counts = append(counts, until.After(now))
 	}
 	return counts
 }
 
-// Account brings a copy of m's account of key to now and returns what it may
-// still give, the burst of the seats counted, and what holders may still spend.
-func (m *Limiter) Account(now time.Time, key Key) (level float64, burst int, out map[state.Member]int) {
+// Account advances a copy of m's bucket of key to now. It returns the tokens that
+// m may still give out, the burst of the seats that it counts, and the tokens that
+// holders may still spend.
+func (m *Limiter) Account(now time.Time, key Key) (level float64, burst int, outstanding map[state.Member]int) {
 	s := &m.owner.shards[key.shard(m.cfg.Shards)]
-	out = make(map[state.Member]int)
-	held := s.buckets[key]
-	if held == nil {
-		return 0, 0, out
+	outstanding = make(map[state.Member]int)
+	original := s.buckets[key]
+	if original == nil {
+		return 0, 0, outstanding
 	}
-	b := *held
-	b.batches = slices.Clone(held.batches)
-	b.settle(now, s.seats(now, m.cfg.outlast(m.cfg.BatchTTL)), &m.cfg)
+	b := *original
+	b.batches = slices.Clone(original.batches)
+	b.advanceTo(now, s.seats(now, m.cfg.addClockDrift(m.cfg.BatchTTL)), &m.cfg)
 	for i := range b.batches {
-		out[b.batches[i].holder] += b.batches[i].rest()
+		outstanding[b.batches[i].holder] += b.batches[i].remaining()
 	}
 	burst, _ = b.limit.share(s.seats(now, 0), m.cfg.Total)
-	return b.level, burst, out
+	return b.level, burst, outstanding
 }
 
-// SpendableOf is Spendable of the batches that one owner gave.
+// SpendableOf is Spendable for the batches of one owner.
 func (m *Limiter) SpendableOf(now time.Time, key Key, owner state.Member) int {
 	n := 0
 	if e := m.entries[key]; e != nil {
 		for i := range e.held {
 			if e.held[i].owner == owner {
-				n += e.held[i].rest(now)
+				n += e.held[i].remaining(now)
 			}
 		}
 	}
--- a/coordination/limit/machine.go
+++ b/coordination/limit/machine.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// renewals is how many Reports fit in the life of a loan.
-	renewals = 4
-	// idleAfter is how many intervals an unused entry is kept.
-	idleAfter = 50
-	// forgetEvery is how many intervals pass between two sweeps.
-	forgetEvery = 5
+	// reportsPerLoan is the number of Reports in the lifetime of a loan.
+	reportsPerLoan = 4
+	// idleIntervals is the number of report intervals for which an unused entry is
+	// kept.
+	idleIntervals = 50
+	// evictEvery is the number of report intervals between two evictions.
+	evictEvery = 5
 )
 
-// Limiter is one daemon's part in all limits. Not safe for use by several
-// goroutines.
+// Limiter is one daemon's state machine for all limits. It is not safe for
+// concurrent use.
 type Limiter struct {
 	cfg    Config
 	start  time.Time
@@ -26,43 +27,43 @@
 	lender *lender // nil unless this daemon is a seat
 	ranks  [][]state.DaemonID
 
-	limits   map[Key]Limit
-	live     map[state.DaemonID]bool // empty: nothing is known
-	known    map[state.DaemonID]state.Incarnation
-	sessions []*session // by seat
-	entries  map[Key]*entry
-	order    []*entry // of entries, so that runs repeat exactly
+	limits         map[Key]Limit
+	live           map[state.DaemonID]bool // empty if not known
+	incarnations   map[state.DaemonID]state.Incarnation
+	sessions       []*session // by seat
+	entries        map[Key]*entry
+	orderedEntries []*entry // the values of entries in a fixed order, so that runs are reproducible
 
-	lastStep time.Time
-	lastTick time.Time
-	ticks    int
-	local    []localMessage
-	out      []Action
+	lastStep     time.Time
+	lastTick     time.Time
+	ticks        int
+	selfMessages []selfMessage
+	out          []Action
 }
 
-// localMessage is one that this daemon sent to itself as owner.
-type localMessage struct {
+// selfMessage is a message that this daemon sent to itself as owner.
+type selfMessage struct {
 	msg Message
 }
 
-// New returns a Limiter whose life begins at start.
+// New returns a Limiter of an incarnation that starts at start.
 func New(cfg Config, start time.Time) *Limiter {
 	cfg = cfg.withDefaults()
 	if len(cfg.Seats) == 0 || len(cfg.Seats) > maxSeats || cfg.Shards > maxShards || cfg.Total < len(cfg.Seats) {
-		panic("limit: no seats, more seats or shards than the messages can tell, or a total below the seats")
+		panic("limit: Seats must have 1 to 64 entries, Shards must be at most 64 and Total at least len(Seats)")
 	}
 	if cfg.BatchTTL > cfg.LoanTTL/2 {
-		panic("limit: batches must run out well before the loans that back them")
+		panic("limit: BatchTTL must be at most half of LoanTTL")
 	}
 	m := &Limiter{
-		cfg:      cfg,
-		start:    start,
-		limits:   make(map[Key]Limit),
-		live:     make(map[state.DaemonID]bool),
-		known:    map[state.DaemonID]state.Incarnation{cfg.Self.ID: cfg.Self.Incarnation},
-		entries:  make(map[Key]*entry),
-		lastStep: start,
-		lastTick: start.Add(-cfg.ReportInterval), // the first tick is due at once
+		cfg:          cfg,
+		start:        start,
+		limits:       make(map[Key]Limit),
+		live:         make(map[state.DaemonID]bool),
+		incarnations: map[state.DaemonID]state.Incarnation{cfg.Self.ID: cfg.Self.Incarnation},
+		entries:      make(map[Key]*entry),
+		lastStep:     start,
+		lastTick:     start.Add(-cfg.ReportInterval), // the first tick is due at once
 	}
 	m.owner = newOwner(&m.cfg, start, m.limits)
 	for _, id := range cfg.Seats {
@@ -77,20 +78,20 @@
 	return m
 }
 
-// shardName is the key of a shard's owner.
+// shardName returns the rendezvous key of a shard.
 func shardName(n int) string {
 	return "limit/" + string(rune('0'+n))
 }
 
-// Step takes one event at now.
+// Step applies one event at now and returns the actions to carry out.
 func (m *Limiter) Step(now time.Time, ev Event) []Action {
 	m.out = nil
-	m.resume(now)
+	m.excuseOwnPause(now)
 	switch ev := ev.(type) {
 	case Tick:
 		m.tick(now)
 	case Acquire:
-		m.ask(now, ev)
+		m.acquire(now, ev)
 	case Received:
 		m.receive(now, ev.From, ev.Msg)
 	case Members:
@@ -101,16 +102,16 @@
 		m.drain()
 	}
 	m.flush(now)
-	for len(m.local) > 0 {
-		msg := m.local[0].msg
-		m.local = m.local[1:]
+	for len(m.selfMessages) > 0 {
+		msg := m.selfMessages[0].msg
+		m.selfMessages = m.selfMessages[1:]
 		m.receive(now, m.cfg.Self, msg)
 		m.flush(now)
 	}
 	return m.out
 }
 
-// NextTick is when the Limiter next wants a Tick.
+// NextTick returns when the next Tick is due.
 func (m *Limiter) NextTick() time.Time {
 	next := m.lastTick.Add(m.cfg.ReportInterval)
 	for _, s := range m.sessions {
@@ -121,7 +122,7 @@
 	return next
 }
 
-// Spendable counts the tokens of key that this daemon could spend at now.
+// Spendable returns the number of tokens of key that this daemon can spend at now.
 func (m *Limiter) Spendable(now time.Time, key Key) int {
 	if e := m.entries[key]; e != nil {
 		return e.tokens(now)
@@ -129,13 +130,14 @@
 	return 0
 }
 
-// resume forgives silence that was this daemon's own: after a pause every owner
-// looks silent, and leaving them all would move every loan.
-func (m *Limiter) resume(now time.Time) {
+// excuseOwnPause restarts the timeouts of unanswered reports after a pause of this
+// daemon. After a pause all owners look unresponsive, and replacing them all would
+// move every loan.
+func (m *Limiter) excuseOwnPause(now time.Time) {
 	if now.Sub(m.lastStep) > m.cfg.OwnerTimeout/2 {
 		for _, s := range m.sessions {
-			if !s.unanswered.IsZero() && s.unanswered.After(m.lastStep.Add(-m.cfg.OwnerTimeout)) {
-				s.unanswered = now
+			if !s.unansweredSince.IsZero() && s.unansweredSince.After(m.lastStep.Add(-m.cfg.OwnerTimeout)) {
+				s.unansweredSince = now
 			}
 		}
 	}
@@ -162,15 +164,16 @@
 	clear(m.live)
 	for _, l := range live {
 		m.live[l.ID] = true
-		m.learn(l)
+		m.updateIncarnation(l)
 	}
 }
 
-func (m *Limiter) learn(member state.Member) {
-	m.known[member.ID] = max(m.known[member.ID], member.Incarnation)
+func (m *Limiter) updateIncarnation(member state.Member) {
+	m.incarnations[member.ID] = max(m.incarnations[member.ID], member.Incarnation)
 }
 
-// drain gives back and asks back what else would have to run out.
+// drain gives back borrowed seats and reclaims loans, which would otherwise have
+// to expire.
 func (m *Limiter) drain() {
 	m.owner.leaving = true
 	if m.lender != nil {
@@ -181,7 +184,7 @@
 	}
 }
 
-// tick does what is due by time.
+// tick does the regular work of each report interval.
 func (m *Limiter) tick(now time.Time) {
 	elapsed := now.Sub(m.lastTick)
 	if elapsed < m.cfg.ReportInterval {
@@ -189,48 +192,48 @@
 	}
 	m.lastTick = now
 	m.ticks++
-	for _, e := range m.order {
-		e.observe(elapsed)
-		e.trim(now, &m.cfg)
+	for _, e := range m.orderedEntries {
+		e.updateRate(elapsed)
+		e.closeUnneeded(now, &m.cfg)
 		m.expire(now, e)
 	}
-	m.order = slices.DeleteFunc(m.order, func(e *entry) bool {
-		drop := e.idle(now, idleAfter*m.cfg.ReportInterval)
+	m.orderedEntries = slices.DeleteFunc(m.orderedEntries, func(e *entry) bool {
+		drop := e.idle(now, idleIntervals*m.cfg.ReportInterval)
 		if drop {
 			delete(m.entries, e.key)
 		}
 		return drop
 	})
 	for _, s := range m.sessions {
-		s.urgent = s.urgent || m.due(now, s)
+		s.urgent = s.urgent || m.reportDue(now, s)
 	}
-	if m.ticks%forgetEvery == 0 {
-		m.owner.forget(now)
+	if m.ticks%evictEvery == 0 {
+		m.owner.evict(now)
 	}
 }
 
 // expire refuses requests that waited too long for an owner.
 func (m *Limiter) expire(now time.Time, e *entry) {
 	n := 0
-	for n < len(e.pending) && now.Sub(e.pending[n].asked) >= m.cfg.MaxWait {
+	for n < len(e.pending) && now.Sub(e.pending[n].since) >= m.cfg.MaxWait {
 		m.refuse(e.pending[n].call, ReasonNoOwner, m.cfg.LoanTTL)
 		n++
 	}
 	e.pending = slices.Delete(e.pending, 0, n)
-	e.settled(now, state.Member{}, 0)
+	e.dropEnded(now, state.Member{}, 0)
 }
 
-// flush sends the urgent Reports that may leave now.
+// flush sends the urgent Reports that may be sent now.
 func (m *Limiter) flush(now time.Time) {
 	for _, s := range m.sessions {
 		if s.urgent && s.maySend(now, &m.cfg) {
-			m.report(now, s)
+			m.sendReport(now, s)
 		}
 	}
 }
 
-// report composes and sends one Report.
-func (m *Limiter) report(now time.Time, s *session) {
+// sendReport composes and sends one Report.
+func (m *Limiter) sendReport(now time.Time, s *session) {
 	st := stamp(m.start, now)
 	if st <= s.lastStamp {
 		return
@@ -238,29 +241,29 @@
 	r := Report{Stamp: st, Echo: s.grantStamp, To: s.member.Incarnation}
 	if m.lender != nil && m.lender.ready(now) {
 		for n := range m.ranks {
-			if m.choose(now, n) == s && m.lender.lend(now, n, s, st) {
+			if m.chooseOwner(now, n) == s && m.lender.lend(now, n, s, st) {
 				r.Lent |= 1 << n
 			}
 		}
 	}
-	for _, e := range m.order {
-		u, ok := e.use(now, s, st, m.choose(now, e.shard) == s, &m.cfg)
+	for _, e := range m.orderedEntries {
+		u, ok := e.usage(now, s, st, m.chooseOwner(now, e.shard) == s, &m.cfg)
 		if ok {
 			r.Usages = append(r.Usages, u)
 		}
 	}
-	s.sent(now, st)
+	s.reportSent(now, st)
 	m.send(s.id, r)
 }
 
 func (m *Limiter) send(to state.DaemonID, msg Message) {
 	if to == m.cfg.Self.ID {
-		m.local = append(m.local, localMessage{msg: msg})
+		m.selfMessages = append(m.selfMessages, selfMessage{msg: msg})
 		return
 	}
 	m.out = append(m.out, Send{To: to, Msg: msg})
 }
 
-func (m *Limiter) refuse(call uint64, why RefusalReason, after time.Duration) {
-	m.out = append(m.out, Refuse{Call: call, Reason: why, RetryAfter: after})
+func (m *Limiter) refuse(call uint64, reason RefusalReason, after time.Duration) {
+	m.out = append(m.out, Refuse{Call: call, Reason: reason, RetryAfter: after})
 }
--- a/coordination/limit/message.go
+++ b/coordination/limit/message.go
@@ -7,26 +7,26 @@
 	message()
 }
 
-// Report goes from a daemon, as seat and holder, to an owner. It is answered by
-// one Grant. Stamps are nanoseconds on the clock of the daemon that made them,
-// since that life of it began, from 1.
+// Report is sent by a daemon, as seat and holder, to an owner, which answers with
+// one Grant. Stamps are nanoseconds on the sender's clock since the start of its
+// incarnation, from 1.
 type Report struct {
 	Stamp int64 `msgpack:"s"`
 
-	// Echo is the Stamp of the newest Grant of the receiver's life To; 0 if
-	// there is none.
+	// Echo is the Stamp of the newest Grant from the receiver's incarnation To; 0
+	// if there is none.
 	Echo int64             `msgpack:"e,omitempty"`
 	To   state.Incarnation `msgpack:"t,omitempty"`
 
-	// Lent has a bit for each shard that the sender's seat lends the receiver,
-	// for LoanLife after Echo. A shard without its bit is asked back.
+	// Lent has a bit for each shard for which the sender lends its seat to the
+	// receiver, for LoanTTL after Echo. Loans of all other shards are reclaimed.
 	Lent uint64 `msgpack:"l,omitempty"`
 
 	Usages []Usage `msgpack:"u,omitempty"`
 }
 
-// Use tells the tokens of one key that the sender wants, and what became of
-// the batches that the receiver gave.
+// Usage is the sender's demand for tokens of one key, and its use of the batches
+// that the receiver gave it.
 type Usage struct {
 	Service  state.ServiceID  `msgpack:"s"`
 	Customer state.CustomerID `msgpack:"c"`
@@ -35,8 +35,8 @@
 	Batches  []BatchUsage     `msgpack:"b,omitempty"`
 }
 
-// BatchUse tells the tokens spent of one batch so far. Nothing more is spent of
-// a closed one.
+// BatchUsage is the number of tokens spent of one batch so far. No more tokens of
+// a closed batch will be spent.
 type BatchUsage struct {
 	ID     uint64 `msgpack:"i"`
 	Spent  uint32 `msgpack:"s,omitempty"`
@@ -51,37 +51,38 @@
 	// To is the highest incarnation of the receiver that the sender knows.
 	To state.Incarnation `msgpack:"t,omitempty"`
 
-	// Counted has a bit for each shard for which the sender counts the
-	// receiver's seat.
+	// Counted has a bit for each shard for which the sender counts the receiver's
+	// seat.
 	Counted uint64 `msgpack:"k,omitempty"`
 
-	// Leaving owners are to be lent nothing.
+	// Leaving says that the sender is stopping; nothing must be lent to it.
 	Leaving bool `msgpack:"v,omitempty"`
 
 	Allocations []Allocation `msgpack:"h,omitempty"`
 }
 
-// Share answers one Use that asked for tokens.
+// Allocation answers a Usage that requested tokens.
 type Allocation struct {
 	Service  state.ServiceID  `msgpack:"s"`
 	Customer state.CustomerID `msgpack:"c"`
 	Batch    uint64           `msgpack:"b,omitempty"`
 	Tokens   uint32           `msgpack:"n,omitempty"`
 
-	// WaitMillis is when the next token may be there, if Tokens is less than
-	// was needed.
+	// WaitMillis is the estimated time until the next token is available, if
+	// Tokens is less than Need.
 	WaitMillis uint32 `msgpack:"w,omitempty"`
 
-	// Tight reports that the whole burst is out in batches: nothing is minted
-	// until the word on spent tokens comes.
+	// Exhausted says that the entire burst is outstanding in batches: no tokens
+	// are added until spent ones are reported.
 	Exhausted bool `msgpack:"g,omitempty"`
 
-	// Word reports that much of the burst is out in batches. Else a batch that
-	// was spent whole needs no word: it is taken as spent when it runs out.
+	// ReportSpent says that much of the burst is outstanding in batches, so that
+	// completely spent batches must be reported. Otherwise they need no report,
+	// because a batch counts as spent when it expires.
 	ReportSpent bool `msgpack:"d,omitempty"`
 
-	// Unready reports that the sender has no seats for the key, so that
-	// nothing is known of the limit.
+	// Unready says that the sender has no seats or no limit for the key, or is
+	// leaving, so that it can't tell whether the limit is exhausted.
 	Unready bool `msgpack:"u,omitempty"`
 }
 
--- a/coordination/limit/owner.go
+++ b/coordination/limit/owner.go
@@ -7,11 +7,11 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// wordPart of the burst, as one in so many, may be out in batches before the
-// holders are to tell of each that was spent whole.
-const wordPart = 8
+// spentReportDivisor: once 1/spentReportDivisor of the burst is outstanding in
+// batches, holders must report each batch that is spent completely.
+const spentReportDivisor = 8
 
-// owner is the part of a Limiter that borrows seats and gives out tokens.
+// owner is the part of a Limiter that borrows seats and distributes tokens.
 type owner struct {
 	cfg       *Config
 	start     time.Time
@@ -23,18 +23,18 @@
 	leaving   bool
 }
 
-// ownedShard is what an owner has of one shard.
+// ownedShard is an owner's state for one shard.
 type ownedShard struct {
-	lent    []time.Time // by seat: the owner may count it until then
-	steady  time.Time   // the number of seats has not grown since
-	buckets map[Key]*bucket
+	loanExpiry  []time.Time // by seat: until when the owner may count it
+	seatsGrewAt time.Time   // when the number of seats last grew
+	buckets     map[Key]*bucket
 }
 
-// peer is what an owner remembers of a daemon that reports to it.
+// peer is an owner's state for a daemon that reports to it.
 type peer struct {
-	member state.Member
-	stamp  int64 // of its newest Report
-	heard  time.Time
+	member     state.Member
+	stamp      int64 // Stamp of its newest Report
+	lastReport time.Time
 }
 
 func newOwner(cfg *Config, start time.Time, limits map[Key]Limit) *owner {
@@ -51,48 +51,49 @@
 	}
 	for i := range o.shards {
 		o.shards[i] = ownedShard{
-			lent:    make([]time.Time, len(cfg.Seats)),
-			steady:  start,
-			buckets: make(map[Key]*bucket),
+			loanExpiry:  make([]time.Time, len(cfg.Seats)),
+			seatsGrewAt: start,
+			buckets:     make(map[Key]*bucket),
 		}
 	}
 	return o
 }
 
-// seats counts the loans that outlast every batch given out now. So whenever a
-// loan runs out, all batches that were given on its strength have run out, and
-// its seat can back another owner's tokens.
-func (s *ownedShard) seats(now time.Time, batchLife time.Duration) int {
+// seats returns the number of loans that expire after every batch given out now.
+// So whenever a loan expires, all batches that it backed have expired, and its
+// seat can back another owner's tokens.
+func (s *ownedShard) seats(now time.Time, batchTTL time.Duration) int {
 	n := 0
-	for _, until := range s.lent {
-		if !until.Before(now.Add(batchLife)) {
+	for _, until := range s.loanExpiry {
+		if !until.Before(now.Add(batchTTL)) {
 			n++
 		}
 	}
 	return n
 }
 
-// report applies r and returns the answer; false when r is not to be answered.
-func (o *owner) report(now time.Time, from state.Member, known state.Incarnation, r Report) (Grant, bool) {
-	g := Grant{Stamp: stamp(o.start, now), Echo: r.Stamp, To: known, Leaving: o.leaving}
-	if known > from.Incarnation {
-		// An earlier life that was paused while it was replaced: tell it.
+// handleReport applies r and returns the answer, or false if r gets no answer.
+func (o *owner) handleReport(now time.Time, from state.Member, knownIncarnation state.Incarnation, r Report) (Grant, bool) {
+	g := Grant{Stamp: stamp(o.start, now), Echo: r.Stamp, To: knownIncarnation, Leaving: o.leaving}
+	if knownIncarnation > from.Incarnation {
+		// The sender is an earlier incarnation, which was paused while it was
+		// replaced. The answer says so.
 		return g, true
 	}
 	p := o.peer(from)
 	if r.Stamp <= p.stamp {
-		// Late or repeated: a newer Report may have asked a loan back.
+		// Late or duplicated: a newer Report may have reclaimed a loan.
 		return Grant{}, false
 	}
 	p.stamp = r.Stamp
-	p.heard = now
+	p.lastReport = now
 	if i, ok := o.seatIndex[from.ID]; ok {
 		o.borrow(now, i, r)
-		g.Counted = o.counted(now, i)
+		g.Counted = o.countedShards(now, i)
 	}
 	for _, u := range r.Usages {
-		if share, ok := o.use(now, from, u); ok {
-			g.Allocations = append(g.Allocations, share)
+		if alloc, ok := o.handleUsage(now, from, u); ok {
+			g.Allocations = append(g.Allocations, alloc)
 		}
 	}
 	return g, true
@@ -107,112 +108,114 @@
 	return p
 }
 
-// borrow takes over what r says of the loans of seat i.
+// borrow applies the loans of seat i in r.
 func (o *owner) borrow(now time.Time, i int, r Report) {
 	until := o.start.Add(time.Duration(r.Echo) - 1 + o.cfg.LoanTTL)
-	mine := r.To == o.cfg.Self.Incarnation && !o.leaving
-	mine = mine && r.Echo > 0 && r.Echo <= stamp(o.start, now)
+	valid := r.To == o.cfg.Self.Incarnation && !o.leaving
+	valid = valid && r.Echo > 0 && r.Echo <= stamp(o.start, now)
 	for n := range o.shards {
 		s := &o.shards[n]
 		lent := r.Lent&(1<<n) != 0
 		switch {
-		case lent && mine && until.After(s.lent[i]):
+		case lent && valid && until.After(s.loanExpiry[i]):
 			o.extend(now, s, i, until)
-		case !lent && s.lent[i].After(now):
+		case !lent && s.loanExpiry[i].After(now):
 			o.giveBack(now, s, i)
 		}
 	}
 }
 
-// extend counts seat i until then. Accounts are settled first with the seats
-// that they had, so that no time is minted for that the seat was elsewhere.
+// extend extends the loan of seat i. The buckets are first advanced with the
+// previous number of seats, so that no tokens are added for the time when the seat
+// was lent to another owner.
 func (o *owner) extend(now time.Time, s *ownedShard, i int, until time.Time) {
-	life := o.cfg.outlast(o.cfg.BatchTTL)
-	before := s.seats(now, life)
-	old := s.lent[i]
-	s.lent[i] = until
-	if s.seats(now, life) == before {
+	ttl := o.cfg.addClockDrift(o.cfg.BatchTTL)
+	before := s.seats(now, ttl)
+	old := s.loanExpiry[i]
+	s.loanExpiry[i] = until
+	if s.seats(now, ttl) == before {
 		return
 	}
-	s.lent[i] = old
+	s.loanExpiry[i] = old
 	for _, b := range s.buckets {
-		b.settle(now, before, o.cfg)
+		b.advanceTo(now, before, o.cfg)
 	}
-	s.lent[i] = until
-	s.steady = now
+	s.loanExpiry[i] = until
+	s.seatsGrewAt = now
 }
 
-// giveBack ends the loan of seat i early if no token depends on it; else it
-// runs out by itself.
+// giveBack ends the loan of seat i early if no token depends on it. Otherwise the
+// loan expires by itself.
 func (o *owner) giveBack(now time.Time, s *ownedShard, i int) {
-	old := s.lent[i]
-	s.lent[i] = time.Time{}
-	seats := s.seats(now, o.cfg.outlast(o.cfg.BatchTTL))
+	old := s.loanExpiry[i]
+	s.loanExpiry[i] = time.Time{}
+	seats := s.seats(now, o.cfg.addClockDrift(o.cfg.BatchTTL))
 	for _, b := range s.buckets {
-		b.settle(now, seats, o.cfg)
+		b.advanceTo(now, seats, o.cfg)
 		burst, _ := b.limit.share(seats, o.cfg.Total)
 		if b.outstanding > burst {
-			s.lent[i] = old
+			s.loanExpiry[i] = old
 			return
 		}
 	}
 }
 
-// counted has a bit for each shard in which seat i still counts.
-func (o *owner) counted(now time.Time, i int) uint64 {
+// countedShards returns a bit for each shard in which seat i still counts.
+func (o *owner) countedShards(now time.Time, i int) uint64 {
 	var bits uint64
 	for n := range o.shards {
-		if o.shards[n].lent[i].After(now) {
+		if o.shards[n].loanExpiry[i].After(now) {
 			bits |= 1 << n
 		}
 	}
 	return bits
 }
 
-// use applies u; the Share answers it if it asked for tokens.
-func (o *owner) use(now time.Time, from state.Member, u Usage) (Allocation, bool) {
+// handleUsage applies u. It returns an Allocation and true if u requested tokens.
+func (o *owner) handleUsage(now time.Time, from state.Member, u Usage) (Allocation, bool) {
 	key := Key{Service: u.Service, Customer: u.Customer}
-	share := Allocation{Service: u.Service, Customer: u.Customer}
-	wants := u.Need > 0 || u.Prefetch > 0
+	alloc := Allocation{Service: u.Service, Customer: u.Customer}
+	wantsTokens := u.Need > 0 || u.Prefetch > 0
 	s := &o.shards[key.shard(o.cfg.Shards)]
-	life := o.cfg.outlast(o.cfg.BatchTTL)
-	seats := s.seats(now, life)
+	ttl := o.cfg.addClockDrift(o.cfg.BatchTTL)
+	seats := s.seats(now, ttl)
 	b := o.bucket(now, s, key, seats)
 	if b == nil {
-		share.Unready = true
-		return share, wants
+		alloc.Unready = true
+		return alloc, wantsTokens
 	}
-	b.settle(now, seats, o.cfg)
+	b.advanceTo(now, seats, o.cfg)
 	for _, bu := range u.Batches {
-		b.used(from, bu)
+		b.applyUsage(from, bu)
 	}
-	if !wants {
-		return share, false
+	if !wantsTokens {
+		return alloc, false
 	}
 	if seats == 0 || o.leaving {
-		share.Unready = true
-		return share, true
+		alloc.Unready = true
+		return alloc, true
 	}
-	n := b.give(int(u.Need), int(u.Prefetch), o.cfg)
+	n := b.take(int(u.Need), int(u.Prefetch), o.cfg)
 	if n > 0 {
 		o.nextBatch++
 		b.batches = append(b.batches, batch{
-			id: o.nextBatch, holder: from, size: uint32(n), deadline: now.Add(life),
+			id: o.nextBatch, holder: from, size: uint32(n), deadline: now.Add(ttl),
 		})
-		share.Batch = o.nextBatch
-		share.Tokens = uint32(n)
+		alloc.Batch = o.nextBatch
+		alloc.Tokens = uint32(n)
 	}
 	burst, _ := b.limit.share(seats, o.cfg.Total)
-	share.Exhausted = b.outstanding >= burst
-	share.ReportSpent = wordPart*b.outstanding >= burst
+	alloc.Exhausted = b.outstanding >= burst
+	alloc.ReportSpent = spentReportDivisor*b.outstanding >= burst
 	if n < int(u.Need) {
-		share.WaitMillis = uint32(b.wait(o.cfg).Milliseconds())
+		alloc.WaitMillis = uint32(b.nextTokenIn(o.cfg).Milliseconds())
 	}
-	return share, true
+	return alloc, true
 }
 
-// bucket returns the account of key, a new one with what was minted since the
-// seats last grew, or nil when the documents give no limit.
+// bucket returns the bucket of key, or nil if the documents have no limit for it.
+// A new bucket contains the tokens for the time since the number of seats last
+// grew.
 func (o *owner) bucket(now time.Time, s *ownedShard, key Key, seats int) *bucket {
 	if b := s.buckets[key]; b != nil {
 		return b
@@ -221,39 +224,39 @@
 	if !ok {
 		return nil
 	}
-	b := &bucket{limit: l, settled: s.steady, seats: seats}
-	b.settle(now, seats, o.cfg)
+	b := &bucket{limit: l, settledAt: s.seatsGrewAt, seats: seats}
+	b.advanceTo(now, seats, o.cfg)
 	s.buckets[key] = b
 	return b
 }
 
-// setLimit changes the limit of an account from now on.
+// setLimit changes the limit of an existing bucket from now on.
 func (o *owner) setLimit(now time.Time, key Key, l Limit) {
 	s := &o.shards[key.shard(o.cfg.Shards)]
 	b := s.buckets[key]
 	if b == nil {
 		return
 	}
-	b.settle(now, s.seats(now, o.cfg.outlast(o.cfg.BatchTTL)), o.cfg)
+	b.advanceTo(now, s.seats(now, o.cfg.addClockDrift(o.cfg.BatchTTL)), o.cfg)
 	b.limit = l
 }
 
-// peerLife is how long a silent peer's newest stamp is kept: far longer than a
-// message can be on its way.
-const peerLife = 10 * time.Minute
+// peerTTL is how long the newest stamp of a peer that sends no reports is kept. It
+// is far longer than a message can be in flight.
+const peerTTL = 10 * time.Minute
 
-// forget drops accounts that a new one would equal, those of an owner without
-// seats and tokens, and daemons that are long gone.
-func (o *owner) forget(now time.Time) {
+// evict drops buckets that equal a new one, buckets without seats and batches, and
+// peers that have sent no report for peerTTL.
+func (o *owner) evict(now time.Time) {
 	maps.DeleteFunc(o.peers, func(_ state.DaemonID, p *peer) bool {
-		return now.Sub(p.heard) > peerLife
+		return now.Sub(p.lastReport) > peerTTL
 	})
-	life := o.cfg.outlast(o.cfg.BatchTTL)
+	ttl := o.cfg.addClockDrift(o.cfg.BatchTTL)
 	for n := range o.shards {
 		s := &o.shards[n]
-		seats := s.seats(now, life)
+		seats := s.seats(now, ttl)
 		for key, b := range s.buckets {
-			b.settle(now, seats, o.cfg)
+			b.advanceTo(now, seats, o.cfg)
 			if b.full(o.cfg) || seats == 0 && len(b.batches) == 0 {
 				delete(s.buckets, key)
 			}
@@ -261,7 +264,7 @@
 	}
 }
 
-// stamp writes now as nanoseconds since start, from 1.
+// stamp returns now as nanoseconds since start, from 1.
 func stamp(start, now time.Time) int64 {
 	return int64(now.Sub(start)) + 1
 }
--- a/coordination/limit/session.go
+++ b/coordination/limit/session.go
@@ -6,58 +6,58 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// session is what a daemon knows of one owner that it reports to.
+// session is a daemon's state for one owner that it reports to.
 type session struct {
 	id     state.DaemonID
-	member state.Member // its life that answered last
+	member state.Member // the incarnation that answered last
 
-	grantStamp int64     // of its newest Grant
-	grantAt    time.Time // when that came
+	grantStamp int64     // Stamp of its newest Grant
+	grantAt    time.Time // when that Grant was received
 
-	lastStamp  int64     // of the newest Report to it
-	lastSent   time.Time // when that left
-	unanswered time.Time // when the oldest unanswered Report left; zero if none
-	echoed     int64     // Stamp of the newest answered Report
+	lastStamp       int64     // Stamp of the newest Report to it
+	lastSent        time.Time // when that Report was sent
+	unansweredSince time.Time // when the oldest unanswered Report was sent; zero if none
+	ackedStamp      int64     // Stamp of the newest answered Report
 
-	urgent  bool // a Report should leave as soon as MinGap permits
-	leaving bool
+	urgent  bool // a Report should be sent as soon as MinReportInterval permits
+	leaving bool // the owner is leaving
 }
 
-// sessionState orders the choice of owners.
+// sessionState is the state of an owner, for the choice of owners.
 type sessionState int
 
 const (
-	sessionUntried sessionState = iota
-	sessionAnswering
-	sessionOut // silent or leaving
+	sessionNew sessionState = iota
+	sessionResponsive
+	sessionUnavailable // unresponsive or leaving
 )
 
-func (s *session) state(now time.Time, silentFor time.Duration) sessionState {
+func (s *session) state(now time.Time, timeout time.Duration) sessionState {
 	switch {
 	case s.leaving:
-		return sessionOut
-	case !s.unanswered.IsZero() && now.Sub(s.unanswered) > silentFor:
-		return sessionOut
+		return sessionUnavailable
+	case !s.unansweredSince.IsZero() && now.Sub(s.unansweredSince) > timeout:
+		return sessionUnavailable
 	case s.grantStamp == 0:
-		return sessionUntried
+		return sessionNew
 	default:
-		return sessionAnswering
+		return sessionResponsive
 	}
 }
 
-// sent notes that a Report left.
-func (s *session) sent(now time.Time, stamp int64) {
+// reportSent records that a Report was sent.
+func (s *session) reportSent(now time.Time, stamp int64) {
 	s.lastStamp = stamp
 	s.lastSent = now
 	s.urgent = false
-	if s.unanswered.IsZero() {
-		s.unanswered = now
+	if s.unansweredSince.IsZero() {
+		s.unansweredSince = now
 	}
 }
 
-// answered applies the head of a Grant; false when the Grant is late, repeated
-// or of an earlier life, and nothing in it counts.
-func (s *session) answered(now time.Time, from state.Member, g Grant) bool {
+// acceptGrant applies the header of a Grant. It returns false if the Grant is late,
+// duplicated or from an earlier incarnation, and so must be ignored.
+func (s *session) acceptGrant(now time.Time, from state.Member, g Grant) bool {
 	if from.Incarnation < s.member.Incarnation || g.Echo > s.lastStamp || g.Echo <= 0 {
 		return false
 	}
@@ -70,23 +70,23 @@
 	s.member = from
 	s.grantStamp = g.Stamp
 	s.grantAt = now
-	s.echoed = max(s.echoed, g.Echo)
+	s.ackedStamp = max(s.ackedStamp, g.Echo)
 	s.leaving = g.Leaving
-	s.unanswered = time.Time{}
+	s.unansweredSince = time.Time{}
 	if g.Echo < s.lastStamp {
-		s.unanswered = s.lastSent
+		s.unansweredSince = s.lastSent
 	}
 	return true
 }
 
-// maySend reports whether an urgent Report can leave: one at a time, unless
-// the one before seems lost.
+// maySend reports whether an urgent Report can be sent: one at a time, unless the
+// previous one seems to be lost.
 func (s *session) maySend(now time.Time, cfg *Config) bool {
 	return s.lastSent.IsZero() || !now.Before(s.sendableAt(cfg))
 }
 
 func (s *session) sendableAt(cfg *Config) time.Time {
-	if s.unanswered.IsZero() {
+	if s.unansweredSince.IsZero() {
 		return s.lastSent.Add(cfg.MinReportInterval)
 	}
 	return s.lastSent.Add(cfg.ReportInterval)
--- a/coordination/limit/share.go
+++ b/coordination/limit/share.go
@@ -6,13 +6,13 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Key names what one limit is for.
+// Key identifies the service and the customer of a limit.
 type Key struct {
 	Service  state.ServiceID
 	Customer state.CustomerID
 }
 
-// Limit is requests a second, with a burst of at least one request.
+// Limit is a rate in requests per second, with a burst of at least one request.
 type Limit struct {
 	PerSecond float64
 	Burst     int
@@ -26,14 +26,14 @@
 }
 
 // share returns the part of l that an owner with seats of total seats may give
-// out: whole tokens at one time, and tokens a second.
+// out: the burst in whole tokens and the rate in tokens per second.
 //
-// Whatever disjoint sets of seats the owners of one key have, the bursts sum to
-// at most l.Burst and the rates to at most l.PerSecond: an owner without a
-// majority takes its proportion, rounded down; the one owner that can have a
-// majority takes what the others, together at best one owner, can't. Rounding
-// that way lets a limit with a burst of one token work at all: no owner has
-// nine ninths of a token while one seat of nine is lost.
+// Whatever disjoint sets of seats the owners of one key have, the bursts sum to at
+// most l.Burst and the rates to at most l.PerSecond. An owner without a majority
+// gets its proportion, rounded down. The one owner that can have a majority gets
+// the rest, computed as if all other seats belonged to a single owner. Without
+// this rounding a limit with a burst of one token would not work at all while one
+// of nine seats is lost: no owner would have nine ninths of a token.
 func (l Limit) share(seats, total int) (burst int, perSecond float64) {
 	whole := max(1, l.Burst)
 	part := l.PerSecond * float64(seats) / float64(total)
--- a/coordination/limit/world_test.go
+++ b/coordination/limit/world_test.go
@@ -14,16 +14,17 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// checkEvery is how many steps pass between two checks of a verified world.
+// checkEvery is the number of steps between two checks of the invariants.
 const checkEvery = 10
 
 var epoch = time.Unix(1_000_000, 0)
 
-// world runs daemons in virtual time, each on a clock of its own rate, over
-// links that delay, lose and part. It keeps the true record of each key: a
-// token bucket that starts full, fills at exactly the limit, and is one lower
-// for each admitted request. Below zero, the limit was overshot.
-type world struct {
+// simulation runs daemons in virtual time, each with a clock of its own rate, over
+// links with delays, message loss and partitions. For each key it keeps a
+// reference: a token bucket that starts full, is refilled at exactly the limit's
+// rate, and loses one token for each admitted request. If its level is negative,
+// the limit was exceeded.
+type simulation struct {
 	now   time.Duration
 	queue events
 	seq   int
@@ -31,50 +32,51 @@
 	nodes []*node
 	seats []state.DaemonID
 
-	// strays are earlier lives that a replacement has not ended.
-	strays []*node
-	keys   []limit.Key
-	truth  map[limit.Key]*truth
+	// replacedNodes are earlier incarnations that run on after they were replaced.
+	replacedNodes []*node
+	keys          []limit.Key
+	reference     map[limit.Key]*referenceBucket
 
-	loss     float64
-	minDelay time.Duration
-	maxDelay time.Duration
-	unruly   bool // one message in 50 comes up to 4 s late, one in 50 twice
-	measure  bool // count bytes, and not what is spendable
-	verify   bool // check the invariants of check after each step
-	broken   string
-	steps    int
+	loss                float64
+	minDelay            time.Duration
+	maxDelay            time.Duration
+	reorderAndDuplicate bool // delay one message in 50 by up to 4 s, duplicate one in 50
+	measure             bool // count bytes instead of spendable tokens
+	verify              bool // check the invariants
+	violation           string
+	steps               int
 
 	messages int
 }
 
-type truth struct {
-	customer service.Customer
-	level    float64
-	at       time.Duration
-	lowest   float64 // of level
-	most     int     // spendable at one time
-	asked    int
-	admitted int
-	bins     []int   // admitted, by 100 ms
-	ideal    float64 // level of one central bucket that is asked the same
-	idealAt  time.Duration
-	idealAdm int
-	owner    state.DaemonID // the last that gave another daemon tokens
+// referenceBucket is the reference for one key, with what was observed of it.
+type referenceBucket struct {
+	customer        service.Customer
+	level           float64
+	at              time.Duration
+	minLevel        float64 // lowest level
+	maxSpendable    int     // most tokens spendable at the same time
+	requests        int
+	admitted        int
+	admittedByBin   []int   // requests admitted, by 100 ms
+	centralLevel    float64 // level of one central bucket with the same demand
+	centralAt       time.Duration
+	centralAdmitted int
+	lastOwner       state.DaemonID // the last one that sent tokens to another daemon
 }
 
 type node struct {
-	id       state.DaemonID
-	life     state.Incarnation
-	m        *limit.Limiter
-	rate     float64
-	offset   time.Duration
-	pausedTo time.Duration
-	dead     bool
-	side     int
-	admitted int
-	sent     int // bytes
-	wake     time.Duration
+	id          state.DaemonID
+	incarnation state.Incarnation
+	m           *limit.Limiter
+	rate        float64
+	offset      time.Duration
+	pausedTo    time.Duration
+	dead        bool
+	partition   int
+	admitted    int
+	sent        int // bytes
+	nextTick    time.Duration
 }
 
 type event struct {
@@ -97,272 +99,274 @@
 	return last
 }
 
-func newWorld(seed uint64, daemons, seats int, customers ...service.Customer) *world {
-	w := &world{
-		rng:      rand.New(rand.NewPCG(seed, 7)),
-		truth:    make(map[limit.Key]*truth),
-		minDelay: 200 * time.Microsecond,
-		maxDelay: time.Millisecond,
+func newSimulation(seed uint64, daemons, seats int, customers ...service.Customer) *simulation {
+	sim := &simulation{
+		rng:       rand.New(rand.NewPCG(seed, 7)),
+		reference: make(map[limit.Key]*referenceBucket),
+		minDelay:  200 * time.Microsecond,
+		maxDelay:  time.Millisecond,
 	}
 	for _, c := range customers {
 		k := limit.Key{Service: "s", Customer: c.ID}
-		w.keys = append(w.keys, k)
-		w.truth[k] = &truth{
-			customer: c, level: float64(c.Burst), lowest: float64(c.Burst), ideal: float64(c.Burst),
-			bins: make([]int, 3000),
+		sim.keys = append(sim.keys, k)
+		sim.reference[k] = &referenceBucket{
+			customer: c, level: float64(c.Burst), minLevel: float64(c.Burst), centralLevel: float64(c.Burst),
+			admittedByBin: make([]int, 3000),
 		}
 	}
 	var ids []state.DaemonID
 	for i := range daemons {
 		ids = append(ids, state.DaemonID(fmt.Sprintf("entry-%d", i)))
 	}
-	w.seats = ids[:seats]
+	sim.seats = ids[:seats]
 	for _, id := range ids {
-		n := &node{id: id, life: 1}
-		w.nodes = append(w.nodes, n)
-		w.boot(n, w.seats)
+		n := &node{id: id, incarnation: 1}
+		sim.nodes = append(sim.nodes, n)
+		sim.start(n, sim.seats)
 	}
-	return w
+	return sim
 }
 
-// boot starts a life of n with a new clock.
-func (w *world) boot(n *node, seats []state.DaemonID) {
-	n.rate = 0.99 + 0.02*w.rng.Float64()
-	n.offset = time.Duration(w.rng.Int64N(int64(time.Hour)))
+// start starts an incarnation of n with a new clock.
+func (sim *simulation) start(n *node, seats []state.DaemonID) {
+	n.rate = 0.99 + 0.02*sim.rng.Float64()
+	n.offset = time.Duration(sim.rng.Int64N(int64(time.Hour)))
 	n.dead = false
 	n.pausedTo = 0
-	n.m = limit.New(limit.Config{Self: state.Member{ID: n.id, Incarnation: n.life}, Seats: seats}, w.clock(n))
+	n.m = limit.New(limit.Config{Self: state.Member{ID: n.id, Incarnation: n.incarnation}, Seats: seats}, sim.clock(n))
 	var customers []service.Customer
-	for _, k := range w.keys {
-		customers = append(customers, w.truth[k].customer)
+	for _, k := range sim.keys {
+		customers = append(customers, sim.reference[k].customer)
 	}
-	w.step(n, limit.Limits{Service: "s", Customers: customers})
+	sim.step(n, limit.Limits{Service: "s", Customers: customers})
 }
 
-// replaceAt pauses node i for a while and starts its next life meanwhile; the
-// old one wakes beside it.
-func (w *world) replaceAt(i int, at, after, pause time.Duration) {
-	w.at(at, func() {
-		old := w.nodes[i]
-		old.pausedTo = w.now + pause
-		w.at(w.now+after, func() {
-			w.strays = append(w.strays, old)
-			w.nodes[i] = &node{id: old.id, life: old.life + 1}
-			w.boot(w.nodes[i], w.seats)
+// replaceAt pauses node i at a time and starts its next incarnation after a while;
+// the old one resumes while that one runs.
+func (sim *simulation) replaceAt(i int, at, after, pause time.Duration) {
+	sim.schedule(at, func() {
+		old := sim.nodes[i]
+		old.pausedTo = sim.now + pause
+		sim.schedule(sim.now+after, func() {
+			sim.replacedNodes = append(sim.replacedNodes, old)
+			sim.nodes[i] = &node{id: old.id, incarnation: old.incarnation + 1}
+			sim.start(sim.nodes[i], sim.seats)
 		})
 	})
 }
 
-func (w *world) restart(i int) {
-	n := w.nodes[i]
+func (sim *simulation) restart(i int) {
+	n := sim.nodes[i]
 	n.dead = true
-	next := &node{id: n.id, life: n.life + 1, side: n.side}
-	w.nodes[i] = next
-	w.boot(next, w.seats)
+	next := &node{id: n.id, incarnation: n.incarnation + 1, partition: n.partition}
+	sim.nodes[i] = next
+	sim.start(next, sim.seats)
 }
 
-// all returns every life that may still run.
-func (w *world) all() []*node {
-	if len(w.strays) == 0 {
-		return w.nodes
+// allNodes returns every incarnation that may still run.
+func (sim *simulation) allNodes() []*node {
+	if len(sim.replacedNodes) == 0 {
+		return sim.nodes
 	}
-	return slices.Concat(w.strays, w.nodes)
+	return slices.Concat(sim.replacedNodes, sim.nodes)
 }
 
-// clock reads n's clock.
-func (w *world) clock(n *node) time.Time {
-	return epoch.Add(n.offset + time.Duration(float64(w.now)*n.rate))
+// clock returns the time on n's clock.
+func (sim *simulation) clock(n *node) time.Time {
+	return epoch.Add(n.offset + time.Duration(float64(sim.now)*n.rate))
 }
 
-func (w *world) at(t time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, event{at: max(t, w.now), seq: w.seq, do: do})
+func (sim *simulation) schedule(t time.Duration, do func()) {
+	sim.seq++
+	heap.Push(&sim.queue, event{at: max(t, sim.now), seq: sim.seq, do: do})
 }
 
-// on runs do on n once it is not paused, and never if that life has ended.
-func (w *world) on(t time.Duration, n *node, do func()) {
-	w.at(t, func() {
+// runOn runs do on n at time t or after n's pause, unless that incarnation has
+// ended.
+func (sim *simulation) runOn(t time.Duration, n *node, do func()) {
+	sim.schedule(t, func() {
 		switch {
 		case n.dead:
-		case n.pausedTo > w.now:
-			w.on(n.pausedTo, n, do)
+		case n.pausedTo > sim.now:
+			sim.runOn(n.pausedTo, n, do)
 		default:
 			do()
 		}
 	})
 }
 
-func (w *world) run(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		ev := heap.Pop(&w.queue).(event)
-		w.now = ev.at
+func (sim *simulation) run(until time.Duration) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		ev := heap.Pop(&sim.queue).(event)
+		sim.now = ev.at
 		ev.do()
 	}
-	w.now = until
+	sim.now = until
 }
 
-func (w *world) step(n *node, ev limit.Event) {
-	for _, a := range n.m.Step(w.clock(n), ev) {
+func (sim *simulation) step(n *node, ev limit.Event) {
+	for _, a := range n.m.Step(sim.clock(n), ev) {
 		switch a := a.(type) {
 		case limit.Send:
-			w.send(n, a)
+			sim.send(n, a)
 		case limit.Admit:
 			n.admitted++
-			w.admitted(w.keys[a.Call])
+			sim.recordAdmission(sim.keys[a.Call])
 		}
 	}
-	w.steps++
-	if w.steps%checkEvery == 0 && !w.measure {
-		for _, k := range w.keys {
-			w.count(k)
-			if w.verify {
-				w.check(k)
+	sim.steps++
+	if sim.steps%checkEvery == 0 && !sim.measure {
+		for _, k := range sim.keys {
+			sim.recordSpendable(k)
+			if sim.verify {
+				sim.checkInvariants(k)
 			}
 		}
 	}
 	next := time.Duration(float64(n.m.NextTick().Sub(epoch)-n.offset)/n.rate) + 1
-	if next != n.wake {
-		n.wake = next
-		w.on(next, n, func() {
-			if n.wake == next {
-				n.wake = 0
-				w.step(n, limit.Tick{})
+	if next != n.nextTick {
+		n.nextTick = next
+		sim.runOn(next, n, func() {
+			if n.nextTick == next {
+				n.nextTick = 0
+				sim.step(n, limit.Tick{})
 			}
 		})
 	}
 }
 
-// count notes what is spendable at one time.
-func (w *world) count(k limit.Key) {
+// recordSpendable records the tokens that are spendable at the same time.
+func (sim *simulation) recordSpendable(k limit.Key) {
 	sum := 0
-	for _, n := range w.all() {
+	for _, n := range sim.allNodes() {
 		if !n.dead {
-			sum += n.m.Spendable(w.clock(n), k)
+			sum += n.m.Spendable(sim.clock(n), k)
 		}
 	}
-	w.truth[k].most = max(w.truth[k].most, sum)
+	sim.reference[k].maxSpendable = max(sim.reference[k].maxSpendable, sum)
 }
 
-// check looks for a seat counted twice, an owner with more tokens out than its
-// seats allow, a holder with tokens that their owner has written off, and more
-// to give and spend in total than the true bucket holds.
-func (w *world) check(k limit.Key) {
-	counted := make([]int, len(w.seats))
+// checkInvariants looks for a seat counted by two owners, an owner with more
+// outstanding tokens than its seats allow, a holder with tokens that their owner
+// no longer counts, and more tokens in total than the reference bucket has.
+func (sim *simulation) checkInvariants(k limit.Key) {
+	counted := make([]int, len(sim.seats))
 	total := 0.0
-	all := w.all()
+	all := sim.allNodes()
 	for _, o := range all {
 		if o.dead {
 			continue
 		}
-		for i, yes := range o.m.Counts(w.clock(o), k) {
+		for i, yes := range o.m.Counts(sim.clock(o), k) {
 			if yes {
 				counted[i]++
 			}
 		}
-		level, burst, out := o.m.Account(w.clock(o), k)
+		level, burst, outstanding := o.m.Account(sim.clock(o), k)
 		total += level
-		owner := state.Member{ID: o.id, Incarnation: o.life}
+		owner := state.Member{ID: o.id, Incarnation: o.incarnation}
 		sum := 0
 		for _, h := range all {
-			holder := state.Member{ID: h.id, Incarnation: h.life}
-			sum += out[holder]
-			if !h.dead && h.m.SpendableOf(w.clock(h), k, owner) > out[holder] {
-				w.broken = fmt.Sprintf("%s: %v holds tokens of %v that it has written off", k.Customer, holder, owner)
+			holder := state.Member{ID: h.id, Incarnation: h.incarnation}
+			sum += outstanding[holder]
+			if !h.dead && h.m.SpendableOf(sim.clock(h), k, owner) > outstanding[holder] {
+				sim.violation = fmt.Sprintf("%s: %v holds tokens of %v that the owner no longer counts", k.Customer, holder, owner)
 			}
 		}
 		if sum > burst {
-			w.broken = fmt.Sprintf("%s: %v has %d tokens out, its seats allow %d", k.Customer, owner, sum, burst)
+			sim.violation = fmt.Sprintf("%s: %v has %d outstanding tokens, its seats allow %d", k.Customer, owner, sum, burst)
 		}
 	}
 	for i, n := range counted {
 		if n > 1 {
-			w.broken = fmt.Sprintf("%s: seat %d counts at %d owners", k.Customer, i, n)
+			sim.violation = fmt.Sprintf("%s: seat %d is counted by %d owners", k.Customer, i, n)
 		}
 	}
 	for _, h := range all {
 		if !h.dead {
-			total += float64(h.m.Spendable(w.clock(h), k))
+			total += float64(h.m.Spendable(sim.clock(h), k))
 		}
 	}
-	t := w.truth[k]
-	left := min(float64(t.customer.Burst), t.level+t.customer.RequestsPerSecond*(w.now-t.at).Seconds())
+	t := sim.reference[k]
+	left := min(float64(t.customer.Burst), t.level+t.customer.RequestsPerSecond*(sim.now-t.at).Seconds())
 	if total > left+1e-6 {
-		w.broken = fmt.Sprintf("%s: %v to give and spend, the limit has left %v", k.Customer, total, left)
+		sim.violation = fmt.Sprintf("%s: %v tokens in buckets and batches, the reference bucket has %v", k.Customer, total, left)
 	}
 }
 
-func (w *world) send(from *node, a limit.Send) {
-	w.messages++
-	if w.measure {
+func (sim *simulation) send(from *node, a limit.Send) {
+	sim.messages++
+	if sim.measure {
 		b, _ := msgpack.Marshal(a.Msg)
 		from.sent += len(b)
 	}
 	if g, ok := a.Msg.(limit.Grant); ok {
 		for _, s := range g.Allocations {
 			if s.Tokens > 0 {
-				w.truth[limit.Key{Service: s.Service, Customer: s.Customer}].owner = from.id
+				sim.reference[limit.Key{Service: s.Service, Customer: s.Customer}].lastOwner = from.id
 			}
 		}
 	}
-	if w.rng.Float64() < w.loss {
+	if sim.rng.Float64() < sim.loss {
 		return
 	}
-	delay := w.minDelay + time.Duration(w.rng.Int64N(int64(w.maxDelay-w.minDelay)))
-	if w.unruly && w.rng.IntN(50) == 0 {
-		delay += time.Duration(w.rng.Int64N(int64(4 * time.Second)))
+	delay := sim.minDelay + time.Duration(sim.rng.Int64N(int64(sim.maxDelay-sim.minDelay)))
+	if sim.reorderAndDuplicate && sim.rng.IntN(50) == 0 {
+		delay += time.Duration(sim.rng.Int64N(int64(4 * time.Second)))
 	}
 	copies := 1
-	if w.unruly && w.rng.IntN(50) == 0 {
+	if sim.reorderAndDuplicate && sim.rng.IntN(50) == 0 {
 		copies = 2
 	}
-	sender := state.Member{ID: from.id, Incarnation: from.life}
-	for _, to := range w.all() {
-		if to.id == a.To && to.side == from.side {
+	sender := state.Member{ID: from.id, Incarnation: from.incarnation}
+	for _, to := range sim.allNodes() {
+		if to.id == a.To && to.partition == from.partition {
 			for range copies {
-				w.on(w.now+delay, to, func() { w.step(to, limit.Received{From: sender, Msg: a.Msg}) })
+				sim.runOn(sim.now+delay, to, func() { sim.step(to, limit.Received{From: sender, Msg: a.Msg}) })
 			}
 		}
 	}
 }
 
-func (w *world) admitted(k limit.Key) {
-	t := w.truth[k]
-	t.level = min(float64(t.customer.Burst), t.level+t.customer.RequestsPerSecond*(w.now-t.at).Seconds())
-	t.at = w.now
+func (sim *simulation) recordAdmission(k limit.Key) {
+	t := sim.reference[k]
+	t.level = min(float64(t.customer.Burst), t.level+t.customer.RequestsPerSecond*(sim.now-t.at).Seconds())
+	t.at = sim.now
 	t.level--
-	t.lowest = min(t.lowest, t.level)
+	t.minLevel = min(t.minLevel, t.level)
 	t.admitted++
-	t.bins[w.now/(100*time.Millisecond)]++
+	t.admittedByBin[sim.now/(100*time.Millisecond)]++
 }
 
-// ask notes one question, and what one central bucket would answer.
-func (t *truth) ask(now time.Duration) {
-	t.asked++
-	t.ideal = min(float64(t.customer.Burst), t.ideal+t.customer.RequestsPerSecond*(now-t.idealAt).Seconds())
-	t.idealAt = now
-	if t.ideal >= 1 {
-		t.ideal--
-		t.idealAdm++
+// countRequest counts one request, and whether one central bucket would admit it.
+func (t *referenceBucket) countRequest(now time.Duration) {
+	t.requests++
+	t.centralLevel = min(float64(t.customer.Burst), t.centralLevel+t.customer.RequestsPerSecond*(now-t.centralAt).Seconds())
+	t.centralAt = now
+	if t.centralLevel >= 1 {
+		t.centralLevel--
+		t.centralAdmitted++
 	}
 }
 
-// usable is the share of the limit that was admitted between two times.
-func (t *truth) usable(from, until time.Duration) float64 {
+// usableShare returns the share of the limit that was admitted between two times.
+func (t *referenceBucket) usableShare(from, until time.Duration) float64 {
 	const bin = 100 * time.Millisecond
 	sum := 0
 	for i := from / bin; i < until/bin; i++ {
-		sum += t.bins[i]
+		sum += t.admittedByBin[i]
 	}
 	return float64(sum) / (t.customer.RequestsPerSecond * (until - from).Seconds())
 }
 
-// gap is the longest time without an admission between two times, to 100 ms.
-func (t *truth) gap(from, until time.Duration) time.Duration {
+// longestGap returns the longest time without an admission between two times, in
+// steps of 100 ms.
+func (t *referenceBucket) longestGap(from, until time.Duration) time.Duration {
 	const bin = 100 * time.Millisecond
 	longest, run := 0, 0
 	for i := from / bin; i < until/bin; i++ {
 		run++
-		if t.bins[i] > 0 {
+		if t.admittedByBin[i] > 0 {
 			run = 0
 		}
 		longest = max(longest, run)
@@ -370,13 +374,13 @@
 	return time.Duration(longest) * bin
 }
 
-// owner is the node that gives out the tokens of key number k.
-func (w *world) owner(k int) *node {
-	return w.nodes[w.index(w.truth[w.keys[k]].owner)]
+// owner returns the node that gives out the tokens of key number k.
+func (sim *simulation) owner(k int) *node {
+	return sim.nodes[sim.index(sim.reference[sim.keys[k]].lastOwner)]
 }
 
-func (w *world) index(id state.DaemonID) int {
-	for i, n := range w.nodes {
+func (sim *simulation) index(id state.DaemonID) int {
+	for i, n := range sim.nodes {
 		if n.id == id {
 			return i
 		}
@@ -384,36 +388,36 @@
 	return 0
 }
 
-// load asks for key number k at a node that pick chooses, perSecond times a
-// second, with exponential gaps.
-func (w *world) load(k int, from, until time.Duration, perSecond float64, pick func() *node) {
+// generateLoad sends requests for key number k to nodes that pick returns,
+// perSecond on average, with exponentially distributed gaps.
+func (sim *simulation) generateLoad(k int, from, until time.Duration, perSecond float64, pick func() *node) {
 	gap := func() time.Duration {
-		return time.Duration(w.rng.ExpFloat64() / perSecond * float64(time.Second))
+		return time.Duration(sim.rng.ExpFloat64() / perSecond * float64(time.Second))
 	}
 	var next func()
 	next = func() {
-		w.truth[w.keys[k]].ask(w.now)
-		if n := pick(); !n.dead && n.pausedTo <= w.now {
-			w.step(n, limit.Acquire{Call: uint64(k), Service: "s", Customer: w.keys[k].Customer})
+		sim.reference[sim.keys[k]].countRequest(sim.now)
+		if n := pick(); !n.dead && n.pausedTo <= sim.now {
+			sim.step(n, limit.Acquire{Call: uint64(k), Service: "s", Customer: sim.keys[k].Customer})
 		}
-		if t := w.now + gap(); t < until {
-			w.at(t, next)
+		if t := sim.now + gap(); t < until {
+			sim.schedule(t, next)
 		}
 	}
-	w.at(from+gap(), next)
+	sim.schedule(from+gap(), next)
 }
 
-// anyNode picks evenly.
-func (w *world) anyNode() *node {
-	return w.nodes[w.rng.IntN(len(w.nodes))]
+// anyNode returns a uniformly random node.
+func (sim *simulation) anyNode() *node {
+	return sim.nodes[sim.rng.IntN(len(sim.nodes))]
 }
 
-// believe gives node i a view in which only the first live nodes live.
-func (w *world) believe(i, live int) {
+// setView gives node i a view in which only the first live nodes are alive.
+func (sim *simulation) setView(i, live int) {
 	var members []state.Member
-	for _, n := range w.nodes[:live] {
-		members = append(members, state.Member{ID: n.id, Incarnation: n.life})
+	for _, n := range sim.nodes[:live] {
+		members = append(members, state.Member{ID: n.id, Incarnation: n.incarnation})
 	}
-	n := w.nodes[i]
-	w.on(w.now, n, func() { w.step(n, limit.Members{Live: members}) })
+	n := sim.nodes[i]
+	sim.runOn(sim.now, n, func() { sim.step(n, limit.Members{Live: members}) })
 }
