--- a/coordination/placement/improve.go
+++ b/coordination/placement/improve.go
@@ -8,11 +8,12 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Improve rebuilds at most moves chains whose bottleneck under in.Links is more
-// than ratio times what free servers and their own would give, the worst first.
-// All other chains stay. The bottlenecks of the result are those under in.Links.
+// Rebalance rebuilds at most moves chains whose bottleneck under in.LinkCost is
+// more than ratio times the one possible with free servers and their own. The
+// chains with the largest bottleneck are first. All other chains stay. The
+// bottlenecks of the result are those under in.LinkCost.
 func Rebalance(old Layout, in Input, ratio float64, moves int) Layout {
-	s := newSite(in)
+	s := newSiteIndex(in)
 	l := Layout{Missing: old.Missing}
 	used := make(map[state.BackendID]bool)
 	for _, c := range old.Chains {
@@ -28,32 +29,33 @@
 	s.sortFree()
 	chains := slices.Clone(old.Chains)
 	for i := range chains {
-		if svc, ok := s.services[chains[i].Service]; ok && s.lost(svc, chains[i]) == 0 {
+		if svc, ok := s.services[chains[i].Service]; ok && s.lostLayers(svc, chains[i]) == 0 {
 			chains[i].Bottleneck = s.bottleneck(svc, chains[i].Stages)
 		}
 	}
 	slices.SortStableFunc(chains, func(a, b Chain) int { return cmp.Compare(b.Bottleneck, a.Bottleneck) })
 	for _, c := range chains {
 		svc, ok := s.services[c.Service]
-		if !ok || moves == 0 || s.lost(svc, c) > 0 {
+		if !ok || moves == 0 || s.lostLayers(svc, c) > 0 {
 			l.Chains = append(l.Chains, c)
 			continue
 		}
-		if s.rebuild(&l, svc, c, ratio) {
+		if s.rebuildIfBetter(&l, svc, c, ratio) {
 			moves--
 		}
 	}
 	return l
 }
 
-// rebuild replaces c if that pays, or keeps it.
-func (s *site) rebuild(l *Layout, svc *Service, c Chain, ratio float64) bool {
+// rebuildIfBetter replaces c if the bottleneck improves by more than ratio, and
+// keeps it otherwise. It reports whether c was replaced.
+func (s *siteIndex) rebuildIfBetter(l *Layout, svc *Service, c Chain, ratio float64) bool {
 	for _, st := range c.Stages {
 		s.release(s.servers[st.Backend])
 	}
 	s.sortFree()
 	trial := Layout{}
-	if s.form(&trial, svc) {
+	if s.addChain(&trial, svc) {
 		if trial.Chains[0].Bottleneck*ratio < c.Bottleneck {
 			l.Chains = append(l.Chains, trial.Chains[0])
 			return true
@@ -70,35 +72,35 @@
 	return false
 }
 
-// Hysteresis decides when a better layout is worth moving weights for. A link
-// that flaps must not set off loads that outlast the fault and then again loads
-// back. Its zero value has not seen anything yet.
+// Hysteresis decides when a better layout is worth moving weights. A link that
+// flaps must not cause loads that take longer than the fault, and then loads back.
+// A new Hysteresis needs only its exported fields set.
 type Hysteresis struct {
-	Ratio       float64       // how many times worse the present layout must be
-	MinDuration time.Duration // for how long without a break
-	Cooldown    time.Duration // least time between two moves
+	Ratio       float64       // factor by which the present bottleneck must be larger
+	MinDuration time.Duration // how long that must last without interruption
+	Cooldown    time.Duration // minimum time between two moves
 
-	since time.Time
-	last  time.Time
+	worseSince time.Time
+	lastMove   time.Time
 }
 
-// Observe takes in the bottleneck of the present layout under the links as last
-// measured and that of the best known one, and reports whether to move now.
+// Observe takes the bottleneck of the present layout, with the latest measured
+// link costs, and that of the best known layout. It reports whether to move now.
 func (h *Hysteresis) Observe(now time.Time, current, best float64) bool {
 	if current <= best*h.Ratio {
-		h.since = time.Time{}
+		h.worseSince = time.Time{}
 		return false
 	}
-	if h.since.IsZero() {
-		h.since = now
+	if h.worseSince.IsZero() {
+		h.worseSince = now
 	}
-	if now.Sub(h.since) < h.MinDuration {
+	if now.Sub(h.worseSince) < h.MinDuration {
 		return false
 	}
-	if !h.last.IsZero() && now.Sub(h.last) < h.Cooldown {
+	if !h.lastMove.IsZero() && now.Sub(h.lastMove) < h.Cooldown {
 		return false
 	}
-	h.last = now
-	h.since = time.Time{}
+	h.lastMove = now
+	h.worseSince = time.Time{}
 	return true
 }
--- a/coordination/placement/layout.go
+++ b/coordination/placement/layout.go
@@ -7,21 +7,21 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Kind is what one kind of backend server does for one service.
+// Kind is the performance of one kind of backend server for one service.
 type Kind struct {
 	Name         string
 	Speed        float64 // relative rate; 1 is the fastest kind
-	MemoryLayers int     // how many of the service's layers fit
+	MemoryLayers int     // number of the service's layers that fit
 }
 
-// Service is what one service asks for.
+// Service is the demand of one service.
 type Service struct {
 	ID       state.ServiceID
 	Model    string
 	Version  string
 	Layers   int
 	Replicas int
-	Kinds    []Kind // kinds not listed can't serve it
+	Kinds    []Kind // kinds that are not listed can't serve it
 }
 
 // Server is one backend server that may hold layers.
@@ -32,11 +32,11 @@
 	Region state.Region
 }
 
-// Links gives the time to move one token's activation between two servers of the
-// given failure domains, in layer steps.
+// LinkCost returns the time to transfer one token's activation between two servers
+// of the given failure domains, in layer steps.
 type LinkCost func(from, to state.FailureDomain) float64
 
-// Input is a site. Servers that are leaving or dead are not in it.
+// Input is a site. It does not contain servers that are leaving or dead.
 type Input struct {
 	Services []Service
 	Servers  []Server
@@ -49,7 +49,7 @@
 	Layers  state.LayerRange
 }
 
-// Chain holds the layers of one service, each once.
+// Chain is one replica of a service: its stages hold each layer once.
 type Chain struct {
 	Service    state.ServiceID
 	Model      string
@@ -58,15 +58,16 @@
 	Bottleneck float64
 }
 
-// Layout is where everything is.
+// Layout is the placement of all services.
 type Layout struct {
 	Chains []Chain
-	// Missing counts the replicas of each service for which no servers were
+	// Missing is the number of replicas of each service for which no servers were
 	// left.
 	Missing map[state.ServiceID]int
 }
 
-// LayersToLoad counts the layers that servers must load to get from old to l.
+// LayersToLoad returns the number of layers that servers must load to change from
+// old to l.
 func (l Layout) LayersToLoad(old Layout) int {
 	type held struct {
 		model, version string
@@ -95,30 +96,31 @@
 	return max(0, min(a.End, b.End)-max(a.First, b.First))
 }
 
-// bottleneck computes a chain's slowest stage under links.
-func (s *site) bottleneck(service *Service, stages []Stage) float64 {
+// bottleneck returns the time of a chain's slowest stage.
+func (s *siteIndex) bottleneck(service *Service, stages []Stage) float64 {
 	worst := 0.0
 	for i, st := range stages {
 		from := s.servers[st.Backend]
 		t := float64(st.Layers.Len()) / s.kind(service, from).Speed
 		if i+1 < len(stages) {
-			t += s.links(from.Domain, s.servers[stages[i+1].Backend].Domain)
+			t += s.linkCost(from.Domain, s.servers[stages[i+1].Backend].Domain)
 		}
 		worst = max(worst, t)
 	}
 	return worst
 }
 
-// site is an Input indexed for the search, with the servers still free.
-type site struct {
-	links    LinkCost
-	servers  map[state.BackendID]*Server
-	services map[state.ServiceID]*Service
-	order    []*Service
-	kinds    map[kindKey]Kind
-	domains  []domain
-	free     map[poolKey][]*Server
-	chains   map[domainKey]int // chains of a service with a stage in a domain
+// siteIndex is an Input indexed for the search, with the servers that are still
+// free.
+type siteIndex struct {
+	linkCost     LinkCost
+	servers      map[state.BackendID]*Server
+	services     map[state.ServiceID]*Service
+	servicesByID []*Service
+	kinds        map[kindKey]Kind
+	domains      []domain
+	free         map[poolKey][]*Server
+	stagesIn     map[domainKey]int // stages of a service's chains in a domain
 }
 
 type kindKey struct {
@@ -141,26 +143,26 @@
 	region state.Region
 }
 
-func newSite(in Input) *site {
-	s := &site{
-		links:    in.LinkCost,
+func newSiteIndex(in Input) *siteIndex {
+	s := &siteIndex{
+		linkCost: in.LinkCost,
 		servers:  make(map[state.BackendID]*Server, len(in.Servers)),
 		services: make(map[state.ServiceID]*Service, len(in.Services)),
 		kinds:    make(map[kindKey]Kind),
 		free:     make(map[poolKey][]*Server),
-		chains:   make(map[domainKey]int),
+		stagesIn: make(map[domainKey]int),
 	}
 	for i := range in.Services {
 		svc := &in.Services[i]
 		s.services[svc.ID] = svc
-		s.order = append(s.order, svc)
+		s.servicesByID = append(s.servicesByID, svc)
 		for _, k := range svc.Kinds {
 			if k.Speed > 0 && k.MemoryLayers > 0 {
 				s.kinds[kindKey{svc.ID, k.Name}] = k
 			}
 		}
 	}
-	slices.SortFunc(s.order, func(a, b *Service) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(s.servicesByID, func(a, b *Service) int { return cmp.Compare(a.ID, b.ID) })
 	seen := make(map[state.FailureDomain]bool)
 	for i := range in.Servers {
 		sv := &in.Servers[i]
@@ -174,25 +176,25 @@
 	return s
 }
 
-func (s *site) kind(service *Service, server *Server) Kind {
+func (s *siteIndex) kind(service *Service, server *Server) Kind {
 	return s.kinds[kindKey{service.ID, server.Kind}]
 }
 
-// release makes a server free; sortFree must follow before servers are taken.
-func (s *site) release(server *Server) {
+// release makes a server free. Call sortFree before servers are taken again.
+func (s *siteIndex) release(server *Server) {
 	k := poolKey{server.Domain, server.Kind}
 	s.free[k] = append(s.free[k], server)
 }
 
-// sortFree orders each pool so that equal input gives equal layouts.
-func (s *site) sortFree() {
+// sortFree sorts each pool, so that equal input gives equal layouts.
+func (s *siteIndex) sortFree() {
 	for _, pool := range s.free {
 		slices.SortFunc(pool, func(a, b *Server) int { return cmp.Compare(b.ID, a.ID) })
 	}
 }
 
 // take removes a server from its pool.
-func (s *site) take(server *Server) {
+func (s *siteIndex) take(server *Server) {
 	k := poolKey{server.Domain, server.Kind}
 	pool := s.free[k]
 	for i := len(pool) - 1; i >= 0; i-- {
@@ -201,16 +203,16 @@
 			return
 		}
 	}
-	panic("placement: a server was taken twice")
+	panic("placement: take of a server that is not free")
 }
 
-// add records a chain of servers that are already taken.
-func (s *site) add(l *Layout, service *Service, stages []Stage) {
+// add adds a chain to l. Its servers are already taken.
+func (s *siteIndex) add(l *Layout, service *Service, stages []Stage) {
 	l.Chains = append(l.Chains, Chain{
 		Service: service.ID, Model: service.Model, Version: service.Version,
 		Stages: stages, Bottleneck: s.bottleneck(service, stages),
 	})
 	for _, st := range stages {
-		s.chains[domainKey{service.ID, s.servers[st.Backend].Domain}]++
+		s.stagesIn[domainKey{service.ID, s.servers[st.Backend].Domain}]++
 	}
 }
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -16,9 +16,9 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// links costs 0.1 within a failure domain, 1 between two, a hundredfold spread
-// with the slow pair's 10.
-func links(a, b state.FailureDomain) float64 {
+// testLinkCost costs 0.1 within a failure domain, 1 between two, and 10 from or to
+// the domain "slow".
+func testLinkCost(a, b state.FailureDomain) float64 {
 	switch {
 	case a == b:
 		return 0.1
@@ -29,8 +29,8 @@
 	}
 }
 
-// bruteForce tries every split of [first, layers) over the candidates in order,
-// each used or left out.
+// bruteForce returns the smallest bottleneck over all splits of the layers over
+// the candidates in order, each of which may be skipped.
 func bruteForce(layers int, kinds []placement.Kind, servers []*placement.Server) float64 {
 	best := math.Inf(1)
 	var try func(next, first, last, held int, worst float64)
@@ -40,12 +40,12 @@
 			return
 		}
 		for j := next; j < len(servers); j++ {
-			w := worst
+			bottleneck := worst
 			if last >= 0 {
-				w = max(w, float64(held)/kinds[last].Speed+links(servers[last].Domain, servers[j].Domain))
+				bottleneck = max(bottleneck, float64(held)/kinds[last].Speed+testLinkCost(servers[last].Domain, servers[j].Domain))
 			}
 			for n := 1; n <= min(kinds[j].MemoryLayers, layers-first); n++ {
-				try(j+1, first+n, j, n, w)
+				try(j+1, first+n, j, n, bottleneck)
 			}
 		}
 	}
@@ -75,7 +75,7 @@
 func TestSplitIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers, kinds, servers := drawCandidates(t, 5, "a", "b", "slow")
-		stages, got := placement.Split(layers, kinds, servers, links)
+		stages, got := placement.Split(layers, kinds, servers, testLinkCost)
 		if want := bruteForce(layers, kinds, servers); got != want {
 			t.Fatalf("bottleneck %v, brute force %v", got, want)
 		}
@@ -99,7 +99,7 @@
 func TestSplitAnyOrderIsExactInADomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers, kinds, servers := drawCandidates(t, 4, "a")
-		_, got := placement.SplitAnyOrder(layers, kinds, servers, links)
+		_, got := placement.SplitAnyOrder(layers, kinds, servers, testLinkCost)
 		want := math.Inf(1)
 		permute(len(servers), func(order []int) {
 			ks, ss := make([]placement.Kind, len(order)), make([]*placement.Server, len(order))
@@ -133,9 +133,10 @@
 	rec()
 }
 
-// site makes an input: servers of five kinds spread over domains of regions.
-func site(servers, services, domains, regions, layers, replicas int) placement.Input {
-	in := placement.Input{LinkCost: links}
+// newSite returns an input with servers of five kinds, spread over the domains,
+// which are spread over the regions.
+func newSite(servers, services, domains, regions, layers, replicas int) placement.Input {
+	in := placement.Input{LinkCost: testLinkCost}
 	kinds := []placement.Kind{
 		{Name: "k0", Speed: 1, MemoryLayers: 40}, {Name: "k1", Speed: 0.8, MemoryLayers: 30},
 		{Name: "k2", Speed: 0.5, MemoryLayers: 24}, {Name: "k3", Speed: 0.3, MemoryLayers: 16},
@@ -157,7 +158,7 @@
 	return in
 }
 
-// without drops the servers for which lost is true.
+// without returns the input without the servers for which lost returns true.
 func without(in placement.Input, lost func(placement.Server) bool) placement.Input {
 	out := in
 	out.Servers = nil
@@ -169,9 +170,10 @@
 	return out
 }
 
-// fault returns what is wrong with a layout, if anything: layers held not once,
-// a server used twice or gone or too small, a chain across regions.
-func fault(l placement.Layout, in placement.Input) string {
+// findFault describes an error in a layout, or returns "". It looks for layers that
+// are missing or held twice, servers that are gone, used twice or too small, and
+// chains that span several regions.
+func findFault(l placement.Layout, in placement.Input) string {
 	servers := map[state.BackendID]placement.Server{}
 	for _, s := range in.Servers {
 		servers[s.ID] = s
@@ -192,7 +194,7 @@
 			}
 			for _, k := range in.Services[0].Kinds {
 				if k.Name == sv.Kind && k.MemoryLayers < st.Layers.Len() {
-					return fmt.Sprintf("%s holds too much: %v", sv.ID, st.Layers)
+					return fmt.Sprintf("%s has not enough memory for %v", sv.ID, st.Layers)
 				}
 			}
 			used[st.Backend], region, next = true, sv.Region, st.Layers.End
@@ -204,12 +206,11 @@
 	return ""
 }
 
-// TestRepairKeepsSurvivors loses random servers, adds others and checks that the
-// result is sound, that whole chains stay and that no layout has fewer chains
-// while spares are left.
+// TestRepairKeepsSurvivors removes random servers, adds others, and checks that
+// the repaired layout is valid and that complete chains were not changed.
 func TestRepairKeepsSurvivors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		full := site(rapid.IntRange(20, 120).Draw(t, "servers"), 2, 4, 2, 60, rapid.IntRange(1, 8).Draw(t, "replicas"))
+		full := newSite(rapid.IntRange(20, 120).Draw(t, "servers"), 2, 4, 2, 60, rapid.IntRange(1, 8).Draw(t, "replicas"))
 		joined := map[state.BackendID]bool{}
 		for _, s := range full.Servers {
 			if rapid.IntRange(0, 9).Draw(t, "joins") == 0 {
@@ -217,7 +218,7 @@
 			}
 		}
 		old := placement.Plan(without(full, func(s placement.Server) bool { return joined[s.ID] }))
-		if f := fault(old, full); f != "" {
+		if f := findFault(old, full); f != "" {
 			t.Fatal(f)
 		}
 		dead := map[state.BackendID]bool{}
@@ -228,7 +229,7 @@
 		}
 		in := without(full, func(s placement.Server) bool { return dead[s.ID] })
 		l := placement.Repair(old, in)
-		if f := fault(l, in); f != "" {
+		if f := findFault(l, in); f != "" {
 			t.Fatal(f)
 		}
 		kept := map[string]bool{}
@@ -236,35 +237,35 @@
 			kept[fmt.Sprint(c.Stages)] = true
 		}
 		for _, c := range old.Chains {
-			whole := true
+			complete := true
 			for _, st := range c.Stages {
-				whole = whole && !dead[st.Backend]
+				complete = complete && !dead[st.Backend]
 			}
-			if whole && !kept[fmt.Sprint(c.Stages)] {
-				t.Fatalf("a whole chain was changed: %v", c.Stages)
+			if complete && !kept[fmt.Sprint(c.Stages)] {
+				t.Fatalf("a complete chain was changed: %v", c.Stages)
 			}
 		}
 	})
 }
 
 var _ = Describe("repair", func() {
-	// One stage of a chain dies while spares stand by. Callers wait until the
-	// chain is whole; loading the whole model anew would take them several times
-	// as long and the weight store's whole rate.
+	// One stage of a chain dies while there are spare servers. Callers wait until
+	// the chain is complete again; loading the entire model would take several
+	// times as long and use the weight store's entire bandwidth.
 	It("loads only the lost stage's layers", Label("failure:stage-dies-mid-stream"), func() {
-		in := site(60, 1, 3, 1, 80, 4)
+		in := newSite(60, 1, 3, 1, 80, 4)
 		old := placement.Plan(in)
 		victim := old.Chains[0].Stages[0]
 		now := without(in, func(s placement.Server) bool { return s.ID == victim.Backend })
 		l := placement.Repair(old, now)
-		Expect(fault(l, now)).To(BeEmpty())
+		Expect(findFault(l, now)).To(BeEmpty())
 		Expect(l.Missing).To(BeEmpty())
 		Expect(l.LayersToLoad(old)).To(Equal(victim.Layers.Len()))
 	})
 
-	// The same without a spare: the neighbors' free memory takes the layers.
+	// The same without a spare server: the layers go to the neighbors' free memory.
 	It("uses the neighbors' memory when there is no spare", Label("failure:stage-dies-mid-stream"), func() {
-		in := site(10, 1, 1, 1, 60, 2)
+		in := newSite(10, 1, 1, 1, 60, 2)
 		in.Services[0].Kinds = []placement.Kind{{Name: "k0", Speed: 1, MemoryLayers: 40}, {Name: "k1", Speed: 1, MemoryLayers: 40}}
 		in.Servers = in.Servers[:0]
 		for i := range 3 {
@@ -278,15 +279,15 @@
 		}}}}
 		now := without(in, func(s placement.Server) bool { return s.ID == "b1" })
 		l := placement.Repair(old, now)
-		Expect(fault(l, now)).To(BeEmpty())
+		Expect(findFault(l, now)).To(BeEmpty())
 		Expect(l.Chains).To(HaveLen(1))
 		Expect(l.LayersToLoad(old)).To(Equal(20))
 	})
 
-	// An instance joins a site at full work. Nothing that runs may move; it
-	// serves what is missing, or waits as a spare.
+	// An instance joins a site under full load. No serving chain may change; the
+	// new servers are used for missing replicas or stay spare.
 	It("moves nothing for a server that joins", Label("failure:instance-joins-under-load"), func() {
-		in := site(60, 2, 3, 1, 80, 4)
+		in := newSite(60, 2, 3, 1, 80, 4)
 		before := without(in, func(s placement.Server) bool { return s.ID >= "b00040" })
 		old := placement.Plan(before)
 		l := placement.Repair(old, in)
@@ -297,13 +298,13 @@
 		}
 	})
 
-	// A link degrades a hundredfold and recovers, again and again: each load that
-	// it set off would outlast it. Only what lasts is worth a move, and a move is
-	// not taken back as soon as the link is well.
-	It("does not chase a link that flaps", Label("failure:link-degrades"), func() {
+	// A link degrades and recovers repeatedly. Each load that it causes would take
+	// longer than the degradation. Only a lasting degradation is worth a move, and
+	// after a move there is none for the cooldown.
+	It("does not move chains for a link that flaps", Label("failure:link-degrades"), func() {
 		h := placement.Hysteresis{Ratio: 1.5, MinDuration: 30 * time.Second, Cooldown: 10 * time.Minute}
 		now, moves := time.Unix(0, 0), 0
-		see := func(seconds int, current, best float64) {
+		observe := func(seconds int, current, best float64) {
 			for range seconds {
 				now = now.Add(time.Second)
 				if h.Observe(now, current, best) {
@@ -312,20 +313,20 @@
 			}
 		}
 		for range 100 {
-			see(20, 100, 30)
-			see(5, 30, 30)
+			observe(20, 100, 30)
+			observe(5, 30, 30)
 		}
 		Expect(moves).To(Equal(0))
-		see(60, 100, 30)
+		observe(60, 100, 30)
 		Expect(moves).To(Equal(1))
-		see(300, 100, 30)
-		Expect(moves).To(Equal(1), "within the pause")
+		observe(300, 100, 30)
+		Expect(moves).To(Equal(1), "within the cooldown")
 	})
 
-	// The link between two halves of one chain stays degraded. The chain is moved
-	// off it, and no other.
+	// The link between two parts of one chain stays degraded. That chain is moved
+	// and no other.
 	It("moves the chain that a degraded link slows, and no other", Label("failure:link-degrades"), func() {
-		in := site(60, 1, 2, 1, 80, 3)
+		in := newSite(60, 1, 2, 1, 80, 3)
 		old := placement.Plan(in)
 		st := slices.Clone(old.Chains[0].Stages)
 		at := slices.IndexFunc(in.Servers, func(s placement.Server) bool { return s.ID == st[0].Backend })
@@ -336,7 +337,7 @@
 		}
 		Expect(placement.Rebalance(old, in, 1e6, 10).LayersToLoad(old)).To(Equal(0), "below the ratio")
 		l := placement.Rebalance(old, in, 1.5, 10)
-		Expect(fault(l, in)).To(BeEmpty())
+		Expect(findFault(l, in)).To(BeEmpty())
 		for _, c := range l.Chains {
 			Expect(c.Bottleneck).To(BeNumerically("<", 500))
 		}
@@ -346,7 +347,7 @@
 	})
 })
 
-// spare finds an unused server of a kind in another domain.
+// spare returns an unused server of a kind in another domain.
 func spare(in placement.Input, l placement.Layout, kind string, not state.FailureDomain) state.BackendID {
 	used := map[state.BackendID]bool{}
 	for _, c := range l.Chains {
@@ -365,7 +366,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{750, 3000, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			in := site(n, 15, 17, 6, 80, n/90)
+			in := newSite(n, 15, 17, 6, 80, n/90)
 			b.ReportAllocs()
 			for b.Loop() {
 				l := placement.Plan(in)
@@ -375,10 +376,10 @@
 	}
 }
 
-// BenchmarkPlanShort asks for more replicas than fit, so that the mixed groups
-// are searched too.
+// BenchmarkPlanShort requests more replicas than fit, so that groups of mixed
+// kinds are searched too.
 func BenchmarkPlanShort(b *testing.B) {
-	in := site(12000, 15, 17, 6, 80, 12000/30)
+	in := newSite(12000, 15, 17, 6, 80, 12000/30)
 	b.ReportAllocs()
 	for b.Loop() {
 		l := placement.Plan(in)
@@ -387,7 +388,7 @@
 }
 
 func BenchmarkRepairOfADomain(b *testing.B) {
-	in := site(12000, 15, 17, 6, 80, 12000/90)
+	in := newSite(12000, 15, 17, 6, 80, 12000/90)
 	old := placement.Plan(in)
 	now := without(in, func(s placement.Server) bool { return s.Domain == "d03" })
 	b.ReportAllocs()
--- a/coordination/placement/plan.go
+++ b/coordination/placement/plan.go
@@ -9,47 +9,47 @@
 
 // Plan lays out an empty site.
 func Plan(in Input) Layout {
-	s := newSite(in)
+	s := newSiteIndex(in)
 	for i := range in.Servers {
 		s.release(&in.Servers[i])
 	}
 	s.sortFree()
 	l := Layout{Missing: make(map[state.ServiceID]int)}
-	s.fill(&l)
+	s.addMissing(&l)
 	return l
 }
 
-// fill forms chains until every service has its replicas or finds no servers.
-// The service with the smallest share of its replicas goes first, so that a
-// shortage is shared.
-func (s *site) fill(l *Layout) {
+// addMissing adds chains until every service has its replicas or no servers can be
+// found. The service with the smallest share of its replicas is next, so that a
+// shortage is shared among the services.
+func (s *siteIndex) addMissing(l *Layout) {
 	have := make(map[state.ServiceID]int)
 	for _, c := range l.Chains {
 		have[c.Service]++
 	}
-	stuck := make(map[state.ServiceID]bool)
+	exhausted := make(map[state.ServiceID]bool)
 	for {
-		svc := s.neediest(have, stuck)
+		svc := s.leastProvisioned(have, exhausted)
 		if svc == nil {
 			break
 		}
-		if !s.form(l, svc) {
-			stuck[svc.ID] = true
+		if !s.addChain(l, svc) {
+			exhausted[svc.ID] = true
 			continue
 		}
 		have[svc.ID]++
 	}
-	for _, svc := range s.order {
+	for _, svc := range s.servicesByID {
 		if n := svc.Replicas - have[svc.ID]; n > 0 {
 			l.Missing[svc.ID] = n
 		}
 	}
 }
 
-func (s *site) neediest(have map[state.ServiceID]int, stuck map[state.ServiceID]bool) *Service {
+func (s *siteIndex) leastProvisioned(have map[state.ServiceID]int, exhausted map[state.ServiceID]bool) *Service {
 	var best *Service
-	for _, svc := range s.order {
-		if stuck[svc.ID] || have[svc.ID] >= svc.Replicas {
+	for _, svc := range s.servicesByID {
+		if exhausted[svc.ID] || have[svc.ID] >= svc.Replicas {
 			continue
 		}
 		if best == nil || have[svc.ID]*best.Replicas < have[best.ID]*svc.Replicas {
@@ -59,19 +59,19 @@
 	return best
 }
 
-// form makes one more chain. Servers of one kind in one failure domain come
-// first, then mixed kinds of one domain, then several domains of one region. No
-// chain crosses regions.
-func (s *site) form(l *Layout, svc *Service) bool {
-	doms := s.byNeed(svc)
+// addChain adds one chain. It first tries servers of one kind in one failure
+// domain, then mixed kinds in one domain, then several domains of one region. No
+// chain spans several regions.
+func (s *siteIndex) addChain(l *Layout, svc *Service) bool {
+	doms := s.domainsByStages(svc)
 	for _, d := range doms {
-		if group := s.uniform(svc, d.name); group != nil {
-			return s.build(l, svc, group)
+		if group := s.sameKindGroup(svc, d.name); group != nil {
+			return s.splitAndAdd(l, svc, group)
 		}
 	}
 	for _, d := range doms {
-		if group := s.mixed(svc, s.inDomain(svc, d.name)); group != nil {
-			return s.build(l, svc, group)
+		if group := s.mixedGroup(svc, s.inDomain(svc, d.name)); group != nil {
+			return s.splitAndAdd(l, svc, group)
 		}
 	}
 	tried := make(map[state.Region]bool)
@@ -80,29 +80,30 @@
 			continue
 		}
 		tried[d.region] = true
-		if group := s.mixed(svc, s.inRegion(svc, d.region)); group != nil {
-			return s.build(l, svc, group)
+		if group := s.mixedGroup(svc, s.inRegion(svc, d.region)); group != nil {
+			return s.splitAndAdd(l, svc, group)
 		}
 	}
 	return false
 }
 
-// byNeed orders the domains by how few chains of the service they hold, so that
-// the loss of one takes the smallest part of it.
-func (s *site) byNeed(svc *Service) []domain {
+// domainsByStages sorts the domains by the number of the service's stages in them,
+// fewest first, so that the loss of a domain affects as little of the service as
+// possible.
+func (s *siteIndex) domainsByStages(svc *Service) []domain {
 	out := slices.Clone(s.domains)
 	slices.SortStableFunc(out, func(a, b domain) int {
-		return cmp.Compare(s.chains[domainKey{svc.ID, a.name}], s.chains[domainKey{svc.ID, b.name}])
+		return cmp.Compare(s.stagesIn[domainKey{svc.ID, a.name}], s.stagesIn[domainKey{svc.ID, b.name}])
 	})
 	return out
 }
 
-// uniform picks the fewest servers of one kind that hold the whole model: of the
-// kinds that can, the one with the smallest bottleneck.
-func (s *site) uniform(svc *Service, d state.FailureDomain) []*Server {
+// sameKindGroup returns the fewest servers of one kind that hold the complete
+// model, of the kind with the smallest bottleneck, or nil.
+func (s *siteIndex) sameKindGroup(svc *Service, d state.FailureDomain) []*Server {
 	var best []*Server
 	var bestTime float64
-	transfer := s.links(d, d)
+	transfer := s.linkCost(d, d)
 	for _, k := range svc.Kinds {
 		if k.Speed <= 0 || k.MemoryLayers <= 0 {
 			continue
@@ -121,20 +122,20 @@
 	return slices.Clone(best)
 }
 
-func (s *site) inDomain(svc *Service, d state.FailureDomain) []*Server {
+func (s *siteIndex) inDomain(svc *Service, d state.FailureDomain) []*Server {
 	var out []*Server
 	for _, k := range svc.Kinds {
 		if k.Speed > 0 && k.MemoryLayers > 0 {
 			out = append(out, s.free[poolKey{d, k.Name}]...)
 		}
 	}
-	s.bySpeed(svc, out)
+	s.sortBySpeed(svc, out)
 	return out
 }
 
-// inRegion lists the free servers of a region, domain by domain, the domain with
-// the most free memory first, so that a chain crosses few links.
-func (s *site) inRegion(svc *Service, r state.Region) []*Server {
+// inRegion returns the free servers of a region, grouped by domain. The domain with
+// the most free memory is first, so that a chain uses few inter-domain links.
+func (s *siteIndex) inRegion(svc *Service, r state.Region) []*Server {
 	type part struct {
 		servers []*Server
 		memory  int
@@ -158,15 +159,14 @@
 	return out
 }
 
-func (s *site) bySpeed(svc *Service, servers []*Server) {
+func (s *siteIndex) sortBySpeed(svc *Service, servers []*Server) {
 	slices.SortStableFunc(servers, func(a, b *Server) int {
 		return cmp.Compare(s.kind(svc, b).Speed, s.kind(svc, a).Speed)
 	})
 }
 
-// mixed takes servers from the front of the list until the model fits, or
-// returns nil.
-func (s *site) mixed(svc *Service, servers []*Server) []*Server {
+// mixedGroup returns the shortest prefix of servers that holds the model, or nil.
+func (s *siteIndex) mixedGroup(svc *Service, servers []*Server) []*Server {
 	memory := 0
 	for i, sv := range servers {
 		memory += s.kind(svc, sv).MemoryLayers
@@ -177,13 +177,14 @@
 	return nil
 }
 
-// build splits the model over the group and takes the servers that were used.
-func (s *site) build(l *Layout, svc *Service, group []*Server) bool {
+// splitAndAdd splits the model over the group, takes the servers used and adds the
+// chain. It returns false if the model does not fit.
+func (s *siteIndex) splitAndAdd(l *Layout, svc *Service, group []*Server) bool {
 	kinds := make([]Kind, len(group))
 	for i, sv := range group {
 		kinds[i] = s.kind(svc, sv)
 	}
-	stages, _ := SplitAnyOrder(svc.Layers, kinds, group, s.links)
+	stages, _ := SplitAnyOrder(svc.Layers, kinds, group, s.linkCost)
 	if stages == nil {
 		return false
 	}
--- a/coordination/placement/repair.go
+++ b/coordination/placement/repair.go
@@ -8,30 +8,30 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// broken is a chain that lost servers, with the gaps that they left.
-type broken struct {
-	svc  *Service
-	old  Chain
-	lost int // layers
+// brokenChain is a chain that has lost servers.
+type brokenChain struct {
+	service    *Service
+	chain      Chain
+	lostLayers int
 }
 
-// Repair returns the layout that serves in with the least change from old. Whole
-// chains stay as they are. In broken ones the surviving stages stay, and each gap
-// goes to a spare server, to several, or to the neighbors' free memory. A chain
-// that can't be mended gives its survivors up as spares, and what is still
-// missing is formed anew.
+// Repair returns a layout for in with few changes from old. Complete chains stay
+// as they are. In broken ones the surviving stages stay, and each gap is filled by
+// a spare server, by several, or by the free memory of the neighbors. The
+// surviving servers of a chain that can't be repaired become spares. Finally new
+// chains are added for missing replicas.
 func Repair(old Layout, in Input) Layout {
-	s := newSite(in)
+	s := newSiteIndex(in)
 	l := Layout{Missing: make(map[state.ServiceID]int)}
 	used := make(map[state.BackendID]bool)
-	var hurt []broken
+	var broken []brokenChain
 	have := make(map[state.ServiceID]int)
-	for _, c := range keepBest(old.Chains) {
+	for _, c := range sortByBottleneck(old.Chains) {
 		svc, ok := s.services[c.Service]
 		if !ok || svc.Model != c.Model || svc.Version != c.Version || have[svc.ID] >= svc.Replicas {
 			continue
 		}
-		lost := s.lost(svc, c)
+		lost := s.lostLayers(svc, c)
 		if lost == svc.Layers {
 			continue
 		}
@@ -39,7 +39,7 @@
 			used[st.Backend] = true
 		}
 		if lost > 0 {
-			hurt = append(hurt, broken{svc: svc, old: c, lost: lost})
+			broken = append(broken, brokenChain{service: svc, chain: c, lostLayers: lost})
 			continue
 		}
 		have[svc.ID]++
@@ -51,61 +51,64 @@
 		}
 	}
 	s.sortFree()
-	s.mend(&l, hurt, have)
-	s.fill(&l)
+	s.repairAll(&l, broken, have)
+	s.addMissing(&l)
 	return l
 }
 
-// keepBest orders chains so that of too many the slowest are dropped.
-func keepBest(chains []Chain) []Chain {
+// sortByBottleneck returns the chains sorted by bottleneck, so that if there are
+// too many the slowest are dropped.
+func sortByBottleneck(chains []Chain) []Chain {
 	out := slices.Clone(chains)
 	slices.SortStableFunc(out, func(a, b Chain) int { return cmp.Compare(a.Bottleneck, b.Bottleneck) })
 	return out
 }
 
-// lost counts the layers of c whose server is gone or can't serve svc any more.
-func (s *site) lost(svc *Service, c Chain) int {
+// lostLayers returns the number of c's layers whose server is gone or can no
+// longer hold them.
+func (s *siteIndex) lostLayers(svc *Service, c Chain) int {
 	n := 0
 	for _, st := range c.Stages {
-		if !s.alive(svc, st) {
+		if !s.usable(svc, st) {
 			n += st.Layers.Len()
 		}
 	}
 	return n
 }
 
-func (s *site) alive(svc *Service, st Stage) bool {
+func (s *siteIndex) usable(svc *Service, st Stage) bool {
 	sv, ok := s.servers[st.Backend]
 	return ok && s.kind(svc, sv).MemoryLayers >= st.Layers.Len()
 }
 
-// mend fills the gaps of broken chains, those with the fewest lost layers first.
-// Once one can't be mended, the most broken one is given up for its servers.
-func (s *site) mend(l *Layout, hurt []broken, have map[state.ServiceID]int) {
-	slices.SortStableFunc(hurt, func(a, b broken) int { return cmp.Compare(a.lost, b.lost) })
-	for len(hurt) > 0 {
-		b := hurt[0]
-		if have[b.svc.ID] >= b.svc.Replicas {
-			s.giveUp(b)
-			hurt = hurt[1:]
+// repairAll fills the gaps of broken chains, those with the fewest lost layers
+// first. If one can't be repaired, the chain with the most lost layers is dropped
+// and its surviving servers become spares.
+func (s *siteIndex) repairAll(l *Layout, chains []brokenChain, have map[state.ServiceID]int) {
+	slices.SortStableFunc(chains, func(a, b brokenChain) int { return cmp.Compare(a.lostLayers, b.lostLayers) })
+	for len(chains) > 0 {
+		b := chains[0]
+		if have[b.service.ID] >= b.service.Replicas {
+			s.releaseSurvivors(b)
+			chains = chains[1:]
 			continue
 		}
-		stages, ok := s.mendOne(b)
+		stages, ok := s.repairChain(b)
 		if ok {
-			have[b.svc.ID]++
-			s.add(l, b.svc, stages)
-			hurt = hurt[1:]
+			have[b.service.ID]++
+			s.add(l, b.service, stages)
+			chains = chains[1:]
 			continue
 		}
-		worst := hurt[len(hurt)-1]
-		hurt = hurt[:len(hurt)-1]
-		s.giveUp(worst)
+		worst := chains[len(chains)-1]
+		chains = chains[:len(chains)-1]
+		s.releaseSurvivors(worst)
 	}
 }
 
-// giveUp makes the survivors of a broken chain spare.
-func (s *site) giveUp(b broken) {
-	for _, st := range b.old.Stages {
+// releaseSurvivors makes the surviving servers of a broken chain spares.
+func (s *siteIndex) releaseSurvivors(b brokenChain) {
+	for _, st := range b.chain.Stages {
 		if sv, ok := s.servers[st.Backend]; ok {
 			s.release(sv)
 		}
@@ -113,25 +116,25 @@
 	s.sortFree()
 }
 
-// mendOne fills every gap or takes nothing.
-func (s *site) mendOne(b broken) ([]Stage, bool) {
-	rest := slices.Clone(b.old.Stages)
+// repairChain fills every gap of a chain, or returns false and takes no servers.
+func (s *siteIndex) repairChain(b brokenChain) ([]Stage, bool) {
+	rest := slices.Clone(b.chain.Stages)
 	var out []Stage
 	var taken []*Server
 	for len(rest) > 0 {
-		if s.alive(b.svc, rest[0]) {
+		if s.usable(b.service, rest[0]) {
 			out = append(out, rest[0])
 			rest = rest[1:]
 			continue
 		}
 		gap := rest[0].Layers
-		for len(rest) > 0 && !s.alive(b.svc, rest[0]) {
+		for len(rest) > 0 && !s.usable(b.service, rest[0]) {
 			gap.End = rest[0].Layers.End
 			rest = rest[1:]
 		}
-		fill := s.fillGap(b.svc, gap, s.neighbor(out, rest))
-		if fill == nil && !s.absorb(b.svc, out, rest, gap) {
-			s.untake(taken)
+		fill := s.fillGap(b.service, gap, s.adjacentServer(out, rest))
+		if fill == nil && !s.extendNeighbors(b.service, out, rest, gap) {
+			s.releaseAll(taken)
 			return nil, false
 		}
 		for _, st := range fill {
@@ -144,13 +147,13 @@
 	return out, true
 }
 
-// absorb gives a gap to the free memory of the stages beside it, in the shares
-// with the smallest bottleneck.
-func (s *site) absorb(svc *Service, before, after []Stage, gap state.LayerRange) bool {
-	left, right := newSide(s, svc, before, len(before)-1), newSide(s, svc, after, 0)
+// extendNeighbors fills a gap with the free memory of the stages next to it, split
+// such that the bottleneck is smallest.
+func (s *siteIndex) extendNeighbors(svc *Service, before, after []Stage, gap state.LayerRange) bool {
+	left, right := newNeighborStage(s, svc, before, len(before)-1), newNeighborStage(s, svc, after, 0)
 	best, bestTime := -1, math.Inf(1)
-	for n := max(0, gap.Len()-right.room); n <= min(left.room, gap.Len()); n++ {
-		if t := max(left.with(n), right.with(gap.Len()-n)); t < bestTime {
+	for n := max(0, gap.Len()-right.freeLayers); n <= min(left.freeLayers, gap.Len()); n++ {
+		if t := max(left.timeWith(n), right.timeWith(gap.Len()-n)); t < bestTime {
 			best, bestTime = n, t
 		}
 	}
@@ -166,34 +169,35 @@
 	return true
 }
 
-// side is a stage beside a gap and what more it can hold.
-type side struct {
-	stage *Stage
-	room  int
-	speed float64
+// neighborStage is a stage next to a gap, with its remaining capacity. The zero
+// value means that there is no such stage.
+type neighborStage struct {
+	stage      *Stage
+	freeLayers int
+	speed      float64
 }
 
-func newSide(s *site, svc *Service, stages []Stage, i int) side {
+func newNeighborStage(s *siteIndex, svc *Service, stages []Stage, i int) neighborStage {
 	if i < 0 || i >= len(stages) {
-		return side{}
+		return neighborStage{}
 	}
 	k := s.kind(svc, s.servers[stages[i].Backend])
-	return side{
-		stage: &stages[i],
-		room:  k.MemoryLayers - stages[i].Layers.Len(),
-		speed: k.Speed,
+	return neighborStage{
+		stage:      &stages[i],
+		freeLayers: k.MemoryLayers - stages[i].Layers.Len(),
+		speed:      k.Speed,
 	}
 }
 
-// with is the stage's time with n layers more.
-func (s side) with(n int) float64 {
+// timeWith returns the stage's time with n additional layers.
+func (s neighborStage) timeWith(n int) float64 {
 	if s.stage == nil {
 		return 0
 	}
 	return float64(s.stage.Layers.Len()+n) / s.speed
 }
 
-func (s *site) untake(taken []*Server) {
+func (s *siteIndex) releaseAll(taken []*Server) {
 	for _, sv := range taken {
 		s.release(sv)
 	}
@@ -202,8 +206,8 @@
 	}
 }
 
-// neighbor is a surviving server next to a gap.
-func (s *site) neighbor(before, after []Stage) *Server {
+// adjacentServer returns a surviving server near a gap, or nil.
+func (s *siteIndex) adjacentServer(before, after []Stage) *Server {
 	if len(before) > 0 {
 		return s.servers[before[len(before)-1].Backend]
 	}
@@ -215,13 +219,14 @@
 	return nil
 }
 
-// fillGap chooses spares for a range: the single one with the shortest stage
-// time, transfer from its neighbor included, or else several of one domain.
-func (s *site) fillGap(svc *Service, gap state.LayerRange, next *Server) []Stage {
+// fillGap chooses spare servers for a range: the single one with the shortest stage
+// time, transfer from the adjacent server included, or else several of one domain
+// or region.
+func (s *siteIndex) fillGap(svc *Service, gap state.LayerRange, adjacent *Server) []Stage {
 	var best *Server
 	bestTime := math.Inf(1)
 	for _, d := range s.domains {
-		if next != nil && d.region != next.Region {
+		if adjacent != nil && d.region != adjacent.Region {
 			continue
 		}
 		for _, k := range svc.Kinds {
@@ -230,8 +235,8 @@
 				continue
 			}
 			t := float64(gap.Len()) / k.Speed
-			if next != nil {
-				t += s.links(next.Domain, d.name)
+			if adjacent != nil {
+				t += s.linkCost(adjacent.Domain, d.name)
 			}
 			if t < bestTime {
 				best, bestTime = pool[len(pool)-1], t
@@ -241,16 +246,16 @@
 	if best != nil {
 		return []Stage{{Backend: best.ID, Layers: gap}}
 	}
-	return s.fillBySeveral(svc, gap, next)
+	return s.fillGapWithSeveral(svc, gap, adjacent)
 }
 
-func (s *site) fillBySeveral(svc *Service, gap state.LayerRange, next *Server) []Stage {
+func (s *siteIndex) fillGapWithSeveral(svc *Service, gap state.LayerRange, adjacent *Server) []Stage {
 	part := *svc
 	part.Layers = gap.Len()
 	var group []*Server
-	if next != nil {
-		if group = s.mixed(&part, s.inDomain(svc, next.Domain)); group == nil {
-			group = s.mixed(&part, s.inRegion(svc, next.Region))
+	if adjacent != nil {
+		if group = s.mixedGroup(&part, s.inDomain(svc, adjacent.Domain)); group == nil {
+			group = s.mixedGroup(&part, s.inRegion(svc, adjacent.Region))
 		}
 	}
 	if group == nil {
@@ -260,7 +265,7 @@
 	for i, sv := range group {
 		kinds[i] = s.kind(svc, sv)
 	}
-	stages, _ := SplitAnyOrder(gap.Len(), kinds, group, s.links)
+	stages, _ := SplitAnyOrder(gap.Len(), kinds, group, s.linkCost)
 	for i := range stages {
 		stages[i].Layers.First += gap.First
 		stages[i].Layers.End += gap.First
--- a/coordination/placement/split.go
+++ b/coordination/placement/split.go
@@ -6,29 +6,29 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Split lays layers [0, layers) over a subset of the candidates, in the order in
-// which they stand, and returns the stages with the smallest bottleneck there is
-// and that bottleneck. It returns no stage if their memory does not suffice.
+// Split assigns layers [0, layers) to a subset of the candidates, in their given
+// order. It returns the stages with the smallest possible bottleneck, and that
+// bottleneck. It returns no stages if the memory does not suffice.
 //
-// It is exact: start[j][l] is the smallest bottleneck of the stages before
-// candidate j when j begins at layer l, their transfers included. The transfer
-// out of a stage depends on the next candidate only, so the optimum of a longer
-// chain is made of optima of shorter ones. With k candidates, n layers and m
-// layers of memory it costs k*k*n*m steps.
+// It is an exact dynamic program: start[j][l] is the smallest bottleneck of the
+// stages before candidate j when j starts at layer l, their transfers included.
+// The transfer out of a stage depends only on the next candidate, so the optimum
+// of a longer chain consists of optima of shorter ones. With k candidates, n
+// layers and m layers of memory it takes O(k*k*n*m) steps.
 func Split(layers int, kinds []Kind, servers []*Server, links LinkCost) ([]Stage, float64) {
 	k := len(servers)
-	start := newTable(k, layers)
+	start := newCostTable(k, layers)
 	for j := range servers {
-		start.cost[start.at(j, 0)] = 0
+		start.cost[start.index(j, 0)] = 0
 		for i := range j {
 			transfer := links(servers[i].Domain, servers[j].Domain)
-			start.extend(i, j, kinds[i], transfer)
+			start.extendFrom(i, j, kinds[i], transfer)
 		}
 	}
 	best, last, from := math.Inf(1), -1, 0
 	for j := range servers {
 		for n := 1; n <= min(kinds[j].MemoryLayers, layers); n++ {
-			c := max(start.cost[start.at(j, layers-n)], float64(n)/kinds[j].Speed)
+			c := max(start.cost[start.index(j, layers-n)], float64(n)/kinds[j].Speed)
 			if c < best {
 				best, last, from = c, j, layers-n
 			}
@@ -37,24 +37,25 @@
 	if last < 0 {
 		return nil, math.Inf(1)
 	}
-	return start.trace(servers, last, from), best
+	return start.traceBack(servers, last, from), best
 }
 
-// table is the dynamic program's: one cell for each candidate and first layer.
-type table struct {
+// costTable is the table of the dynamic program, with one cell per candidate and
+// first layer.
+type costTable struct {
 	layers int
 	cost   []float64
-	back   []link
+	prev   []predecessor
 }
 
-// link is the cell before: the previous candidate and its first layer.
-type link struct{ candidate, first int }
+// predecessor is the previous cell: the previous candidate and its first layer.
+type predecessor struct{ candidate, first int }
 
-func newTable(k, layers int) *table {
-	t := &table{
+func newCostTable(k, layers int) *costTable {
+	t := &costTable{
 		layers: layers,
 		cost:   make([]float64, k*layers),
-		back:   make([]link, k*layers),
+		prev:   make([]predecessor, k*layers),
 	}
 	for i := range t.cost {
 		t.cost[i] = math.Inf(1)
@@ -62,29 +63,31 @@
 	return t
 }
 
-func (t *table) at(candidate, first int) int {
+func (t *costTable) index(candidate, first int) int {
 	return candidate*t.layers + first
 }
 
-// extend tries every range on candidate i that candidate j goes on from.
-func (t *table) extend(i, j int, kind Kind, transfer float64) {
+// extendFrom tries every range on candidate i after which candidate j continues.
+func (t *costTable) extendFrom(i, j int, kind Kind, transfer float64) {
 	for l := range t.layers - 1 {
-		before := t.cost[t.at(i, l)]
+		before := t.cost[t.index(i, l)]
 		if math.IsInf(before, 1) {
 			continue
 		}
 		for n := 1; n <= kind.MemoryLayers && l+n < t.layers; n++ {
 			c := max(before, float64(n)/kind.Speed+transfer)
-			cell := t.at(j, l+n)
+			cell := t.index(j, l+n)
 			if c < t.cost[cell] {
 				t.cost[cell] = c
-				t.back[cell] = link{i, l}
+				t.prev[cell] = predecessor{i, l}
 			}
 		}
 	}
 }
 
-func (t *table) trace(servers []*Server, last, first int) []Stage {
+// traceBack returns the stages of the chain whose last stage starts at layer first
+// on candidate last.
+func (t *costTable) traceBack(servers []*Server, last, first int) []Stage {
 	var reversed []Stage
 	end := t.layers
 	for {
@@ -96,7 +99,7 @@
 			break
 		}
 		end = first
-		b := t.back[t.at(last, first)]
+		b := t.prev[t.index(last, first)]
 		last, first = b.candidate, b.first
 	}
 	stages := make([]Stage, len(reversed))
@@ -106,10 +109,10 @@
 	return stages
 }
 
-// SplitAnyOrder is Split over every choice of the last stage, whose output
-// crosses no link. Where all candidates are of one failure domain no other
-// order matters, so the result is the optimum over all orders. The candidates
-// should stand grouped by domain.
+// SplitAnyOrder returns the best result of Split over every choice of the last
+// stage, whose output needs no transfer. If all candidates are in one failure
+// domain no other order matters, so the result is the optimum over all orders. The
+// candidates should be grouped by domain.
 func SplitAnyOrder(layers int, kinds []Kind, servers []*Server, links LinkCost) ([]Stage, float64) {
 	stages, best := Split(layers, kinds, servers, links)
 	ks, ss := make([]Kind, len(kinds)), make([]*Server, len(servers))
@@ -129,7 +132,7 @@
 	return stages, best
 }
 
-// moveLast copies src to dst with element i moved to the end.
+// moveLast copies src to dst and moves element i to the end.
 func moveLast[T any](dst, src []T, i int) {
 	n := copy(dst, src[:i])
 	copy(dst[n:], src[i+1:])
