--- a/coordination/rendezvous/rendezvous_test.go
+++ b/coordination/rendezvous/rendezvous_test.go
@@ -36,10 +36,10 @@
 				rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 				now, _ := rendezvous.Owner(key, rest)
 				if was != members[gone] && now != was {
-					t.Fatalf("%s moved from %s to %s, though %s left", key, was, now, members[gone])
+					t.Fatalf("%s moved from %s to %s although %s left", key, was, now, members[gone])
 				}
 				if was == members[gone] && now != rendezvous.Rank(key, members, 2)[1] {
-					t.Fatalf("%s did not go to the second in rank", key)
+					t.Fatalf("%s did not move to the member ranked second", key)
 				}
 			}
 		})
@@ -59,7 +59,7 @@
 		}
 	})
 
-	It("keeps its weights for good, since daemons of two versions must agree", func() {
+	It("keeps its weights stable, since daemons of different versions must agree", func() {
 		Expect(rendezvous.Weight("drafting/0", "entry-1")).To(Equal(uint64(1893817742365151469)))
 		_, ok := rendezvous.Owner("x", []state.DaemonID(nil))
 		Expect(ok).To(BeFalse())
