--- a/coordination/retrybudget/budget_test.go
+++ b/coordination/retrybudget/budget_test.go
@@ -24,7 +24,7 @@
 		Expect(n).To(BeNumerically(">", 10))
 	})
 
-	It("has room again once a window has passed", func() {
+	It("allows retries again once a window has passed", func() {
 		now := time.Unix(1000, 0)
 		b := retrybudget.New(cfg, now)
 		for b.Spend(now, "s", retrybudget.SlackShare{Daemons: 7}) {
@@ -33,10 +33,10 @@
 		Expect(b.Spend(now.Add(11*time.Second), "s", retrybudget.SlackShare{Daemons: 7})).To(BeTrue())
 	})
 
-	// All daemons lose power at once and start again. Backend servers get more repeats
-	// than the site allows. Cause: what had been spent was forgotten, and each spent
-	// its part of the slack once more.
-	It("is not spent again by successors within one window", Label("failure:all-lose-power"), func() {
+	// All daemons lose power at once and restart. The record of spent retries is lost,
+	// so without the reserve each daemon would spend its part of the slack a second
+	// time and backend servers would get more retries than the site allows.
+	It("is not spent a second time by restarted daemons within one window", Label("failure:all-lose-power"), func() {
 		const daemons = 7
 		now, n := time.Unix(1000, 0), 0
 		spend := func(anew bool) {
@@ -54,19 +54,19 @@
 		Expect(n).To(BeNumerically(">", 0.8*cfg.Slack))
 	})
 
-	// The same, since each daemon that has just started knows of no other one and takes
-	// the slack of all for its own.
-	It("has no slack where it is not known who shares it", Label("failure:all-lose-power"), func() {
+	// A daemon that has just started knows of no other daemon yet and would take the
+	// whole slack for itself.
+	It("has no slack while the number of daemons is unknown", Label("failure:all-lose-power"), func() {
 		now := time.Unix(1000, 0)
 		b := retrybudget.New(cfg, now)
 		Expect(b.Spend(now, "s", retrybudget.SlackShare{Daemons: 0})).To(BeFalse())
 		for range 10 {
 			b.Request(now, "s")
 		}
-		Expect(b.Spend(now, "s", retrybudget.SlackShare{Daemons: 0})).To(BeTrue(), "a share of its own requests is its own")
+		Expect(b.Spend(now, "s", retrybudget.SlackShare{Daemons: 0})).To(BeTrue(), "the ratio of its own requests needs no other daemon")
 	})
 
-	It("counts services apart", func() {
+	It("counts each service separately", func() {
 		now := time.Unix(1000, 0)
 		b := retrybudget.New(cfg, now)
 		for b.Spend(now, "s", retrybudget.SlackShare{Daemons: 7}) {
@@ -75,8 +75,8 @@
 	})
 })
 
-// In no span of one window are there more retries of one daemon than its share of
-// the slack and the ratio of the requests of that span and the one before allow.
+// No interval of one window contains more retries of a daemon than its part of the
+// slack plus the ratio of the requests in that interval.
 func TestBudgetHoldsInEverySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
--- a/coordination/retrybudget/doc.go
+++ b/coordination/retrybudget/doc.go
@@ -1,7 +1,8 @@
-// Package retrybudget bounds the requests that are sent to a second backend server
-// over all daemons together, without any message between them: each daemon spends
-// a share of its own requests and an equal part of the slack that the site allows.
+// Package retrybudget bounds the number of requests that are retried on a second
+// backend server, summed over all daemons, without any message between them: each
+// daemon may spend a share of its own requests plus an equal part of the slack
+// configured for the site.
 //
-// A request counts from when it came until Window later, a retry likewise, so that
-// no span of one Window has more retries than allowed.
+// Requests and retries both count for one Window after they were made, so no interval
+// of one Window contains more retries than allowed.
 package retrybudget
