--- a/coordination/address/address_test.go
+++ b/coordination/address/address_test.go
@@ -15,8 +15,9 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-// fleet is n daemons round-robin over the three failure domains of one region.
-func fleet(n int) []address.Candidate {
+// cluster returns n daemons, assigned round-robin to the three failure domains of one
+// region.
+func cluster(n int) []address.Candidate {
 	domains := []state.FailureDomain{"ernakulam", "kottayam", "alappuzha"}
 	cs := make([]address.Candidate, n)
 	for i := range cs {
@@ -34,8 +35,8 @@
 	return address.Query{Customer: "large", Caller: fmt.Sprintf("10.9.%d.%d", i/250, i%250), Domain: domain}
 }
 
-// firsts counts how often each daemon is named first to n callers.
-func firsts(cs []address.Candidate, n int, domain state.FailureDomain) map[state.DaemonID]int {
+// countFirst counts how often each daemon is named first to n callers.
+func countFirst(cs []address.Candidate, n int, domain state.FailureDomain) map[state.DaemonID]int {
 	count := make(map[state.DaemonID]int)
 	for i := range n {
 		count[address.Order(address.Config{}, caller(i, domain), cs)[0].ID]++
@@ -44,27 +45,27 @@
 }
 
 var _ = Describe("order", func() {
-	It("spreads the callers of one customer evenly over equal daemons", func() {
+	It("distributes the callers of one customer evenly over equal daemons", func() {
 		const callers = 9000
-		for _, n := range firsts(fleet(9), callers, "") {
+		for _, n := range countFirst(cluster(9), callers, "") {
 			Expect(n).To(BeNumerically("~", callers/9, callers/9*0.15))
 		}
 	})
 
-	It("spreads callers by free capacity", func() {
-		cs := fleet(2)
+	It("distributes callers in proportion to free capacity", func() {
+		cs := cluster(2)
 		cs[0].Load = 0.5
-		got := firsts(cs, 9000, "")
+		got := countFirst(cs, 9000, "")
 		Expect(got["entry-0"]).To(BeNumerically("~", 3000, 300))
 	})
 
-	It("keeps callers in their failure domain until it fills, then lets them go bit by bit", func() {
+	It("keeps callers in their failure domain until its load rises, then moves them gradually", func() {
 		inside := func(load float64) int {
-			cs := fleet(9)
+			cs := cluster(9)
 			for i := 0; i < len(cs); i += 3 {
 				cs[i].Load = load
 			}
-			got := firsts(cs, 1000, "ernakulam")
+			got := countFirst(cs, 1000, "ernakulam")
 			return got["entry-0"] + got["entry-3"] + got["entry-6"]
 		}
 		Expect(inside(0.6)).To(Equal(1000))
@@ -74,7 +75,7 @@
 
 	It("names a second failure domain even when the first could fill the answer", func() {
 		var cs []address.Candidate
-		for i, c := range fleet(60) {
+		for i, c := range cluster(60) {
 			if i%3 == 0 || i == 1 {
 				cs = append(cs, c)
 			}
@@ -87,15 +88,15 @@
 })
 
 var _ = Describe("a planned stop", func() {
-	// A caller asked a peer for addresses just before the peer learned that
-	// entry-0 drains, and connects to entry-0 on the last moment of the answer.
-	// If entry-0 had closed its listener by its own answers alone, the caller
-	// would be turned away by an address that it was told to use.
-	It("accepts until the last answer of any peer has run out", Label("failure:planned-stop"), func() {
+	// A caller asks a peer for addresses just before the peer learns that entry-0
+	// drains, and connects to entry-0 just before the answer expires. If entry-0 timed
+	// its stop by its own answers alone, it would refuse a caller that was given its
+	// address.
+	It("accepts connections until the last answer of any peer has expired", Label("failure:planned-stop"), func() {
 		cfg := address.Config{TTL: 15 * time.Second, DrainPropagationBound: 10 * time.Second}
 		self := address.New(cfg, "entry-0")
 		peer := address.New(cfg, "entry-1")
-		cs := fleet(3)
+		cs := cluster(3)
 		until := self.Drain(t0)
 
 		learned := t0.Add(cfg.DrainPropagationBound)
@@ -105,21 +106,21 @@
 		Expect(self.Drain(t0.Add(time.Hour))).To(Equal(until))
 	})
 
-	// A peer is paused (or cut off) while entry-0 drains and stops. It wakes with
-	// its old view and answers a caller before it has heard from anyone. With the
-	// full validity the caller would keep a dead address for long.
-	It("gives short answers from a view that is out of touch", Label("failure:planned-stop"), func() {
+	// A peer is paused or partitioned while entry-0 drains and stops. It resumes with
+	// its old view and answers a caller before hearing from any other daemon. With the
+	// full TTL the caller would cache a dead address for that long.
+	It("gives short-lived answers from an outdated view", Label("failure:planned-stop"), func() {
 		cfg := address.Config{TTL: 15 * time.Second, DrainPropagationBound: 10 * time.Second, MinTTL: time.Second}
 		peer := address.New(cfg, "entry-1")
 		woke := t0.Add(30 * time.Second)
-		Expect(peer.Resolve(woke, t0, caller(1, ""), fleet(3)).TTL).To(Equal(cfg.MinTTL))
-		Expect(peer.Resolve(woke, woke, caller(1, ""), fleet(3)).TTL).To(Equal(cfg.TTL))
+		Expect(peer.Resolve(woke, t0, caller(1, ""), cluster(3)).TTL).To(Equal(cfg.MinTTL))
+		Expect(peer.Resolve(woke, woke, caller(1, ""), cluster(3)).TTL).To(Equal(cfg.TTL))
 	})
 })
 
-// An answer that names a daemon has run out when that daemon closes, whoever gave
-// it and whatever the order of answers, learning and drain, as long as the
-// answering peer is in touch or says so.
+// Every answer that names a daemon has expired when that daemon closes, whichever
+// daemon gave it and in whatever order answers, propagation and drain occur, as long as
+// the answering peer is in contact or reports that it is not.
 func TestNoAnswerOutlivesTheDrain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := address.Config{
@@ -141,9 +142,9 @@
 			if rapid.Bool().Draw(t, "in touch") {
 				touch = now
 			}
-			// In touch later than drain + notice, a peer knows of the drain.
+			// A peer in contact later than drain + notice knows of the drain.
 			knows := touch.After(t0.Add(drainAt + cfg.DrainPropagationBound))
-			cs := fleet(2)
+			cs := cluster(2)
 			cs[0].Draining = knows
 			for _, b := range []*address.Resolver{self, peer} {
 				at := touch
@@ -162,7 +163,7 @@
 			}
 		}
 		if last.After(until) {
-			t.Fatalf("an answer runs out at %v, the daemon closes at %v", last, until)
+			t.Fatalf("an answer expires at %v, the daemon closes at %v", last, until)
 		}
 	})
 }
--- a/coordination/address/config.go
+++ b/coordination/address/config.go
@@ -12,32 +12,31 @@
 	DefaultOverload              = 0.9
 )
 
-// Config tunes the answers. A zero field takes its default.
+// Config holds the parameters of answers. Zero fields take their defaults.
 type Config struct {
-	// Valid is how long an answer holds; default 15 s. A planned stop takes at
-	// least Notice + Valid.
+	// TTL is how long an answer is valid; default 15 s. A planned stop takes at least
+	// DrainPropagationBound + TTL.
 	TTL time.Duration `json:"valid"`
 
-	// MinValid is the least validity given out, by a daemon whose view is old;
-	// default 1 s.
+	// MinTTL is the shortest TTL, given by a daemon whose view is old; default 1 s.
 	MinTTL time.Duration `json:"min_valid"`
 
-	// Notice bounds the time until every daemon in touch with its peers has
-	// learned that one of them drains, or holds it for dead; default 10 s.
-	// docs/design/membership.md has the measured times.
+	// DrainPropagationBound is the longest time until every daemon in contact with its
+	// peers has learned that one of them drains, or considers it dead; default 10 s.
+	// The measured times are in docs/design/membership.md.
 	DrainPropagationBound time.Duration `json:"notice"`
 
-	// Count is the most addresses in an answer; default 5.
+	// MaxAddresses is the maximum number of addresses in an answer; default 5.
 	MaxAddresses int `json:"count"`
 
-	// Busy and Overload are loads in [0, 1]. A daemon of the caller's failure
-	// domain is preferred by all of its callers up to Busy, by none from
-	// Overload on, and by a share falling in a line between; defaults 0.7, 0.9.
+	// Busy and Overload are loads in [0, 1]. A daemon of the caller's failure domain is
+	// preferred by all of its callers up to Busy, by none from Overload on, and in
+	// between by a linearly decreasing share; defaults 0.7 and 0.9.
 	Busy     float64 `json:"busy"`
 	Overload float64 `json:"overload"`
 }
 
-// withDefaults gives c with each zero field at its default.
+// withDefaults returns c with zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	if c.TTL == 0 {
 		c.TTL = DefaultTTL
--- a/coordination/address/doc.go
+++ b/coordination/address/doc.go
@@ -1,19 +1,19 @@
-// Package address decides which daemons a caller should use, and how long a
-// daemon that drains must go on accepting because of answers given earlier.
+// Package address decides which daemons a caller should connect to, and how long a
+// draining daemon must keep accepting connections because of answers given earlier.
 //
-// There is no balancer before the daemons: a caller asks any one of them, keeps
-// the answer for its stated time and connects by itself. Order is a pure
-// function of the candidates and the caller, so that every daemon with the same
-// view gives one caller the same answer. Book keeps the two facts that a planned
-// stop needs: when the last answer naming this daemon runs out, and by when every
-// peer has stopped naming it.
+// There is no load balancer in front of the daemons: a caller asks any of them, caches
+// the answer for its TTL and connects directly. Order is a pure function of the
+// candidates and the caller, so all daemons with the same membership view give a caller
+// the same answer. Resolver keeps the two facts that a planned stop needs: when the
+// last answer naming this daemon expires, and by when every peer has stopped naming it.
 //
-// Failures that the guards are for:
+// Failures handled here:
 //
-//   - planned-stop: a daemon that closed its listener at once would cut off
-//     callers whose answers still name it. It accepts until DrainUntil.
-//   - a daemon that was paused or cut off names peers that drained meanwhile:
-//     its answers lose validity with the age of its view (Book.Answer).
-//   - a failure domain is lost: an answer names daemons of at least two failure
-//     domains where there are two, so that the caller has somewhere to go.
+//   - planned-stop: a daemon that closed its listener at once would cut off callers
+//     whose cached answers still name it. It accepts connections until DrainUntil.
+//   - A daemon that was paused or partitioned names peers that drained in the
+//     meantime: the TTL of its answers shrinks with the age of its view
+//     (Resolver.Resolve).
+//   - Loss of a failure domain: an answer names daemons of at least two failure
+//     domains if there are two, so that the caller has an alternative.
 package address
