--- a/coordination/retry/decision.go
+++ b/coordination/retry/decision.go
@@ -7,57 +7,57 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// Failure is what is known when an attempt has failed.
+// Failure describes a failed attempt and its request.
 type Failure struct {
 	Service  state.ServiceID
 	Customer state.CustomerID
 
-	// Policy is the retry part of the service's document; zero fields take the
-	// defaults of Config.
+	// Policy is the retry policy of the service document. Zero fields take the
+	// defaults.
 	Policy service.Retry
 
-	// Cause becomes the reason of the retry, if there is one.
+	// Cause is the reason reported for the retry, if one is allowed.
 	Cause state.RetryReason
 
-	// Attempts counts the attempts of the request so far, the failed one
-	// included.
+	// Attempts is the number of attempts of the request so far, including the failed
+	// one.
 	Attempts int
 
-	// Execution is what the request's record proves of all attempts so far.
+	// Execution is what the request's record proves about all attempts so far.
 	Execution state.Execution
 
 	// Repeatable reports whether the request may run more than once.
 	Repeatable bool
 
-	// Tried are the replicas of the earlier attempts; Replica is that of the
-	// failed one, empty when none was chosen yet.
+	// Tried lists the replicas of the earlier attempts. Replica is that of the failed
+	// attempt, or empty if none had been chosen.
 	Tried   []state.ReplicaID
 	Replica state.ReplicaID
 
-	// Blameless reports that Replica works and only declined, so that other
-	// requests need not avoid it.
+	// ReplicaHealthy is set if Replica works and only declined the request, so that
+	// other requests need not avoid it.
 	ReplicaHealthy bool
 
-	// Deadline is when the caller no longer wants the answer; zero for never.
+	// Deadline is when the caller stops waiting for the answer; zero means no deadline.
 	Deadline time.Time
 }
 
-// Decision is Again or Stop.
+// Decision is Allow or Deny.
 type Decision interface {
 	decision()
 }
 
-// Again permits one more attempt.
+// Allow permits one more attempt.
 type Allow struct {
 	Reason state.RetryReason
-	After  time.Duration // wait from now, 0 or more
+	After  time.Duration // delay from now, not negative
 
-	// Exclude are the replicas not to choose: those of the request's own
-	// attempts, then others of the service that failed just before.
+	// Exclude lists the replicas that must not be chosen: those of the request's own
+	// attempts, then other recently failed replicas of the service.
 	Exclude []state.ReplicaID
 }
 
-// Stop ends the request.
+// Deny ends the request.
 type Deny struct {
 	Denial Denial
 }
@@ -65,16 +65,16 @@
 func (Allow) decision() {}
 func (Deny) decision()  {}
 
-// Denial is the closed list of why a failed attempt is not repeated. Each has
-// a counter of the same name.
+// Denial is the reason why a failed attempt is not retried. Each value has a counter of
+// the same name.
 type Denial string
 
 // The values of Denial.
 const (
-	DenialNotRepeatable  Denial = "not_repeatable"  // it may have run, and may run only once
-	DenialAttempts       Denial = "attempts"        // the attempt limit is used up
-	DenialServiceBudget  Denial = "service_budget"  // the service's recent retries use up its budget
-	DenialCustomerBudget Denial = "customer_budget" // the customer's recent retries use up its budget
+	DenialNotRepeatable  Denial = "not_repeatable"  // it may have run and must not run twice
+	DenialAttempts       Denial = "attempts"        // the attempt limit is reached
+	DenialServiceBudget  Denial = "service_budget"  // the retry budget of the service is exhausted
+	DenialCustomerBudget Denial = "customer_budget" // the retry budget of the customer is exhausted
 	DenialDeadline       Denial = "deadline"        // the deadline has passed
 )
 
@@ -86,7 +86,7 @@
 	}
 }
 
-// Reason is what the caller is told of a request that ends with d.
+// Reason returns the reason reported to the caller of a request that ends with d.
 func (d Denial) Reason() state.Reason {
 	switch d {
 	case DenialNotRepeatable:
--- a/coordination/retry/doc.go
+++ b/coordination/retry/doc.go
@@ -1,24 +1,24 @@
-// Package retry decides whether a request whose attempt failed is tried once
-// more, when, and away from which replicas.
+// Package retry decides whether a request whose attempt failed is retried, when, and
+// which replicas the retry must avoid.
 //
-// The contract for the caller: one Budgets value a daemon, owned by one
-// goroutine. Report each request that ended with a whole answer through
-// Succeeded. After a failed attempt call Decide and obey it: Again permits
-// exactly one more attempt, Stop ends the request with the given reason.
+// Usage: one Budgets value per daemon, owned by one goroutine. Report each request that
+// ended with a complete answer through Succeeded. After a failed attempt call Decide
+// and act on its result: Allow permits exactly one more attempt, Deny ends the request
+// with the given reason.
 //
-// What it guards against:
+// Failures handled here:
 //
-//   - Double execution. An attempt that may have run is repeated only if its
-//     request is repeatable; "may have" is state.Execution, which
+//   - Double execution: an attempt that may have run is repeated only if its request
+//     is repeatable. Whether it may have run is a state.Execution, which
 //     state.Dispatches derives from proof.
-//   - A retry storm. When all replicas of a service fail, each request fails
-//     and, retried, multiplies the load on what is still alive. It shows as
-//     dispatches a second growing while completed answers fall. The budget of
-//     the service permits retries only as a share of recent successes, so with
-//     no success they fade to the floor; the budget of the customer keeps one
-//     customer's failing requests from using up the retries of all others.
-//   - The failing replica being chosen again because it answers (with errors)
-//     faster than the working ones: Again.Exclude names it.
-//   - Synchronised repeats: the delay is drawn uniformly from zero to a bound
+//   - Retry storm: when all replicas of a service fail, each request fails and, if
+//     retried, multiplies the load on the replicas that still work. Dispatches per
+//     second grow while completed answers fall. The service's budget permits retries
+//     only as a share of recent successes, so without successes retries decrease to the
+//     floor. The customer's budget keeps one customer's failing requests from using up
+//     the retries of the others.
+//   - A failing replica is chosen again because it answers with errors faster than
+//     working replicas answer: Allow.Exclude lists it.
+//   - Synchronized retries: the delay is drawn uniformly between zero and a bound
 //     that doubles with each attempt.
 package retry
--- a/coordination/retry/failing.go
+++ b/coordination/retry/failing.go
@@ -7,9 +7,9 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// failing remembers the replicas of one service that failed just now, oldest
-// first, at most Config.MaxFailing of them.
-type failing struct {
+// failedReplicas holds the recently failed replicas of one service, oldest first, at
+// most Config.MaxFailedReplicas of them.
+type failedReplicas struct {
 	replicas []failedReplica
 }
 
@@ -18,9 +18,9 @@
 	until time.Time
 }
 
-// add remembers id until then. The oldest is forgotten when there are more
-// than bound.
-func (f *failing) add(id state.ReplicaID, until time.Time, bound int) {
+// add records the failure of id until the given time. If there are more than bound
+// entries, the oldest are dropped.
+func (f *failedReplicas) add(id state.ReplicaID, until time.Time, bound int) {
 	f.replicas = slices.DeleteFunc(f.replicas, func(r failedReplica) bool {
 		return r.id == id
 	})
@@ -30,8 +30,8 @@
 	}
 }
 
-// expire forgets what ended at or before now.
-func (f *failing) expire(now time.Time) {
+// expire removes the entries that ended at or before now.
+func (f *failedReplicas) expire(now time.Time) {
 	n := 0
 	for n < len(f.replicas) && !f.replicas[n].until.After(now) {
 		n++
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -8,58 +8,58 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// Config holds the bounds that no document sets. Zero fields take the default.
+// Config holds the bounds that are not part of a service document. Zero fields take the
+// defaults.
 type Config struct {
-	// Window is how far back successes and retries count. Default 10 s.
+	// Window is the interval over which successes and retries count. Default 10 s.
 	Window time.Duration
 
-	// ServiceFloor and CustomerFloor are retries within one window that need
-	// no success, so that a service with little traffic is retried at all.
-	// Defaults 10 and 3, in this daemon.
+	// ServiceFloor and CustomerFloor are the retries per window and daemon that are
+	// allowed without any success, so that a service with little traffic can be retried
+	// at all. Defaults 10 and 3.
 	ServiceFloor  int
 	CustomerFloor int
 
-	// BaseDelay bounds the delay before the second attempt; it doubles with
-	// each attempt up to MaxDelay. Defaults 20 ms and 1 s.
+	// BaseDelay bounds the delay before the second attempt. The bound doubles with each
+	// attempt up to MaxDelay. Defaults 20 ms and 1 s.
 	BaseDelay time.Duration
 	MaxDelay  time.Duration
 
-	// FailingFor is how long a replica that failed is excluded from the
-	// retries of all requests. Default 2 s.
+	// FailureTTL is how long a failed replica is excluded from the retries of all
+	// requests. Default 2 s.
 	FailureTTL time.Duration
 
-	// MaxFailing bounds the failed replicas remembered a service. Default 64.
+	// MaxFailedReplicas bounds the failed replicas remembered per service. Default 64.
 	MaxFailedReplicas int
 
-	// MaxCustomers bounds the customer budgets held. A customer beyond it has
-	// no retries until another falls idle. Default 8192.
+	// MaxCustomers bounds the number of customer budgets held. A customer beyond it
+	// gets no retries until the budget of another is idle. Default 8192.
 	MaxCustomers int
 }
 
-// Defaults of a service document's retry part.
+// Defaults of a service document's retry policy.
 const (
 	defaultMaxAttempts = 3
 	defaultBudgetRatio = 0.2
 )
 
-// customerKey names one customer of one service.
+// customerKey identifies a customer of a service.
 type customerKey struct {
 	service  state.ServiceID
 	customer state.CustomerID
 }
 
-// Budgets holds the retry budgets of one daemon. It is not safe for use by
-// several goroutines.
+// Budgets holds the retry budgets of one daemon. It is not safe for concurrent use.
 type Budgets struct {
 	cfg       Config
 	start     time.Time
 	rng       *rand.Rand
 	services  map[state.ServiceID]*window
 	customers map[customerKey]*window
-	failing   map[state.ServiceID]*failing
+	failed    map[state.ServiceID]*failedReplicas
 }
 
-// New returns empty budgets. start is any time not after the first call's now.
+// New returns empty budgets. start must not be after the first call's now.
 func New(cfg Config, start time.Time, rng *rand.Rand) *Budgets {
 	return &Budgets{
 		cfg:       cfg.withDefaults(),
@@ -67,25 +67,24 @@
 		rng:       rng,
 		services:  make(map[state.ServiceID]*window),
 		customers: make(map[customerKey]*window),
-		failing:   make(map[state.ServiceID]*failing),
+		failed:    make(map[state.ServiceID]*failedReplicas),
 	}
 }
 
-// Succeeded counts a request that ended with a whole answer.
+// Succeeded counts a request that ended with a complete answer.
 func (b *Budgets) Succeeded(now time.Time, svc state.ServiceID, customer state.CustomerID) {
 	bucket := b.bucket(now)
-	b.service(svc).succeed(bucket)
+	b.service(svc).addSuccess(bucket)
 	if w := b.customer(bucket, svc, customer); w != nil {
-		w.succeed(bucket)
+		w.addSuccess(bucket)
 	}
 }
 
-// Decide answers a failed attempt. The checks run from those that protect
-// correctness to those that protect capacity, and a refused retry uses no
-// budget.
+// Decide returns the decision for a failed attempt. Checks that protect correctness
+// come before those that protect capacity, and a denied retry uses no budget.
 func (b *Budgets) Decide(now time.Time, f Failure) Decision {
 	if f.Replica != "" && !f.ReplicaHealthy {
-		b.failingOf(f.Service).add(f.Replica, now.Add(b.cfg.FailureTTL), b.cfg.MaxFailedReplicas)
+		b.failedOf(f.Service).add(f.Replica, now.Add(b.cfg.FailureTTL), b.cfg.MaxFailedReplicas)
 	}
 	if f.Execution != state.ExecutionNotRun && !f.Repeatable {
 		return Deny{Denial: DenialNotRepeatable}
@@ -107,12 +106,12 @@
 	}
 }
 
-// Failing returns the replicas of a service that failed just before now.
+// FailedReplicas returns the replicas of a service that failed recently.
 func (b *Budgets) FailedReplicas(now time.Time, svc state.ServiceID) []state.ReplicaID {
 	return b.exclude(now, Failure{Service: svc})
 }
 
-// spend takes one retry from both budgets, or from neither.
+// spend takes one retry from both budgets or from neither.
 func (b *Budgets) spend(now time.Time, f Failure, ratio float64) (Denial, bool) {
 	bucket := b.bucket(now)
 	svc := b.service(f.Service)
@@ -123,13 +122,13 @@
 	if customer == nil || !customer.permits(bucket, b.cfg.CustomerFloor, ratio) {
 		return DenialCustomerBudget, false
 	}
-	svc.retry()
-	customer.retry()
+	svc.addRetry()
+	customer.addRetry()
 	return "", true
 }
 
-// delay draws the wait before the next attempt: full jitter below a bound that
-// doubles with each attempt and never reaches past the deadline.
+// delay returns the delay before the next attempt: full jitter below a bound that
+// doubles with each attempt and never extends past the deadline.
 func (b *Budgets) delay(now time.Time, f Failure) time.Duration {
 	bound := b.cfg.BaseDelay
 	for i := 1; i < f.Attempts && bound < b.cfg.MaxDelay; i++ {
@@ -142,23 +141,23 @@
 	return time.Duration(b.rng.Int64N(int64(bound)))
 }
 
-// exclude lists the request's own replicas and the service's failing ones,
-// each once.
+// exclude returns the request's own replicas and the service's failed ones, without
+// duplicates.
 func (b *Budgets) exclude(now time.Time, f Failure) []state.ReplicaID {
-	failed := b.failingOf(f.Service)
+	failed := b.failedOf(f.Service)
 	failed.expire(now)
 	out := make([]state.ReplicaID, 0, len(f.Tried)+1+len(failed.replicas))
 	out = append(out, f.Tried...)
 	if f.Replica != "" {
-		out = appendNew(out, f.Replica)
+		out = appendUnique(out, f.Replica)
 	}
 	for _, r := range failed.replicas {
-		out = appendNew(out, r.id)
+		out = appendUnique(out, r.id)
 	}
 	return out
 }
 
-func appendNew(ids []state.ReplicaID, id state.ReplicaID) []state.ReplicaID {
+func appendUnique(ids []state.ReplicaID, id state.ReplicaID) []state.ReplicaID {
 	for _, have := range ids {
 		if have == id {
 			return ids
@@ -168,7 +167,7 @@
 }
 
 func (b *Budgets) bucket(now time.Time) int64 {
-	return bucketOf(b.start, now, b.cfg.Window/buckets)
+	return bucketOf(b.start, now, b.cfg.Window/bucketCount)
 }
 
 func (b *Budgets) service(id state.ServiceID) *window {
@@ -180,8 +179,7 @@
 	return w
 }
 
-// customer returns the customer's window, or nil when all places are taken by
-// customers that are not idle.
+// customer returns the customer's window, or nil if MaxCustomers budgets are in use.
 func (b *Budgets) customer(bucket int64, svc state.ServiceID, id state.CustomerID) *window {
 	key := customerKey{service: svc, customer: id}
 	if w := b.customers[key]; w != nil {
@@ -206,11 +204,11 @@
 	}
 }
 
-func (b *Budgets) failingOf(svc state.ServiceID) *failing {
-	f := b.failing[svc]
+func (b *Budgets) failedOf(svc state.ServiceID) *failedReplicas {
+	f := b.failed[svc]
 	if f == nil {
-		f = &failing{}
-		b.failing[svc] = f
+		f = &failedReplicas{}
+		b.failed[svc] = f
 	}
 	return f
 }
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -35,7 +35,8 @@
 		}
 		var log []record
 		now := epoch
-		// count sums the records of one customer (or all) younger than age.
+		// count returns the number of records of one customer (or all) younger than
+		// age.
 		count := func(customer state.CustomerID, retries bool, age time.Duration) int {
 			n := 0
 			for _, r := range log {
@@ -71,27 +72,27 @@
 				t.Fatalf("retried %+v", f)
 			}
 			if f.Attempts >= 3 || !now.Add(again.After).Before(f.Deadline) || again.After < 0 {
-				t.Fatalf("retried past its bounds: %+v %+v", f, again)
+				t.Fatalf("retried beyond its bounds: %+v %+v", f, again)
 			}
 			if len(again.Exclude) == 0 || again.Exclude[0] != f.Replica {
-				t.Fatalf("%s just failed and is not excluded: %v", f.Replica, again.Exclude)
+				t.Fatalf("%s has just failed but is not excluded: %v", f.Replica, again.Exclude)
 			}
-			// The sliding window holds between 9 and 10 of its 10 buckets, so
-			// the retries of 9 s stay within the successes of 10 s.
+			// The sliding window spans between 9 and 10 of its 10 one-second buckets,
+			// so the retries of 9 s are within the budget of 10 s of successes.
 			for _, c := range []struct {
 				customer state.CustomerID
 				floor    int
 			}{{"", 4}, {customer, 2}} {
 				budget := math.Max(float64(c.floor), ratio*float64(count(c.customer, false, 10*time.Second)))
 				if got := count(c.customer, true, 9*time.Second); float64(got) > budget {
-					t.Fatalf("customer %q: %d retries within a budget of %v", c.customer, got, budget)
+					t.Fatalf("customer %q: %d retries with a budget of %v", c.customer, got, budget)
 				}
 			}
 		}
 	})
 }
 
-// attempt is one dispatch of the outage model, ending at end.
+// attempt is one dispatch of the outage model, which ends at end.
 type attempt struct {
 	end time.Time
 	n   int
@@ -109,10 +110,9 @@
 	return last
 }
 
-// outage runs 100 requests a second for 70 s, of which the 60 s from second 10
-// on are an outage in which a share of all dispatches fails after 50 ms. It
-// returns dispatches a request and the share of requests that completed, both
-// within the outage.
+// outage simulates 100 requests per second for 70 s. From second 10 on a share of all
+// dispatches fails after 50 ms. It returns the dispatches per request and the share of
+// requests completed, both during the outage.
 func outage(failShare float64, policy service.Retry, cfg retry.Config) (amplification, completed float64) {
 	b := newBudgets(cfg)
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -151,14 +151,14 @@
 }
 
 var _ = Describe("A retry storm", Label("failure:stage-dies-mid-stream"), func() {
-	// All stages of one kind die, so that each request of the service fails
-	// 50 ms after dispatch. Without a budget each is tried to its attempt
-	// limit and the back ends get a multiple of the callers' load, just when
-	// they restart. With the budget the multiple stays near one, and a partial
-	// outage is still hidden from most callers.
+	// All stages of one kind die, so that each request of the service fails 50 ms after
+	// dispatch. Without a budget each request is tried up to its attempt limit and the
+	// backend servers get a multiple of the normal load while they restart. With the
+	// budget the multiple stays near one, and a partial outage remains invisible to
+	// most callers.
 	unlimited := retry.Config{ServiceFloor: 1 << 30, CustomerFloor: 1 << 30}
 
-	DescribeTable("multiplies the load no more than the budget permits",
+	DescribeTable("is limited to the amplification that the budget permits",
 		func(failShare, maxAmplification, minCompleted float64) {
 			policy := service.Retry{MaxAttempts: 4, BudgetRatio: 0.2}
 			with, doneWith := outage(failShare, policy, retry.Config{})
@@ -171,13 +171,13 @@
 			Expect(doneWith).To(BeNumerically(">=", minCompleted))
 		},
 		Entry("5% fail", 0.05, 1.06, 0.999),
-		Entry("half fails", 0.5, 1.2, 0.55),
+		Entry("half fail", 0.5, 1.2, 0.55),
 		Entry("all fail", 1.0, 1.1, 0.0),
 	)
 })
 
 var _ = Describe("A request that may run only once", func() {
-	It("is retried exactly when no attempt ran", func() {
+	It("is retried only if no attempt ran", func() {
 		b := newBudgets(retry.Config{})
 		f := retry.Failure{Service: "s", Customer: "c", Attempts: 1, Cause: state.RetryUnstarted, Execution: state.ExecutionNotRun}
 		Expect(b.Decide(epoch, f)).To(BeAssignableToTypeOf(retry.Allow{}))
