--- a/coordination/request/action.go
+++ b/coordination/request/action.go
@@ -4,20 +4,22 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Action is something that a request wants done.
+// Action is an instruction of a Request to its owner.
 type Action interface{ action() }
 
 type (
-	// AskSlot asks the homes for a replica that is not in Exclude.
+	// RequestSlot requests a slot of a replica that is not in Exclude from the pool
+	// homes.
 	RequestSlot struct {
-		Attempt state.Attempt // the one that the slot is for; names the slot
+		Attempt state.Attempt // the attempt that needs the slot; identifies the slot
 		Exclude []state.ReplicaID
 	}
 
-	// StopAsking takes back AskSlot; a grant that crosses it is released.
+	// CancelSlotRequest cancels RequestSlot. A grant that was sent meanwhile is
+	// released.
 	CancelSlotRequest struct{ Attempt state.Attempt }
 
-	// ReleaseSlot gives a slot back.
+	// ReleaseSlot releases a slot.
 	ReleaseSlot struct {
 		Grant   state.Attempt
 		Replica state.ReplicaID
@@ -25,24 +27,24 @@
 		Failed  bool // the replica failed the request
 	}
 
-	// PutClaim asks for the claim row, with the slot in hand. A later attempt
-	// puts it again: the row must name the replica before it is dispatched
-	// to, or a daemon that takes over would ask the wrong backend servers and
-	// take their ignorance for proof.
+	// PutClaim requests the claim row while the slot is held. A later attempt writes it
+	// again: the row must name the replica before anything is dispatched there, or a
+	// daemon that takes over would query the wrong backend servers and take their
+	// ignorance for proof.
 	PutClaim struct {
 		Attempt state.Attempt
 		Epoch   state.Epoch
 		Replica state.Replica
-		// Proof shows that no attempt before ran; it is always valid.
+		// Proof shows that no earlier attempt ran. It is always valid.
 		Proof state.NotRunProof
 	}
 
-	// AbandonClaim takes PutClaim back; ClaimSettled answers it at once.
+	// AbandonClaim withdraws PutClaim. ClaimSettled answers it at once.
 	AbandonClaim struct{}
 
-	// VoidClaim gives a claim back whose request was not dispatched, by a
-	// write that is conditional on the row as this owner wrote it. VoidSettled
-	// answers it within a short bound.
+	// VoidClaim gives up the claim of a request that was not dispatched, by a write
+	// conditional on the row as this owner wrote it. VoidSettled answers it within a
+	// short time.
 	VoidClaim struct{ Proof state.NotRunProof }
 
 	// SettleClaim records how a claimed request ended.
@@ -52,57 +54,59 @@
 	RunStep struct {
 		Step  StepRef
 		Stage state.Stage
-		// Prompt and Given are set for an attempt's first step.
+		// Prompt and PriorTokens are set for the first step of an attempt.
 		Prompt      string
 		PriorTokens []int64
 		Input       []byte
 		LastToken   int64
 	}
 
-	// AskHeld asks one stage what it holds and bars lower epochs there.
+	// QueryStage asks one stage for its state of the attempt and fences lower epochs
+	// there.
 	QueryStage struct {
 		Step  StepRef
 		Stage state.Stage
 	}
 
-	// CancelAttempt ends an attempt at all its stages; nothing waits for it.
+	// CancelAttempt ends an attempt at all its stages. Nothing waits for its
+	// completion.
 	CancelAttempt struct {
 		Attempt state.Attempt
 		Replica state.Replica
 	}
 
-	// ReleaseAttempt says that the answer is whole: the stages may free the
-	// attempt's KV cache once the tokens are kept elsewhere.
+	// ReleaseAttempt reports that the answer is complete: the stages may free the
+	// attempt's KV cache once the tokens are stored elsewhere.
 	ReleaseAttempt struct {
 		Attempt state.Attempt
 		Replica state.Replica
 	}
 
-	// AskRetry asks the retry budget for one more attempt.
+	// RequestRetry asks the retry budget for one more attempt.
 	RequestRetry struct {
 		Reason    state.RetryReason
 		Attempt   state.Attempt // the one that failed
 		Replica   state.ReplicaID
-		Tried     []state.ReplicaID // by the attempts before
+		Tried     []state.ReplicaID // by earlier attempts
 		Execution state.Execution   // of all attempts so far
 	}
 
-	// AttemptBegan tells that a replica surely runs the request. From here on
-	// another daemon may take the attempt over.
+	// AttemptStarted reports that a replica certainly runs the request. From here on
+	// another daemon may take over the attempt.
 	AttemptStarted struct {
 		Attempt state.Attempt
 		Epoch   state.Epoch
 		Replica state.Replica
 	}
 
-	// Emit gives the caller the next token.
+	// Emit delivers the next token to the caller.
 	Emit struct {
 		Index int
 		Value int64
 		Text  string
 	}
 
-	// End gives the outcome; nothing follows.
+	// End reports the outcome. It is the last action.
 	End struct{ Outcome state.Outcome }
 )
 
--- a/coordination/request/adopt.go
+++ b/coordination/request/adopt.go
@@ -4,70 +4,70 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// adopt takes over an attempt that another daemon began.
-func (r *Request) adopt(t Takeover) {
+// takeOver takes over an attempt that another daemon started.
+func (r *Request) takeOver(t Takeover) {
 	if r.spec.NeverRepeat {
-		panic("request: never-repeat request is taken over without its claim row")
+		panic("request: never-repeat request taken over without its claim row")
 	}
 	r.replica = t.Replica
 	r.attempt = t.Attempt
 	r.epoch = t.Epoch.TakeOver(r.spec.Owner)
-	r.sent.Began(t.Attempt)
-	r.askStages()
+	r.dispatches.Began(t.Attempt)
+	r.queryStages()
 }
 
-// continueClaimed takes over the attempt that the claim row names. The old owner,
-// paused, may have proof that it never began and be about to begin another; it
-// needs the row for that, and its write fails now.
-func (r *Request) continueClaimed(t Takeover) {
+// takeOverClaimed takes over the attempt that the claim row names. The previous owner
+// may be paused while holding proof that the attempt never started, and be about to
+// start another. It needs the row for that, and its write fails now.
+func (r *Request) takeOverClaimed(t Takeover) {
 	r.releaseSlot(false)
 	r.replica = t.Replica
 	r.attempt = t.Attempt
 	r.epoch = t.Epoch
-	r.sent.Sent(t.Attempt)
-	r.askStages()
+	r.dispatches.Sent(t.Attempt)
+	r.queryStages()
 }
 
-// askStages asks all stages under the new epoch, which bars the old owner's steps
-// everywhere before one of ours is sent: a paused owner that wakes can't run a
-// step.
-func (r *Request) askStages() {
+// queryStages queries all stages under the new epoch. This fences the previous owner's
+// steps everywhere before this owner sends one, so a paused owner that resumes cannot
+// run a step.
+func (r *Request) queryStages() {
 	if r.spec.Plain {
-		r.abandonAdoption()
+		r.abandonTakeover()
 		return
 	}
-	r.phase = phaseAdopting
-	r.adopting = make([]*StageState, len(r.replica.Stages))
+	r.phase = phaseTakingOver
+	r.stageStates = make([]*StageState, len(r.replica.Stages))
 	for i, s := range r.replica.Stages {
 		ref := StepRef{Attempt: r.attempt, Epoch: r.epoch, Stage: i}
-		r.do(QueryStage{Step: ref, Stage: s})
+		r.issue(QueryStage{Step: ref, Stage: s})
 	}
 }
 
-func (r *Request) adoptAnswer(ev StageState) {
+func (r *Request) takeoverAnswer(ev StageState) {
 	if ev.Step.Attempt != r.attempt || ev.Step.Epoch != r.epoch {
 		return
 	}
-	r.adopting[ev.Step.Stage] = &ev
-	for _, h := range r.adopting {
+	r.stageStates[ev.Step.Stage] = &ev
+	for _, h := range r.stageStates {
 		if h == nil {
 			return
 		}
 	}
-	r.resumeAdopted()
+	r.resumeTakeover()
 }
 
-// resumeAdopted goes on from where the stages stand, if they agree: those before
-// the next step hold one token more than it and those after.
-func (r *Request) resumeAdopted() {
-	last := r.adopting[len(r.adopting)-1]
-	next, stage, agree := r.frontier()
+// resumeTakeover continues from the state of the stages if it is consistent: the stages
+// before the next step hold one token more than the others.
+func (r *Request) resumeTakeover() {
+	last := r.stageStates[len(r.stageStates)-1]
+	next, stage, agree := r.nextStep()
 	if !agree || len(last.Tokens) != last.NextToken {
-		r.abandonAdoption()
+		r.abandonTakeover()
 		return
 	}
 	if next > 0 || stage > 0 {
-		r.noteBegan()
+		r.markStarted()
 	}
 	for _, value := range last.Tokens {
 		r.emit(value, "")
@@ -78,23 +78,23 @@
 	}
 	r.token = next
 	r.stage = stage
-	r.fresh = next == 0
+	r.firstToken = next == 0
 	r.input = nil
 	if stage > 0 {
-		r.input = r.adopting[stage-1].LastOutput
+		r.input = r.stageStates[stage-1].LastOutput
 	}
-	r.adopting = nil
-	r.send()
+	r.stageStates = nil
+	r.sendStep()
 }
 
-// frontier finds the token and stage of the next step. ok is false where the
-// stages can't be continued: one forgot the attempt, or an output is lost.
-func (r *Request) frontier() (token, stage int, ok bool) {
-	token = r.adopting[len(r.adopting)-1].NextToken
-	for stage < len(r.adopting) && r.adopting[stage].NextToken == token+1 {
+// nextStep returns the token and stage of the next step. ok is false if the attempt
+// cannot be continued: a stage has lost it, or an output is missing.
+func (r *Request) nextStep() (token, stage int, ok bool) {
+	token = r.stageStates[len(r.stageStates)-1].NextToken
+	for stage < len(r.stageStates) && r.stageStates[stage].NextToken == token+1 {
 		stage++
 	}
-	for i, h := range r.adopting {
+	for i, h := range r.stageStates {
 		want := token
 		if i < stage {
 			want = token + 1
@@ -103,16 +103,16 @@
 			return 0, 0, false
 		}
 	}
-	if stage > 0 && r.adopting[stage-1].LastOutput == nil {
+	if stage > 0 && r.stageStates[stage-1].LastOutput == nil {
 		return 0, 0, false
 	}
 	return token, stage, true
 }
 
-// abandonAdoption begins anew where a repeat is allowed. Sampling is seeded by
-// the request, so that a new attempt gives the same tokens from index 0 and the
+// abandonTakeover starts a new attempt if the request is repeatable. Sampling is seeded
+// by the request, so a new attempt produces the same tokens from index 0, and the
 // caller's stream drops those that it already has.
-func (r *Request) abandonAdoption() {
-	r.adopting = nil
-	r.lost(state.RetryTakeover)
+func (r *Request) abandonTakeover() {
+	r.stageStates = nil
+	r.abandonAttempt(state.RetryTakeover)
 }
--- a/coordination/request/bench_test.go
+++ b/coordination/request/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// BenchmarkToken measures the machine of one request for each token, over chains
-// of 2, 4 and 8 stages: one Step a stage, without transport. Bytes and allocations
-// are those of the machine and its actions.
+// BenchmarkToken measures the state machine of one request per token, over chains of 2,
+// 4 and 8 stages: one Step per stage, without transport. Bytes and allocations are
+// those of the machine and its actions.
 //
 //	go test ./coordination/request -run xxx -bench Token
 func BenchmarkToken(b *testing.B) {
@@ -20,7 +20,7 @@
 	}
 }
 
-// chain returns a replica of equal stages.
+// chain returns a replica with the given number of equal stages.
 func chain(stages int) state.Replica {
 	r := state.Replica{ID: "drafter-1", Service: "drafts"}
 	for i := range stages {
@@ -34,7 +34,7 @@
 }
 
 func benchTokens(b *testing.B, stages int) {
-	const tokens = 256 // of one answer
+	const tokens = 256 // per answer
 	now := time.Unix(0, 0)
 	output := make([]byte, 64)
 	replica := chain(stages)
@@ -62,7 +62,7 @@
 				}
 			}
 			if !ended && next == nil {
-				b.Fatalf("the machine waits for nothing: %+v", actions)
+				b.Fatalf("the machine returned no action to answer: %+v", actions)
 			}
 			if !ended {
 				actions = r.Step(now, next)
--- a/coordination/request/event.go
+++ b/coordination/request/event.go
@@ -6,10 +6,10 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Event is something that happened to a request.
+// Event is an input of a Request.
 type Event interface{ event() }
 
-// StepRef names one step: what is run, for which token, where.
+// StepRef identifies one step: attempt, epoch, token and stage.
 type StepRef struct {
 	Attempt state.Attempt
 	Epoch   state.Epoch
@@ -18,32 +18,32 @@
 }
 
 type (
-	// Start begins the request.
+	// Start starts the request.
 	Start struct{}
 
-	// Tick says that time has passed.
+	// Tick reports that time has passed.
 	Tick struct{}
 
-	// Cancel is the caller's wish to end the request.
+	// Cancel reports that the caller wants to end the request.
 	Cancel struct{}
 
-	// SlotGranted answers AskSlot: Replica may be used.
+	// SlotGranted answers RequestSlot: Replica may be used.
 	SlotGranted struct {
-		Grant   state.Attempt // as in AskSlot
+		Grant   state.Attempt // as in RequestSlot
 		Replica state.Replica
 	}
 
-	// SlotUnusable answers AskSlot: a slot was granted, but a backend server of
-	// its replica does not answer, so that nothing was sent there.
+	// SlotUnusable answers RequestSlot: a slot was granted, but a backend server of its
+	// replica does not answer, so nothing was sent there.
 	SlotUnusable struct {
 		Grant   state.Attempt
 		Replica state.ReplicaID
-		// Unknown: nothing is wrong with the replica; this daemon does not
-		// have the document yet that names it.
+		// UnknownReplica is set if nothing is wrong with the replica, but this daemon
+		// has not yet received the document that lists it.
 		UnknownReplica bool
 	}
 
-	// SlotRefused answers AskSlot: no replica will be had.
+	// SlotRefused answers RequestSlot: no replica is available.
 	SlotRefused struct {
 		Reason     state.Reason
 		RetryAfter state.RetryAfter
@@ -52,12 +52,12 @@
 	// ClaimSettled answers PutClaim.
 	ClaimSettled struct {
 		Result   ClaimResult
-		Reason   state.Reason // why not, unless ClaimWon
-		Takeover Takeover     // with ClaimContinue
+		Reason   state.Reason // of the failure, unless ClaimWon
+		Takeover Takeover     // with ClaimTakenOver
 	}
 
-	// VoidSettled answers VoidClaim. Unless Voided, another owner may have
-	// taken the claim over.
+	// VoidSettled answers VoidClaim. Unless Voided, another owner may have taken over
+	// the claim.
 	VoidSettled struct{ Voided bool }
 
 	// StepDone answers RunStep: the layers ran once.
@@ -66,27 +66,28 @@
 		Output []byte
 		Value  int64  // the token, from the last stage
 		Text   string // a plain service's answer
-		Final  bool   // the answer ends with this token
+		Final  bool   // this is the last token of the answer
 	}
 
-	// StepNotRun answers RunStep with proof that it did not run and won't.
+	// StepNotRun answers RunStep with proof that the step did not run and will not run.
 	StepNotRun struct {
 		Step StepRef
-		// Overtaken: another owner barred the step, and may have run it.
+		// Superseded is set if another owner fenced the step and may have run it.
 		Superseded bool
 	}
 
-	// StepFailed answers RunStep: the stage's KV cache is not to be used.
+	// StepFailed answers RunStep: the stage's KV cache must not be used.
 	StepFailed struct{ Step StepRef }
 
-	// StepUnanswered answers RunStep: it may have run, unless NotSent.
+	// StepUnanswered answers RunStep: the step may have run, unless NotSent.
 	StepUnanswered struct {
 		Step    StepRef
-		NotSent bool // not one byte left this daemon
-		Silent  bool // the connection went silent
+		NotSent bool // no byte left this daemon
+		Silent  bool // the connection stopped responding
 	}
 
-	// HeldAnswer answers AskHeld; steps of lower epochs are now barred there.
+	// StageState answers QueryStage. Steps of lower epochs are now fenced at that
+	// stage.
 	StageState struct {
 		Step       StepRef
 		Life       string // of the stage's process
@@ -98,14 +99,14 @@
 		Final      bool
 	}
 
-	// HeldUnanswered answers AskHeld: nothing is known of the stage.
+	// StageQueryFailed answers QueryStage: the state of the stage is unknown.
 	StageQueryFailed struct {
 		Step       StepRef
 		Superseded bool // another daemon owns the stream now
-		NotSent    bool // not one byte left this daemon: nobody listens there
+		NotSent    bool // no byte left this daemon: there is no listener
 	}
 
-	// RetryDecided answers AskRetry.
+	// RetryDecided answers RequestRetry.
 	RetryDecided struct {
 		Allowed bool
 		At      time.Time // the earliest time of the next attempt
@@ -114,22 +115,23 @@
 	}
 )
 
-// ClaimResult is what became of a claim.
+// ClaimResult is the result of a claim.
 type ClaimResult int
 
 // The values of ClaimResult.
 const (
-	// ClaimWon: the row carries this request's nonce; it alone may dispatch.
+	// ClaimWon: the row carries this request's nonce, and only this request may
+	// dispatch.
 	ClaimWon ClaimResult = iota
-	// ClaimContinue: the row named an owner that is gone, and now names this
-	// one, written on the condition that it was still as it was read. The
-	// attempt that it names is to be continued, never begun anew.
+	// ClaimTakenOver: the row named an owner that is gone and now names this one, by a
+	// write conditional on the row as it was read. The attempt that it names is to be
+	// continued, never started anew.
 	ClaimTakenOver
-	// ClaimRefused: the row proves that this request never was dispatched by
-	// anyone and this daemon's claim is not in force.
+	// ClaimRefused: the row proves that no daemon ever dispatched this request, and
+	// this daemon's claim is not in force.
 	ClaimRefused
-	// ClaimElsewhere: another request of the same key holds the row and may
-	// have run.
+	// ClaimHeldElsewhere: another request with the same key holds the row and may have
+	// run.
 	ClaimHeldElsewhere
 )
 
--- a/coordination/request/property_test.go
+++ b/coordination/request/property_test.go
@@ -12,47 +12,46 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-const maxChoices = 160
+const maxEvents = 160
 
-// driver makes the random choices of one history.
+// driver draws the random events of one test run.
 type driver struct {
-	*world
+	*simulation
 	t           *rapid.T
 	neverRepeat bool
 	revisions   int
 }
 
-// TestAnyHistory drives one request through random faults and orders of events:
-// steps and answers lost, late and doubled on the way, stages that die and come
-// back empty, deadlines, cancels, claims that fail, and daemons that take over
-// while the owner before them is paused and later wakes. In every history no
-// layer runs twice or out of order within an attempt, no answer has a gap, what
-// is never to be repeated begins once, a refusal as not run is true, and slots
-// come back.
-func TestAnyHistory(t *testing.T) {
+// TestRandomEvents drives one request through random faults and event orders: lost,
+// late and duplicated steps and answers, stages that die and restart empty, deadlines,
+// cancels, failing claims, and daemons that take over while the previous owner is
+// paused and later resumes. For every sequence no layer runs twice or out of order
+// within an attempt, no answer has a gap, a never-repeat request starts once, a request
+// refused as not run did not run, and all slots are released.
+func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &driver{world: newWorld(), t: t, neverRepeat: rapid.Bool().Draw(t, "never repeat")}
+		d := &driver{simulation: newSimulation(), t: t, neverRepeat: rapid.Bool().Draw(t, "never repeat")}
 		d.plain = rapid.IntRange(0, 3).Draw(t, "plain") == 3
 		d.add(d.spec(d.neverRepeat, 1), 0)
-		for range rapid.IntRange(1, maxChoices).Draw(t, "choices") {
-			d.choose()
+		for range rapid.IntRange(1, maxEvents).Draw(t, "choices") {
+			d.randomEvent()
 		}
-		for _, z := range d.zombies {
+		for _, z := range d.delayedSteps {
 			d.run(z)
 		}
 		for _, fault := range d.check(d.neverRepeat) {
-			t.Errorf("%s\n%s", fault, strings.Join(d.history, "\n"))
+			t.Errorf("%s\n%s", fault, strings.Join(d.log, "\n"))
 		}
 	})
 }
 
-// TestFaultlessHistory shows that a request completes whenever nothing fails.
-func TestFaultlessHistory(t *testing.T) {
+// TestCompletesWithoutFaults checks that a request completes if nothing fails.
+func TestCompletesWithoutFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &driver{world: newWorld(), t: t, neverRepeat: rapid.Bool().Draw(t, "never repeat")}
+		d := &driver{simulation: newSimulation(), t: t, neverRepeat: rapid.Bool().Draw(t, "never repeat")}
 		o := d.add(d.spec(d.neverRepeat, 1), 0)
-		for len(o.ops) > 0 {
-			d.answer(o, d.pop(o), 0)
+		for len(o.pending) > 0 {
+			d.answer(o, d.takePending(o), 0)
 		}
 		if _, ok := o.outcome.(state.Completed); !ok {
 			t.Fatalf("ended with %#v", o.outcome)
@@ -60,8 +59,8 @@
 	})
 }
 
-// choose does one thing at random; most often an answer arrives.
-func (d *driver) choose() {
+// randomEvent performs one random event. Most often an answer arrives.
+func (d *driver) randomEvent() {
 	switch n := rapid.IntRange(0, 39).Draw(d.t, "choice"); {
 	case n < 28:
 		d.deliver()
@@ -73,7 +72,7 @@
 	case n < 34:
 		d.stages[d.address()].dead = false
 	case n < 36:
-		d.arriveLate()
+		d.deliverDelayed()
 	case n == 36:
 		d.feed(d.owner(), request.Cancel{})
 	default:
@@ -90,34 +89,34 @@
 	return r.Stages[rapid.IntRange(0, stageCount-1).Draw(d.t, "stage")].Address
 }
 
-func (d *driver) pop(o *owner) request.Action {
-	i := rapid.IntRange(0, len(o.ops)-1).Draw(d.t, "op")
-	a := o.ops[i]
-	o.ops = append(o.ops[:i:i], o.ops[i+1:]...)
+func (d *driver) takePending(o *owner) request.Action {
+	i := rapid.IntRange(0, len(o.pending)-1).Draw(d.t, "op")
+	a := o.pending[i]
+	o.pending = append(o.pending[:i:i], o.pending[i+1:]...)
 	return a
 }
 
 func (d *driver) deliver() {
 	o := d.owner()
-	if len(o.ops) == 0 {
+	if len(o.pending) == 0 {
 		return
 	}
-	d.answer(o, d.pop(o), rapid.IntRange(0, 9).Draw(d.t, "fate"))
+	d.answer(o, d.takePending(o), rapid.IntRange(0, 9).Draw(d.t, "outcome"))
 }
 
-// arriveLate lets a step that was given up for lost reach its stage.
-func (d *driver) arriveLate() {
-	if len(d.zombies) == 0 {
+// deliverDelayed delivers a step that was given up as lost to its stage.
+func (d *driver) deliverDelayed() {
+	if len(d.delayedSteps) == 0 {
 		return
 	}
-	z := d.zombies[0]
-	d.zombies = d.zombies[1:]
+	z := d.delayedSteps[0]
+	d.delayedSteps = d.delayedSteps[1:]
 	d.run(z)
 }
 
-// takeOver lets another daemon adopt an attempt from its record, which may be
-// old, while the owner before may go on at any time. What is never to be
-// repeated comes as a repeat of its key, and finds the claim row.
+// takeOver makes another daemon take over an attempt from its record, which may be
+// outdated, while the previous owner may continue at any time. A never-repeat request
+// arrives again with the same key and finds the claim row.
 func (d *driver) takeOver() {
 	from := d.owner().attempt
 	if len(d.owners) > 3 || from.Attempt == 0 && !d.neverRepeat {
@@ -130,99 +129,99 @@
 	d.add(spec, 0)
 }
 
-// answer decides what becomes of one thing that o asked for. Fate 0 is success.
-func (d *driver) answer(o *owner, a request.Action, fate int) {
+// answer decides the outcome of one action of o. Outcome 0 is success.
+func (d *driver) answer(o *owner, a request.Action, outcome int) {
 	switch a := a.(type) {
 	case request.RequestSlot:
-		d.slot(o, a, fate)
+		d.slot(o, a, outcome)
 	case request.PutClaim:
-		d.put(o, a, fate)
+		d.put(o, a, outcome)
 	case request.VoidClaim:
-		d.void(o, fate)
+		d.void(o, outcome)
 	case request.RequestRetry:
-		allowed := fate < 8
+		allowed := outcome < 8
 		d.feed(o, request.RetryDecided{Allowed: allowed, At: d.now, Reason: state.ReasonRetriesExhausted})
 	case request.RunStep:
-		d.step(o, a, fate)
+		d.step(o, a, outcome)
 	case request.QueryStage:
-		answer := d.held(a)
-		if fate == 9 {
+		answer := d.query(a)
+		if outcome == 9 {
 			answer = request.StageQueryFailed{Step: a.Step, NotSent: rapid.Bool().Draw(d.t, "not sent")}
 		}
 		d.feed(o, answer)
 	}
 }
 
-func (d *driver) slot(o *owner, a request.RequestSlot, fate int) {
+func (d *driver) slot(o *owner, a request.RequestSlot, outcome int) {
 	free := replicas()
 	for _, ex := range a.Exclude {
 		if len(free) > 1 && free[0].ID == ex {
 			free = free[1:]
 		}
 	}
-	if fate == 9 {
+	if outcome == 9 {
 		d.feed(o, request.SlotRefused{Reason: state.ReasonQueueFull})
 		return
 	}
-	if fate == 8 {
+	if outcome == 8 {
 		o.slots++
 		d.feed(o, request.SlotUnusable{Grant: a.Attempt, Replica: free[0].ID, UnknownReplica: rapid.Bool().Draw(d.t, "unknown")})
 		return
 	}
 	granted := free[rapid.IntRange(0, len(free)-1).Draw(d.t, "granted")]
 	o.slots++
-	d.feed(o, request.SlotGranted{Grant: a.Attempt, Replica: d.usable(granted)})
+	d.feed(o, request.SlotGranted{Grant: a.Attempt, Replica: d.grantable(granted)})
 }
 
-// put writes the claim row if it still is as the owner knows it.
-func (d *driver) put(o *owner, a request.PutClaim, fate int) {
+// put writes the claim row if it is unchanged since the owner last saw it.
+func (d *driver) put(o *owner, a request.PutClaim, outcome int) {
 	switch {
-	case d.claim.revision != o.seen && o.seen == 0 && fate < 6:
+	case d.claim.revision != o.knownRevision && o.knownRevision == 0 && outcome < 6:
 		d.continueClaim(o)
-	case d.claim.revision != o.seen:
+	case d.claim.revision != o.knownRevision:
 		d.feed(o, request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate})
-	case fate == 9:
+	case outcome == 9:
 		d.feed(o, request.ClaimSettled{Result: request.ClaimRefused, Reason: state.ReasonStoreUnavailable})
 	default:
 		d.revisions++
 		d.claim = claimRow{revision: d.revisions, attempt: a.Attempt, epoch: a.Epoch, replica: a.Replica}
-		o.seen = d.revisions
+		o.knownRevision = d.revisions
 		d.feed(o, request.ClaimSettled{Result: request.ClaimWon})
 	}
 }
 
-// continueClaim makes o the owner of the attempt that the row names.
+// continueClaim makes o the owner of the attempt named in the claim row.
 func (d *driver) continueClaim(o *owner) {
 	d.revisions++
 	tag := uint32(slices.Index(d.owners, o) + 1)
 	d.claim.revision = d.revisions
 	d.claim.epoch = d.claim.epoch.TakeOver(tag)
-	o.seen = d.revisions
+	o.knownRevision = d.revisions
 	d.feed(o, request.ClaimSettled{
 		Result:   request.ClaimTakenOver,
 		Takeover: request.Takeover{Replica: d.claim.replica, Attempt: d.claim.attempt, Epoch: d.claim.epoch},
 	})
 }
 
-// void deletes the claim row if it still is as the owner wrote it.
-func (d *driver) void(o *owner, fate int) {
-	voided := d.claim.revision == o.seen && fate != 9
+// void deletes the claim row if it is unchanged since the owner wrote it.
+func (d *driver) void(o *owner, outcome int) {
+	voided := d.claim.revision == o.knownRevision && outcome != 9
 	if voided {
 		d.claim = claimRow{}
-		o.seen = 0
+		o.knownRevision = 0
 	}
-	d.feed(o, request.VoidSettled{Voided: voided && fate != 8})
+	d.feed(o, request.VoidSettled{Voided: voided && outcome != 8})
 }
 
-func (d *driver) step(o *owner, a request.RunStep, fate int) {
-	switch fate {
-	case 7: // it ran, the answer is lost
+func (d *driver) step(o *owner, a request.RunStep, outcome int) {
+	switch outcome {
+	case 7: // the step ran and its answer is lost
 		d.run(a)
 		d.feed(o, request.StepUnanswered{Step: a.Step})
-	case 8: // it is late on its way, and given up for lost
-		d.zombies = append(d.zombies, a)
+	case 8: // the step is delayed and given up as lost
+		d.delayedSteps = append(d.delayedSteps, a)
 		d.feed(o, request.StepUnanswered{Step: a.Step, Silent: true})
-	case 9: // not a byte left
+	case 9: // no byte was sent
 		d.feed(o, request.StepUnanswered{Step: a.Step, NotSent: true})
 	default:
 		d.feed(o, d.run(a))
--- a/coordination/request/recover.go
+++ b/coordination/request/recover.go
@@ -7,28 +7,28 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// maxAsks bounds how often one step is asked about and sent again on one stage,
-// so that a link that swallows every step but lets questions through can't hold
-// a request for ever.
-const maxAsks = 3
+// maxQueries bounds how often a step is queried and resent on one stage, so that a link
+// that drops every step but lets queries through cannot hold a request indefinitely.
+const maxQueries = 3
 
-// stepNotRun takes a stage's proof that the step did not run and won't.
+// stepNotRun handles a stage's proof that the step did not run and will not run.
 func (r *Request) stepNotRun(ev StepNotRun) {
 	if !r.current(ev.Step, phaseRunning) {
 		return
 	}
 	if ev.Superseded {
-		r.overtaken()
+		r.superseded()
 		return
 	}
-	r.lost(r.unstartedOr(state.RetryStageUnknown))
+	r.abandonAttempt(r.clearUnstarted(state.RetryStageUnknown))
 }
 
-// unstartedOr clears the attempt from the record if the step under way, now
-// proved not run, was its first; else it returns reason.
-func (r *Request) unstartedOr(reason state.RetryReason) state.RetryReason {
-	if r.fresh && r.stage == 0 {
-		r.sent.Unstarted(r.attempt)
+// clearUnstarted returns the reason for a retry after a step that was proved not to
+// have run. If the step was the attempt's first, it clears the attempt from the record
+// and returns RetryUnstarted; otherwise it returns reason.
+func (r *Request) clearUnstarted(reason state.RetryReason) state.RetryReason {
+	if r.firstToken && r.stage == 0 {
+		r.dispatches.Unstarted(r.attempt)
 		return state.RetryUnstarted
 	}
 	return reason
@@ -36,126 +36,126 @@
 
 func (r *Request) stepFailed(ev StepFailed) {
 	if r.current(ev.Step, phaseRunning) {
-		r.lost(state.RetryStageFailed)
+		r.abandonAttempt(state.RetryStageFailed)
 	}
 }
 
-// stepUnanswered handles a step that may or may not have run. It is not sent
-// again: the stage is asked first, under a higher epoch, which bars the lost
-// step should it still be on its way.
+// stepUnanswered handles a step that may or may not have run. It is not resent
+// directly: the stage is queried first under a higher epoch, which fences the lost step
+// in case it is still in transit.
 func (r *Request) stepUnanswered(ev StepUnanswered) {
 	if !r.current(ev.Step, phaseRunning) {
 		return
 	}
 	switch {
 	case ev.NotSent:
-		r.lost(r.unstartedOr(state.RetryStageFailed))
+		r.abandonAttempt(r.clearUnstarted(state.RetryStageFailed))
 	case r.spec.Plain && !ev.Silent:
-		// A plain service can't be asked what became of a call.
-		r.lost(state.RetryStageFailed)
-	case r.spec.Plain || r.asks >= maxAsks:
-		r.lost(state.RetrySilentConnection)
+		// A plain service cannot be queried about the outcome of a call.
+		r.abandonAttempt(state.RetryStageFailed)
+	case r.spec.Plain || r.queries >= maxQueries:
+		r.abandonAttempt(state.RetrySilentConnection)
 	default:
-		r.asks++
+		r.queries++
 		r.epoch = r.epoch.Next(r.spec.Owner)
-		r.phase = phaseAsking
-		r.do(QueryStage{Step: r.ref(), Stage: r.replica.Stages[r.stage]})
+		r.phase = phaseQuerying
+		r.issue(QueryStage{Step: r.stepRef(), Stage: r.replica.Stages[r.stage]})
 	}
 }
 
-func (r *Request) heldAnswer(ev StageState) {
-	if r.phase == phaseAdopting {
-		r.adoptAnswer(ev)
+func (r *Request) stageState(ev StageState) {
+	if r.phase == phaseTakingOver {
+		r.takeoverAnswer(ev)
 		return
 	}
-	if !r.current(ev.Step, phaseAsking) {
+	if !r.current(ev.Step, phaseQuerying) {
 		return
 	}
-	r.resolve(ev)
+	r.resumeFrom(ev)
 }
 
-// resolve goes on from what the asked stage holds.
-func (r *Request) resolve(h StageState) {
+// resumeFrom continues from the state that the queried stage reported.
+func (r *Request) resumeFrom(h StageState) {
 	last := r.stage == len(r.replica.Stages)-1
 	switch {
 	case h.Canceled, h.Life != r.replica.Stages[r.stage].Life:
-		// A process that restarted knows nothing of what it ran before: that
-		// it does not know the step proves nothing.
-		r.lost(state.RetryStageUnknown)
-	case !h.Known && r.fresh:
-		// The stage never saw the attempt, and the lost step is barred.
-		r.again()
+		// A restarted process has no record of what it ran before, so the fact that it
+		// does not know the step proves nothing.
+		r.abandonAttempt(state.RetryStageUnknown)
+	case !h.Known && r.firstToken:
+		// The stage never saw the attempt, and the lost step is fenced.
+		r.resend()
 	case !h.Known:
-		r.lost(state.RetryStageUnknown)
+		r.abandonAttempt(state.RetryStageUnknown)
 	case h.NextToken == r.token:
-		r.again()
+		r.resend()
 	case h.NextToken == r.token+1 && last && len(h.Tokens) > 0:
 		r.advance(nil, h.Tokens[len(h.Tokens)-1], "", h.Final)
 	case h.NextToken == r.token+1 && !last && h.LastOutput != nil:
 		r.advance(h.LastOutput, 0, "", false)
 	default:
-		r.lost(state.RetryStageUnknown)
+		r.abandonAttempt(state.RetryStageUnknown)
 	}
 }
 
-// again sends the step under way once more: the stage said that it did not run,
-// and holds the earlier sending barred.
-func (r *Request) again() {
-	if r.fresh && r.stage == 0 {
-		r.sent.Unstarted(r.attempt)
+// resend sends the step in progress once more: the stage reported that it did not run,
+// and the earlier dispatch is fenced.
+func (r *Request) resend() {
+	if r.firstToken && r.stage == 0 {
+		r.dispatches.Unstarted(r.attempt)
 	}
-	r.send()
+	r.sendStep()
 }
 
-func (r *Request) heldUnanswered(ev StageQueryFailed) {
-	if r.phase == phaseAdopting && ev.Step.Attempt == r.attempt {
-		r.abandonAdoption()
+func (r *Request) stageQueryFailed(ev StageQueryFailed) {
+	if r.phase == phaseTakingOver && ev.Step.Attempt == r.attempt {
+		r.abandonTakeover()
 		return
 	}
-	if !r.current(ev.Step, phaseAsking) {
+	if !r.current(ev.Step, phaseQuerying) {
 		return
 	}
 	if ev.Superseded {
-		r.overtaken()
+		r.superseded()
 		return
 	}
-	if r.spec.NeverRepeat && !ev.NotSent && r.asks < maxAsks {
-		// Giving the attempt up ends a request that may not be repeated. A
-		// stage that only is slow to answer is asked again first.
-		r.asks++
+	if r.spec.NeverRepeat && !ev.NotSent && r.queries < maxQueries {
+		// Abandoning the attempt ends a never-repeat request. A stage that may only be
+		// slow to answer is queried again first.
+		r.queries++
 		r.epoch = r.epoch.Next(r.spec.Owner)
-		r.do(QueryStage{Step: r.ref(), Stage: r.replica.Stages[r.stage]})
+		r.issue(QueryStage{Step: r.stepRef(), Stage: r.replica.Stages[r.stage]})
 		return
 	}
-	r.lost(state.RetryStageFailed)
+	r.abandonAttempt(state.RetryStageFailed)
 }
 
-// overtaken ends this owner's part: another daemon drives the stream now. What
-// becomes of the request is not for this one to say.
-func (r *Request) overtaken() {
-	r.sent.MayRunElsewhere()
+// superseded ends this owner's part: another daemon drives the stream now, so the
+// outcome of the request is unknown here.
+func (r *Request) superseded() {
+	r.dispatches.MayRunElsewhere()
 	r.claimed = false
 	r.releaseSlot(false)
 	r.finish(state.Unknown{Reason: state.ReasonDuplicate})
 }
 
-// lost gives the attempt up and asks for another, or ends the request where a
+// abandonAttempt abandons the attempt and requests another, or ends the request if a
 // second attempt could be a second execution.
-func (r *Request) lost(reason state.RetryReason) {
+func (r *Request) abandonAttempt(reason state.RetryReason) {
 	failed := r.replica.ID
-	r.do(CancelAttempt{Attempt: r.attempt, Replica: r.replica})
+	r.issue(CancelAttempt{Attempt: r.attempt, Replica: r.replica})
 	r.releaseSlot(reason != state.RetryTakeover)
-	if _, notRun := r.sent.NotRun(); r.spec.NeverRepeat && !notRun {
-		r.end(state.ReasonBackendFailed, 0)
+	if _, notRun := r.dispatches.NotRun(); r.spec.NeverRepeat && !notRun {
+		r.conclude(state.ReasonBackendFailed, 0)
 		return
 	}
 	r.phase = phaseRetryWait
-	r.do(RequestRetry{
+	r.issue(RequestRetry{
 		Reason:    reason,
 		Attempt:   r.attempt,
 		Replica:   failed,
 		Tried:     slices.Clone(r.tried),
-		Execution: r.sent.Execution(),
+		Execution: r.dispatches.Execution(),
 	})
 	r.tried = append(r.tried, failed)
 }
@@ -165,13 +165,13 @@
 		return
 	}
 	if !ev.Allowed {
-		r.end(ev.Reason, 0)
+		r.conclude(ev.Reason, 0)
 		return
 	}
 	r.retryAt = ev.At
 	r.exclude = ev.Exclude
 	r.phase = phaseBackoff
 	if !now.Before(r.retryAt) {
-		r.askSlot()
+		r.requestSlot()
 	}
 }
--- a/coordination/request/request.go
+++ b/coordination/request/request.go
@@ -7,64 +7,65 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Request is the state machine of one request. It belongs to one goroutine.
+// Request is the state machine of one request. It is owned by one goroutine.
 type Request struct {
-	spec  Spec
-	phase phase
-	sent  *state.Dispatches
+	spec       Spec
+	phase      phase
+	dispatches *state.Dispatches
 
 	attempt state.Attempt
 	epoch   state.Epoch
 	replica state.Replica
-	grant   state.Attempt // slot in hand, 0 for none
+	grant   state.Attempt // slot held, 0 if none
 	exclude []state.ReplicaID
 	tried   []state.ReplicaID
 
-	// The step under way: token at stage with input; last is the token before.
-	token int
-	stage int
-	input []byte
-	fresh bool // the attempt's first token: stages have no cache of it yet
-	begun bool // a stage surely ran a step of the attempt
-	asks  int  // how often the stage was asked about this step
+	// The step in progress: token at stage with input.
+	token      int
+	stage      int
+	input      []byte
+	firstToken bool // the attempt's first token: stages have no cache for it yet
+	started    bool // a stage certainly ran a step of the attempt
+	queries    int  // number of queries to the stage about this step
 
-	tokens  []int64 // given to the caller, by index
-	useless int     // slots that could not be used
+	tokens        []int64 // emitted to the caller, by index
+	unusableSlots int     // granted slots that could not be used
 
-	claimed  bool          // the claim row names this owner
-	ending   *ending       // set while an abandoned claim is settled
-	retryAt  time.Time     // in phaseBackoff and phaseLagging
-	adopting []*StageState // by stage, in phaseAdopting
+	claimed     bool            // the claim row names this owner
+	pending     *pendingOutcome // set while an abandoned claim is being settled
+	retryAt     time.Time       // in phaseBackoff and phaseAwaitingReplica
+	stageStates []*StageState   // by stage, in phaseTakingOver
 
-	out []Action
+	actions []Action
 }
 
-// ending is the outcome that waits for an abandoned claim.
-type ending struct {
+// pendingOutcome is the outcome that waits until an abandoned claim is settled.
+type pendingOutcome struct {
 	reason state.Reason
 	after  state.RetryAfter
 }
 
-// maxUseless bounds the slots that a request tries whose replica does not answer.
-const maxUseless = 8
+// maxUnusableSlots bounds the granted slots that a request tries whose replica does not
+// answer.
+const maxUnusableSlots = 8
 
-// lagWait is the time after which a request asks again that was granted a replica which this
-// daemon does not know yet: the list of replicas reaches a daemon some 10 to 100 ms after
-// another one.
-const lagWait = 20 * time.Millisecond
+// unknownReplicaDelay is the delay before a slot is requested again after the grant of
+// a replica that this daemon does not know yet. Replica lists reach one daemon some 10
+// to 100 ms after another.
+const unknownReplicaDelay = 20 * time.Millisecond
 
-// New returns the machine of one request; Start begins it.
+// New returns the state machine of one request. The event Start starts it.
 func New(spec Spec) *Request {
-	return &Request{spec: spec, sent: state.NewDispatches()}
+	return &Request{spec: spec, dispatches: state.NewDispatches()}
 }
 
-// Step takes one event and returns what is to be done, in order. The slice is
+// Step processes one event and returns the actions to carry out, in order. The slice is
 // valid until the next Step.
 func (r *Request) Step(now time.Time, ev Event) []Action {
-	r.out = r.out[:0]
+	r.actions = r.actions[:0]
 	if r.phase == phaseEnded {
-		r.late(ev)
-		return r.out
+		r.handleLate(ev)
+		return r.actions
 	}
 	switch ev := ev.(type) {
 	case Start:
@@ -72,13 +73,13 @@
 	case Tick:
 		r.tick(now)
 	case Cancel:
-		r.giveUp(state.ReasonCanceled, 0)
+		r.abort(state.ReasonCanceled, 0)
 	case SlotGranted:
-		r.granted(ev)
+		r.slotGranted(ev)
 	case SlotUnusable:
-		r.unusable(now, ev)
+		r.slotUnusable(now, ev)
 	case SlotRefused:
-		r.refused(ev)
+		r.slotRefused(ev)
 	case ClaimSettled:
 		r.claimSettled(ev)
 	case VoidSettled:
@@ -88,10 +89,10 @@
 	default:
 		r.stepAnswer(ev)
 	}
-	return r.out
+	return r.actions
 }
 
-// stepAnswer takes the answer of a stage.
+// stepAnswer handles the answer of a stage.
 func (r *Request) stepAnswer(ev Event) {
 	switch ev := ev.(type) {
 	case StepDone:
@@ -103,21 +104,21 @@
 	case StepUnanswered:
 		r.stepUnanswered(ev)
 	case StageState:
-		r.heldAnswer(ev)
+		r.stageState(ev)
 	case StageQueryFailed:
-		r.heldUnanswered(ev)
+		r.stageQueryFailed(ev)
 	}
 }
 
-// NextTick returns when the machine next wants a Tick, or the zero time.
+// NextTick returns when the machine next needs a Tick, or the zero time.
 func (r *Request) NextTick() time.Time {
 	switch {
-	case r.phase == phaseEnded, r.ending != nil:
-		// What ends after its claim is settled waits for that, not for a time.
+	case r.phase == phaseEnded, r.pending != nil:
+		// A pending outcome waits for its claim to be settled, not for a point in time.
 		return time.Time{}
 	case r.phase == phaseBackoff && len(r.tokens) > 0:
 		return r.retryAt
-	case r.waitsToAsk() && r.retryAt.Before(r.spec.FirstTokenDeadline):
+	case r.waitsForRetryAt() && r.retryAt.Before(r.spec.FirstTokenDeadline):
 		return r.retryAt
 	case len(r.tokens) == 0:
 		return r.spec.FirstTokenDeadline
@@ -125,7 +126,7 @@
 	return time.Time{}
 }
 
-// Tokens returns the tokens given so far; the caller must not change it.
+// Tokens returns the tokens emitted so far. The caller must not modify the slice.
 func (r *Request) Tokens() []int64 {
 	return r.tokens
 }
@@ -135,49 +136,49 @@
 	return r.phase == phaseEnded
 }
 
-// Queued reports whether nothing was dispatched yet.
+// Queued reports whether nothing has been dispatched yet.
 func (r *Request) Queued() bool {
-	return r.phase == phaseNew || r.phase == phaseQueued || r.phase == phaseLagging || r.phase == phaseClaiming
+	return r.phase == phaseNew || r.phase == phaseQueued || r.phase == phaseAwaitingReplica || r.phase == phaseClaiming
 }
 
-// waitsToAsk reports whether a slot is asked for at retryAt.
-func (r *Request) waitsToAsk() bool {
-	return r.phase == phaseBackoff || r.phase == phaseLagging
+// waitsForRetryAt reports whether a slot is to be requested at retryAt.
+func (r *Request) waitsForRetryAt() bool {
+	return r.phase == phaseBackoff || r.phase == phaseAwaitingReplica
 }
 
-func (r *Request) do(a Action) {
-	r.out = append(r.out, a)
+func (r *Request) issue(a Action) {
+	r.actions = append(r.actions, a)
 }
 
 func (r *Request) start() {
 	if r.phase != phaseNew {
-		panic("request: started twice")
+		panic("request: Start event received twice")
 	}
 	if r.spec.Takeover != nil {
-		r.adopt(*r.spec.Takeover)
+		r.takeOver(*r.spec.Takeover)
 		return
 	}
-	r.askSlot()
+	r.requestSlot()
 }
 
-func (r *Request) askSlot() {
+func (r *Request) requestSlot() {
 	r.phase = phaseQueued
-	r.do(RequestSlot{Attempt: r.attempt.Next(r.spec.Owner), Exclude: slices.Clone(r.exclude)})
+	r.issue(RequestSlot{Attempt: r.attempt.Next(r.spec.Owner), Exclude: slices.Clone(r.exclude)})
 }
 
 func (r *Request) tick(now time.Time) {
 	if len(r.tokens) == 0 && !now.Before(r.spec.FirstTokenDeadline) {
-		r.giveUp(state.ReasonDeadline, 0)
+		r.abort(state.ReasonDeadline, 0)
 		return
 	}
-	if r.waitsToAsk() && !now.Before(r.retryAt) {
-		r.askSlot()
+	if r.waitsForRetryAt() && !now.Before(r.retryAt) {
+		r.requestSlot()
 	}
 }
 
-func (r *Request) granted(ev SlotGranted) {
+func (r *Request) slotGranted(ev SlotGranted) {
 	if r.phase != phaseQueued {
-		r.do(ReleaseSlot{Grant: ev.Grant, Replica: ev.Replica.ID, Unused: true})
+		r.issue(ReleaseSlot{Grant: ev.Grant, Replica: ev.Replica.ID, Unused: true})
 		return
 	}
 	r.grant = ev.Grant
@@ -186,18 +187,18 @@
 		r.putClaim()
 		return
 	}
-	r.begin()
+	r.startAttempt()
 }
 
-// putClaim asks for the claim row. Nothing can have run here: a request that is
-// never repeated gets a slot only while there is proof of that.
+// putClaim requests the claim row. No attempt can have run at this point: a
+// never-repeat request gets a slot only while there is proof of that.
 func (r *Request) putClaim() {
-	proof, ok := r.sent.NotRun()
+	proof, ok := r.dispatches.NotRun()
 	if !ok {
-		panic("request: claim of a request that may have run")
+		panic("request: claim requested for a request that may have run")
 	}
 	r.phase = phaseClaiming
-	r.do(PutClaim{
+	r.issue(PutClaim{
 		Attempt: r.attempt.Next(r.spec.Owner),
 		Epoch:   r.epoch.Next(r.spec.Owner),
 		Replica: r.replica,
@@ -205,38 +206,39 @@
 	})
 }
 
-// unusable looks for another slot. It costs no attempt and no retry: nothing was
-// sent. A request that is never repeated must not be lost to a replica that was
-// known to be broken, and any other would lose time there.
-func (r *Request) unusable(now time.Time, ev SlotUnusable) {
-	r.do(releaseUnusable(ev))
+// slotUnusable requests another slot. It costs neither an attempt nor a retry, since
+// nothing was sent: a never-repeat request must not fail because of a replica that was
+// known to be broken, and any other request would lose time there.
+func (r *Request) slotUnusable(now time.Time, ev SlotUnusable) {
+	r.issue(releaseUnusable(ev))
 	if r.phase != phaseQueued {
 		return
 	}
 	if ev.UnknownReplica {
-		// Guard (replica-not-known-yet): the home has heard of the replica first. Asked
-		// again at once it grants it again, until the request has used up its tries and is
-		// refused within milliseconds, although nothing is wrong.
-		r.phase = phaseLagging
-		r.retryAt = now.Add(lagWait)
+		// Guard (replica-not-known-yet): the home learned of the replica before this
+		// daemon. A request repeated at once would be granted the same replica, until
+		// the request has used up its tries and is refused within milliseconds although
+		// nothing is wrong.
+		r.phase = phaseAwaitingReplica
+		r.retryAt = now.Add(unknownReplicaDelay)
 		return
 	}
-	r.useless++
-	if r.useless > maxUseless {
-		r.end(state.ReasonNoReplica, 0)
+	r.unusableSlots++
+	if r.unusableSlots > maxUnusableSlots {
+		r.conclude(state.ReasonNoReplica, 0)
 		return
 	}
 	r.exclude = append(r.exclude, ev.Replica)
-	r.askSlot()
+	r.requestSlot()
 }
 
 func releaseUnusable(ev SlotUnusable) ReleaseSlot {
 	return ReleaseSlot{Grant: ev.Grant, Replica: ev.Replica, Unused: ev.UnknownReplica, Failed: !ev.UnknownReplica}
 }
 
-func (r *Request) refused(ev SlotRefused) {
+func (r *Request) slotRefused(ev SlotRefused) {
 	if r.phase == phaseQueued {
-		r.giveUp(ev.Reason, ev.RetryAfter)
+		r.abort(ev.Reason, ev.RetryAfter)
 	}
 }
 
@@ -248,72 +250,72 @@
 	case ClaimWon, ClaimTakenOver:
 		r.claimed = true
 	case ClaimHeldElsewhere:
-		// The same key may have run under another request, so that this
-		// record alone can prove nothing any more.
-		r.sent.MayRunElsewhere()
+		// The same key may have run under another request, so this record alone no
+		// longer proves anything.
+		r.dispatches.MayRunElsewhere()
 		r.claimed = false
 	case ClaimRefused:
-		// The row may still name this owner, from an attempt before.
+		// The row may still name this owner, from an earlier attempt.
 	}
 	switch {
-	case r.ending != nil:
+	case r.pending != nil:
 		if ev.Result == ClaimTakenOver {
-			r.sent.MayRunElsewhere()
+			r.dispatches.MayRunElsewhere()
 		}
-		r.end(r.ending.reason, r.ending.after)
+		r.conclude(r.pending.reason, r.pending.after)
 	case ev.Result == ClaimTakenOver:
-		r.continueClaimed(ev.Takeover)
+		r.takeOverClaimed(ev.Takeover)
 	case ev.Result == ClaimWon:
-		r.begin()
+		r.startAttempt()
 	default:
-		r.end(ev.Reason, 0)
+		r.conclude(ev.Reason, 0)
 	}
 }
 
-// giveUp ends the request where it stands.
-func (r *Request) giveUp(reason state.Reason, after state.RetryAfter) {
+// abort ends the request in its current phase.
+func (r *Request) abort(reason state.Reason, after state.RetryAfter) {
 	switch r.phase {
 	case phaseQueued:
-		r.do(CancelSlotRequest{Attempt: r.attempt.Next(r.spec.Owner)})
+		r.issue(CancelSlotRequest{Attempt: r.attempt.Next(r.spec.Owner)})
 	case phaseClaiming:
-		// Whether the claim was written is not known; until it is settled
-		// nothing can be said of the request.
-		if r.ending == nil {
-			r.ending = &ending{reason: reason, after: after}
-			r.do(AbandonClaim{})
+		// Whether the claim was written is unknown. Until it is settled, the outcome
+		// cannot be determined.
+		if r.pending == nil {
+			r.pending = &pendingOutcome{reason: reason, after: after}
+			r.issue(AbandonClaim{})
 		}
 		return
 	case phaseVoiding:
 		return
-	case phaseRunning, phaseAsking, phaseAdopting:
-		r.do(CancelAttempt{Attempt: r.attempt, Replica: r.replica})
+	case phaseRunning, phaseQuerying, phaseTakingOver:
+		r.issue(CancelAttempt{Attempt: r.attempt, Replica: r.replica})
 	default:
 	}
-	r.end(reason, after)
+	r.conclude(reason, after)
 }
 
-// end gives the outcome that the record of dispatches allows. A claim is voided
-// before its request is refused as not run: another daemon may have taken it
-// over meanwhile and run it, and then the voiding write fails.
-func (r *Request) end(reason state.Reason, after state.RetryAfter) {
-	if proof, notRun := r.sent.NotRun(); r.claimed && notRun {
+// conclude ends the request with the outcome that the record of dispatches permits. A
+// claim is voided before its request is refused as not run: another daemon may have
+// taken it over in the meantime and run it, and then the voiding write fails.
+func (r *Request) conclude(reason state.Reason, after state.RetryAfter) {
+	if proof, notRun := r.dispatches.NotRun(); r.claimed && notRun {
 		r.phase = phaseVoiding
-		r.ending = &ending{reason: reason, after: after}
+		r.pending = &pendingOutcome{reason: reason, after: after}
 		r.releaseSlot(false)
-		r.do(VoidClaim{Proof: proof})
+		r.issue(VoidClaim{Proof: proof})
 		return
 	}
-	r.finish(state.Conclude(r.sent, reason, len(r.tokens), after))
+	r.finish(state.Conclude(r.dispatches, reason, len(r.tokens), after))
 }
 
 func (r *Request) finish(o state.Outcome) {
 	_, failed := o.(state.Failed)
 	r.releaseSlot(failed)
 	if r.claimed {
-		r.do(SettleClaim{Outcome: o})
+		r.issue(SettleClaim{Outcome: o})
 	}
 	r.phase = phaseEnded
-	r.do(End{Outcome: o})
+	r.issue(End{Outcome: o})
 }
 
 func (r *Request) voidSettled(ev VoidSettled) {
@@ -322,9 +324,9 @@
 	}
 	r.claimed = false
 	if !ev.Voided {
-		r.sent.MayRunElsewhere()
+		r.dispatches.MayRunElsewhere()
 	}
-	r.end(r.ending.reason, r.ending.after)
+	r.conclude(r.pending.reason, r.pending.after)
 }
 
 func (r *Request) releaseSlot(failed bool) {
@@ -332,20 +334,20 @@
 		return
 	}
 	unused := !failed && r.grant != r.attempt
-	r.do(ReleaseSlot{Grant: r.grant, Replica: r.replica.ID, Unused: unused, Failed: failed})
+	r.issue(ReleaseSlot{Grant: r.grant, Replica: r.replica.ID, Unused: unused, Failed: failed})
 	r.grant = 0
 }
 
-// late handles answers that come after the end.
-func (r *Request) late(ev Event) {
+// handleLate handles answers that arrive after the end.
+func (r *Request) handleLate(ev Event) {
 	switch ev := ev.(type) {
 	case SlotGranted:
-		r.do(ReleaseSlot{Grant: ev.Grant, Replica: ev.Replica.ID, Unused: true})
+		r.issue(ReleaseSlot{Grant: ev.Grant, Replica: ev.Replica.ID, Unused: true})
 	case SlotUnusable:
-		r.do(releaseUnusable(ev))
+		r.issue(releaseUnusable(ev))
 	case ClaimSettled:
-		// An End can't come before its claim is settled: giveUp waits for it.
-		panic("request: claim settled after the end")
+		// End cannot precede the settlement of the claim: abort waits for it.
+		panic("request: claim settled after the request ended")
 	default:
 	}
 }
--- a/coordination/request/run.go
+++ b/coordination/request/run.go
@@ -4,46 +4,47 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// begin starts a new attempt on the replica in hand, from the first token that
-// the caller does not have.
-func (r *Request) begin() {
+// startAttempt starts a new attempt on the replica of the held slot, from the first
+// token that the caller does not have.
+func (r *Request) startAttempt() {
 	r.attempt = r.attempt.Next(r.spec.Owner)
 	r.epoch = r.epoch.Next(r.spec.Owner)
 	r.token = len(r.tokens)
 	r.stage = 0
 	r.input = nil
-	r.fresh = true
-	r.begun = false
-	r.send()
+	r.firstToken = true
+	r.started = false
+	r.sendStep()
 }
 
-// ref names the step under way.
-func (r *Request) ref() StepRef {
+// stepRef returns the reference of the step in progress.
+func (r *Request) stepRef() StepRef {
 	return StepRef{Attempt: r.attempt, Epoch: r.epoch, Token: r.token, Stage: r.stage}
 }
 
-// send runs the step under way. The record is made before the step leaves, so
-// that no refusal can claim that it did not.
-func (r *Request) send() {
+// sendStep sends the step in progress. The dispatch is recorded before the step leaves,
+// so that no refusal can claim that the step was not sent.
+func (r *Request) sendStep() {
 	r.phase = phaseRunning
-	if r.fresh && r.stage == 0 {
-		r.sent.Sent(r.attempt)
+	if r.firstToken && r.stage == 0 {
+		r.dispatches.Sent(r.attempt)
 	}
-	step := RunStep{Step: r.ref(), Stage: r.replica.Stages[r.stage], Input: r.input}
-	if r.stage == 0 && r.fresh {
+	step := RunStep{Step: r.stepRef(), Stage: r.replica.Stages[r.stage], Input: r.input}
+	if r.stage == 0 && r.firstToken {
 		step.Prompt = r.spec.Prompt
 		step.PriorTokens = r.tokens
 	}
 	if n := len(r.tokens); n > 0 {
 		step.LastToken = r.tokens[n-1]
 	}
-	r.do(step)
+	r.issue(step)
 }
 
-// current reports whether ref names the step under way. Anything else is late:
-// from an abandoned attempt, or of an epoch that AskHeld barred.
+// current reports whether ref is the step in progress and p the current phase. Any
+// other answer is late: from an abandoned attempt, or of an epoch that QueryStage
+// fenced.
 func (r *Request) current(ref StepRef, p phase) bool {
-	return r.phase == p && ref == r.ref()
+	return r.phase == p && ref == r.stepRef()
 }
 
 func (r *Request) stepDone(ev StepDone) {
@@ -53,14 +54,14 @@
 	r.advance(ev.Output, ev.Value, ev.Text, ev.Final)
 }
 
-// advance takes the output of the step under way and goes on to the next.
+// advance takes the output of the step in progress and continues with the next step.
 func (r *Request) advance(output []byte, value int64, text string, final bool) {
-	r.noteBegan()
-	r.asks = 0
+	r.markStarted()
+	r.queries = 0
 	if r.stage+1 < len(r.replica.Stages) {
 		r.stage++
 		r.input = output
-		r.send()
+		r.sendStep()
 		return
 	}
 	r.emit(value, text)
@@ -71,27 +72,27 @@
 	r.token++
 	r.stage = 0
 	r.input = nil
-	r.fresh = false
-	r.send()
+	r.firstToken = false
+	r.sendStep()
 }
 
-func (r *Request) noteBegan() {
-	if r.begun {
+func (r *Request) markStarted() {
+	if r.started {
 		return
 	}
-	r.begun = true
-	r.sent.Began(r.attempt)
-	r.do(AttemptStarted{Attempt: r.attempt, Epoch: r.epoch, Replica: r.replica})
+	r.started = true
+	r.dispatches.Began(r.attempt)
+	r.issue(AttemptStarted{Attempt: r.attempt, Epoch: r.epoch, Replica: r.replica})
 }
 
 func (r *Request) emit(value int64, text string) {
-	r.do(Emit{Index: len(r.tokens), Value: value, Text: text})
+	r.issue(Emit{Index: len(r.tokens), Value: value, Text: text})
 	r.tokens = append(r.tokens, value)
 }
 
 func (r *Request) complete() {
 	if !r.spec.Plain {
-		r.do(ReleaseAttempt{Attempt: r.attempt, Replica: r.replica})
+		r.issue(ReleaseAttempt{Attempt: r.attempt, Replica: r.replica})
 	}
 	r.finish(state.Completed{Tokens: len(r.tokens)})
 }
--- a/coordination/request/spec.go
+++ b/coordination/request/spec.go
@@ -6,7 +6,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Spec is what a request asks for, checked against its service's document.
+// Spec describes a request, already validated against its service's document.
 type Spec struct {
 	ID          state.RequestID
 	Service     state.ServiceID
@@ -21,46 +21,45 @@
 	Adapter   string
 	MaxTokens int
 
-	// Owner tells this daemon's life from every other that may drive the
+	// Owner distinguishes this run of this daemon from every other that may drive the
 	// request; see state.NewAttempt.
 	Owner uint32
 
-	// FirstTokenBy is the deadline of the first token.
+	// FirstTokenDeadline is the deadline of the first token.
 	FirstTokenDeadline time.Time
 
-	// Takeover is set where another daemon owned the stream before. Requests
-	// that are never to be repeated are taken over by their claim row instead;
-	// see ClaimContinue.
+	// Takeover is set if another daemon owned the stream before. A never-repeat request
+	// is taken over through its claim row instead; see ClaimTakenOver.
 	Takeover *Takeover
 }
 
-// Takeover is what is known of an attempt that another daemon drove. Of a
-// request that may be repeated it is one that surely began; of one that may not,
-// it is what the claim row says.
+// Takeover describes an attempt that another daemon drove. For a repeatable request it
+// is an attempt that certainly started; for a never-repeat request it is the content of
+// the claim row.
 type Takeover struct {
 	Replica state.Replica
 	Attempt state.Attempt
-	Epoch   state.Epoch // of the owner before, or, with ClaimContinue, of this one
+	Epoch   state.Epoch // of the previous owner or, with ClaimTakenOver, of this one
 }
 
-// phase is where a request stands.
+// phase is the state of a request.
 type phase int
 
 const (
 	phaseNew phase = iota
 	phaseQueued
-	phaseLagging // a granted replica is not known here; a slot is asked for again at retryAt
+	phaseAwaitingReplica // the granted replica is not known here yet; a slot is requested again at retryAt
 	phaseClaiming
-	phaseRunning   // one step is under way
-	phaseAsking    // a stage is asked about a lost step
-	phaseAdopting  // all stages are asked, after a takeover
-	phaseRetryWait // the retry budget is asked
-	phaseBackoff   // a retry is allowed at retryAt
-	phaseVoiding   // a claim is given back before the refusal
+	phaseRunning    // one step is in progress
+	phaseQuerying   // a stage is queried about a lost step
+	phaseTakingOver // all stages are queried, after a takeover
+	phaseRetryWait  // waiting for the decision of the retry budget
+	phaseBackoff    // a retry is allowed at retryAt
+	phaseVoiding    // the claim is voided before the refusal
 	phaseEnded
 )
 
-// String names the phase for logs and scripts.
+// String returns the name of the phase for logs and scripts.
 func (p phase) String() string {
 	names := [...]string{"new", "queued", "claiming", "running", "asking", "adopting", "retry-wait", "backoff", "voiding", "ended"}
 	return names[p]
--- a/coordination/request/world_test.go
+++ b/coordination/request/world_test.go
@@ -16,10 +16,10 @@
 	replicaCount = 3
 )
 
-// value is the right token at an index.
+// value returns the correct token at an index.
 func value(index int) int64 { return int64(100 + index) }
 
-// cache is what one stage holds of one attempt.
+// cache is the state that one stage holds for one attempt.
 type cache struct {
 	known    bool
 	epoch    state.Epoch
@@ -29,15 +29,15 @@
 	canceled bool
 }
 
-// stage is a model of one engine that obeys the engine contract.
+// stage models one engine that obeys the engine contract.
 type stage struct {
-	index  int
-	life   int
-	dead   bool
-	caches map[state.Attempt]*cache
+	index       int
+	incarnation int
+	dead        bool
+	caches      map[state.Attempt]*cache
 }
 
-func (s *stage) name() string { return fmt.Sprintf("life %d", s.life) }
+func (s *stage) incarnationName() string { return fmt.Sprintf("incarnation %d", s.incarnation) }
 
 func (s *stage) cache(a state.Attempt) *cache {
 	c, ok := s.caches[a]
@@ -48,49 +48,50 @@
 	return c
 }
 
-// world runs owners of one request against model stages. Everything that an
-// owner asked for waits in ops until a choice says what becomes of it.
-type world struct {
-	now     time.Time
-	plain   bool // a plain service: one stage that runs whatever reaches it
-	stages  map[string]*stage
-	owners  []*owner
-	runs    map[string]int // by attempt, token and stage
-	begun   map[state.Attempt]bool
-	claim   claimRow
-	zombies []request.RunStep // lost on the way, may still arrive
-	// executions counts the calls of a plain service that ran.
+// simulation runs the owners of one request against model stages. Each action of an
+// owner that needs an answer is kept in pending until a random choice decides its
+// outcome.
+type simulation struct {
+	now          time.Time
+	plain        bool // a plain service: one stage that runs every step that arrives
+	stages       map[string]*stage
+	owners       []*owner
+	runs         map[string]int // by attempt, token and stage
+	started      map[state.Attempt]bool
+	claim        claimRow
+	delayedSteps []request.RunStep // given up as lost, may still arrive
+	// executions counts the calls that a plain service ran.
 	executions int
-	faults     []string // broken promises
-	history    []string // what happened, for a failure's report
+	violations []string // violated guarantees
+	log        []string // all events and actions, for failure messages
 }
 
 // claimRow is the claim in the table service.
 type claimRow struct {
-	revision int // 0: there is none
+	revision int // 0 if there is no row
 	attempt  state.Attempt
 	epoch    state.Epoch
 	replica  state.Replica
 }
 
-// owner is one daemon's machine, with what it asked for and has no answer yet.
+// owner is the state machine of one daemon with its unanswered actions.
 type owner struct {
-	m       *request.Request
-	ops     []request.Action
-	tokens  []int64
-	outcome state.Outcome
-	drove   map[state.Attempt]bool // attempts that this owner sent steps of, or took over
-	attempt request.AttemptStarted
-	slots   int
-	seen    int // revision of the claim row that this owner knows
+	m             *request.Request
+	pending       []request.Action
+	tokens        []int64
+	outcome       state.Outcome
+	driven        map[state.Attempt]bool // attempts that this owner sent steps for or took over
+	attempt       request.AttemptStarted
+	slots         int
+	knownRevision int // last revision of the claim row that this owner saw
 }
 
-func newWorld() *world {
-	w := &world{
-		now:    time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
-		stages: make(map[string]*stage),
-		runs:   make(map[string]int),
-		begun:  make(map[state.Attempt]bool),
+func newSimulation() *simulation {
+	w := &simulation{
+		now:     time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
+		stages:  make(map[string]*stage),
+		runs:    make(map[string]int),
+		started: make(map[state.Attempt]bool),
 	}
 	for _, r := range replicas() {
 		for i, s := range r.Stages {
@@ -115,7 +116,7 @@
 	return out
 }
 
-func (w *world) spec(neverRepeat bool, ownerTag uint32) request.Spec {
+func (w *simulation) spec(neverRepeat bool, ownerTag uint32) request.Spec {
 	s := request.Spec{
 		ID: "q", NeverRepeat: neverRepeat, Plain: w.plain, MaxTokens: answerTokens, Prompt: "p",
 		Owner: ownerTag, FirstTokenDeadline: w.now.Add(time.Second),
@@ -126,38 +127,38 @@
 	return s
 }
 
-func (w *world) add(spec request.Spec, seen int) *owner {
-	o := &owner{m: request.New(spec), seen: seen, drove: make(map[state.Attempt]bool)}
+func (w *simulation) add(spec request.Spec, seen int) *owner {
+	o := &owner{m: request.New(spec), knownRevision: seen, driven: make(map[state.Attempt]bool)}
 	w.owners = append(w.owners, o)
 	w.feed(o, request.Start{})
 	return o
 }
 
-// feed gives one owner an event and takes its actions in.
-func (w *world) feed(o *owner, ev request.Event) {
-	w.note(o, "event", ev)
+// feed passes an event to one owner and performs its actions.
+func (w *simulation) feed(o *owner, ev request.Event) {
+	w.logEvent(o, "event", ev)
 	for _, a := range slices.Clone(o.m.Step(w.now, ev)) {
-		w.note(o, "action", a)
-		w.take(o, a)
+		w.logEvent(o, "action", a)
+		w.perform(o, a)
 	}
 }
 
-// note writes down what happened to one owner.
-func (w *world) note(o *owner, kind string, v any) {
+// logEvent records an event or action of one owner.
+func (w *simulation) logEvent(o *owner, kind string, v any) {
 	i := slices.Index(w.owners, o)
-	w.history = append(w.history, fmt.Sprintf("owner %d %s %T%+v", i, kind, v, v))
+	w.log = append(w.log, fmt.Sprintf("owner %d %s %T%+v", i, kind, v, v))
 }
 
-func (w *world) take(o *owner, a request.Action) {
+func (w *simulation) perform(o *owner, a request.Action) {
 	switch a := a.(type) {
 	case request.Emit:
 		if a.Index != len(o.tokens) || a.Value != value(a.Index) {
-			w.faults = append(w.faults, fmt.Sprintf("emitted %d=%d after %d tokens", a.Index, a.Value, len(o.tokens)))
+			w.violations = append(w.violations, fmt.Sprintf("emitted %d=%d after %d tokens", a.Index, a.Value, len(o.tokens)))
 		}
 		o.tokens = append(o.tokens, a.Value)
 	case request.End:
 		if o.outcome != nil {
-			w.faults = append(w.faults, "ended twice")
+			w.violations = append(w.violations, "ended twice")
 		}
 		o.outcome = a.Outcome
 	case request.AttemptStarted:
@@ -165,39 +166,39 @@
 	case request.ReleaseSlot:
 		o.slots--
 	case request.CancelSlotRequest:
-		o.ops = slices.DeleteFunc(o.ops, func(a request.Action) bool { _, ask := a.(request.RequestSlot); return ask })
+		o.pending = slices.DeleteFunc(o.pending, func(a request.Action) bool { _, isRequest := a.(request.RequestSlot); return isRequest })
 	case request.AbandonClaim:
-		o.ops = slices.DeleteFunc(o.ops, func(a request.Action) bool { _, put := a.(request.PutClaim); return put })
+		o.pending = slices.DeleteFunc(o.pending, func(a request.Action) bool { _, put := a.(request.PutClaim); return put })
 		settled := request.ClaimSettled{Result: request.ClaimRefused, Reason: state.ReasonStoreUnavailable}
-		if w.claim.revision != o.seen {
+		if w.claim.revision != o.knownRevision {
 			settled = request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate}
 		}
 		w.feed(o, settled)
 	case request.CancelAttempt, request.ReleaseAttempt, request.SettleClaim:
 	case request.RunStep:
-		o.drove[a.Step.Attempt] = true
-		o.ops = append(o.ops, a)
+		o.driven[a.Step.Attempt] = true
+		o.pending = append(o.pending, a)
 	case request.QueryStage:
-		o.drove[a.Step.Attempt] = true
-		o.ops = append(o.ops, a)
+		o.driven[a.Step.Attempt] = true
+		o.pending = append(o.pending, a)
 	default:
-		o.ops = append(o.ops, a)
+		o.pending = append(o.pending, a)
 	}
 }
 
-// run lets a step reach its stage.
-func (w *world) run(a request.RunStep) request.Event {
+// run delivers a step to its stage.
+func (w *simulation) run(a request.RunStep) request.Event {
 	s := w.stages[a.Stage.Address]
 	if s.dead {
 		return request.StepUnanswered{Step: a.Step, NotSent: true}
 	}
 	if w.plain {
 		w.executions++
-		w.begun[a.Step.Attempt] = true
+		w.started[a.Step.Attempt] = true
 		return request.StepDone{Step: a.Step, Value: value(0), Text: "done", Final: true}
 	}
 	c := s.cache(a.Step.Attempt)
-	if a.Stage.Life != s.name() || c.canceled {
+	if a.Stage.Life != s.incarnationName() || c.canceled {
 		return request.StepNotRun{Step: a.Step}
 	}
 	if a.Step.Epoch < c.epoch {
@@ -226,21 +227,21 @@
 	return done
 }
 
-// record notes that a stage ran its layers for a token, and checks the order.
-func (w *world) record(s *stage, ref request.StepRef) {
+// record counts the run of a stage's layers for a token and checks the order.
+func (w *simulation) record(s *stage, ref request.StepRef) {
 	key := func(stage int) string { return fmt.Sprintf("%d/%d/%d", ref.Attempt, ref.Token, stage) }
-	w.begun[ref.Attempt] = true
+	w.started[ref.Attempt] = true
 	w.runs[key(s.index)]++
 	if w.runs[key(s.index)] > 1 {
-		w.faults = append(w.faults, "layer ran twice: "+key(s.index))
+		w.violations = append(w.violations, "layer ran twice: "+key(s.index))
 	}
 	if s.index > 0 && w.runs[key(s.index-1)] == 0 {
-		w.faults = append(w.faults, "layer ran before the one below: "+key(s.index))
+		w.violations = append(w.violations, "layer ran before its predecessor: "+key(s.index))
 	}
 }
 
-// held lets a question reach its stage.
-func (w *world) held(a request.QueryStage) request.Event {
+// query delivers a state query to its stage.
+func (w *simulation) query(a request.QueryStage) request.Event {
 	s := w.stages[a.Stage.Address]
 	if s.dead {
 		return request.StageQueryFailed{Step: a.Step, NotSent: true}
@@ -251,39 +252,39 @@
 	}
 	c.epoch = a.Step.Epoch
 	return request.StageState{
-		Step: a.Step, Life: s.name(), Known: c.known, Canceled: c.canceled, NextToken: c.next,
+		Step: a.Step, Life: s.incarnationName(), Known: c.known, Canceled: c.canceled, NextToken: c.next,
 		LastOutput: c.last, Tokens: slices.Clone(c.tokens), Final: len(c.tokens) == answerTokens,
 	}
 }
 
-// kill loses what a stage held.
-func (w *world) kill(address string) {
+// kill stops a stage and drops its state.
+func (w *simulation) kill(address string) {
 	w.stages[address].dead = true
-	w.stages[address].life++
+	w.stages[address].incarnation++
 	w.stages[address].caches = make(map[state.Attempt]*cache)
 }
 
-// usable cuts a replica to the stages that the service has.
-func (w *world) usable(r state.Replica) state.Replica {
+// grantable reduces a replica to the stages of the service.
+func (w *simulation) grantable(r state.Replica) state.Replica {
 	if w.plain {
 		r.Stages = r.Stages[:1]
 	}
-	return w.seen(r)
+	return w.withIncarnations(r)
 }
 
-// seen returns r with the lives that its stages have now.
-func (w *world) seen(r state.Replica) state.Replica {
+// withIncarnations returns r with the current incarnations of its stages.
+func (w *simulation) withIncarnations(r state.Replica) state.Replica {
 	for i, s := range r.Stages {
-		r.Stages[i].Life = w.stages[s.Address].name()
+		r.Stages[i].Life = w.stages[s.Address].incarnationName()
 	}
 	return r
 }
 
-// check returns every promise that the history broke.
-func (w *world) check(neverRepeat bool) []string {
-	faults := slices.Clone(w.faults)
-	if neverRepeat && max(len(w.begun), w.executions) > 1 {
-		faults = append(faults, fmt.Sprintf("never-repeat request began %d times", max(len(w.begun), w.executions)))
+// check returns all violations of the package's guarantees.
+func (w *simulation) check(neverRepeat bool) []string {
+	faults := slices.Clone(w.violations)
+	if neverRepeat && max(len(w.started), w.executions) > 1 {
+		faults = append(faults, fmt.Sprintf("never-repeat request started %d times", max(len(w.started), w.executions)))
 	}
 	for i, o := range w.owners {
 		if o.outcome == nil {
@@ -298,9 +299,9 @@
 				faults = append(faults, fmt.Sprintf("completed with %d tokens", len(o.tokens)))
 			}
 		case state.Refused:
-			for a := range o.drove {
-				if w.begun[a] {
-					faults = append(faults, fmt.Sprintf("refused as not run (%s), but it ran", out.Reason))
+			for a := range o.driven {
+				if w.started[a] {
+					faults = append(faults, fmt.Sprintf("refused as not run (%s) although it ran", out.Reason))
 				}
 			}
 		}
