--- a/coordination/home/bench_test.go
+++ b/coordination/home/bench_test.go
@@ -12,7 +12,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// bench is a home without books, so that only the home is measured.
+// bench returns a home without the simulation's records, so that only the home is
+// measured.
 func bench(replicaCount, slots int) (*home.Home, func(home.Event)) {
 	h := home.New(home.Config{})
 	now := start
@@ -25,7 +26,7 @@
 	return h, step
 }
 
-func asks(n int) []home.SlotRequest {
+func slotRequests(n int) []home.SlotRequest {
 	out := make([]home.SlotRequest, n)
 	for i := range out {
 		out[i] = home.SlotRequest{
@@ -37,14 +38,14 @@
 }
 
 func received(msg home.Message) home.Received {
-	return home.Received{From: other, Msg: msg}
+	return home.Received{From: entry1, Msg: msg}
 }
 
-// BenchmarkGrantAndRelease is one ask that finds a free slot, and its release,
-// at a half full pool of 64 replicas.
+// BenchmarkGrantAndRelease measures one slot request that finds a free slot, and its
+// release, at a half full pool of 64 replicas.
 func BenchmarkGrantAndRelease(b *testing.B) {
 	_, step := bench(64, 8)
-	all := asks(256 + 1024)
+	all := slotRequests(256 + 1024)
 	for _, m := range all[:256] {
 		step(received(m))
 	}
@@ -56,13 +57,13 @@
 	}
 }
 
-// BenchmarkQueueAndPass is one ask that queues, and a release that grants the
-// queue's next, at a full pool of 64 replicas with 200 asks of 10 customers
-// waiting.
-func BenchmarkQueueAndPass(b *testing.B) {
+// BenchmarkQueueAndGrantNext measures one slot request that queues, and a release that
+// grants the next one in the queue, at a full pool of 64 replicas with 200 requests of
+// 10 customers waiting.
+func BenchmarkQueueAndGrantNext(b *testing.B) {
 	_, step := bench(64, 8)
 	const slots, waiting = 64 * 7, 200 // one slot of each replica is reserved
-	all := asks(slots + waiting + 100_000)
+	all := slotRequests(slots + waiting + 100_000)
 	for _, m := range all[:slots+waiting] {
 		step(received(m))
 	}
@@ -75,7 +76,7 @@
 	}
 }
 
-// BenchmarkRenewal is one holder's digest.
+// BenchmarkRenewal measures one holder's renewal.
 func BenchmarkRenewal(b *testing.B) {
 	_, step := bench(64, 8)
 	ev := received(home.Renewal{Pools: []home.PoolDigest{{Pool: poolID}}})
@@ -85,14 +86,14 @@
 	}
 }
 
-// BenchmarkMemory reports the bytes that the home keeps for each ask that
-// waits and for each grant, the strings of the messages not counted.
+// BenchmarkMemory reports the bytes that the home uses per waiting request and per
+// grant, without the strings of the messages.
 func BenchmarkMemory(b *testing.B) {
 	const n = 100_000
 	for name, slots := range map[string]int{"wait": 1, "grant": 2 * n} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				all := asks(n)
+				all := slotRequests(n)
 				h, step := bench(1, slots)
 				before := heap()
 				for _, m := range all {
@@ -113,7 +114,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkMessages reports the encoded size of each message of a request.
+// BenchmarkMessages reports the encoded size of each message.
 func BenchmarkMessages(b *testing.B) {
 	ask := home.SlotRequestID{Request: "entry-1-000000000abc", Attempt: 1}
 	summary := home.Summary{Slots: 320, Used: 300, Waiting: 20, Rate: 60}
--- a/coordination/home/cache.go
+++ b/coordination/home/cache.go
@@ -8,58 +8,58 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// holdersPerPrefix bounds the replicas remembered for one prefix.
-const holdersPerPrefix = 4
+// maxReplicasPerPrefix bounds the replicas remembered per prefix.
+const maxReplicasPerPrefix = 4
 
-// prefixCache is the belief of which replicas hold which prompt prefixes. It
-// is fed by grants and by cache events that come late and with gaps, so it may
-// be wrong either way; see choose.go for what a wrong belief may cost.
+// prefixCache estimates which replicas have which prompt prefixes cached. It is fed by
+// grants and by cache events that arrive late and with gaps, so it may be wrong either
+// way. choose.go bounds the cost of a wrong estimate.
 type prefixCache struct {
-	entries *lru.Cache[uint64, []cached]
-	memory  time.Duration
+	entries *lru.Cache[uint64, []cacheEntry]
+	ttl     time.Duration
 }
 
-// cached is one replica's claim to a prefix.
-type cached struct {
-	replica state.ReplicaID
-	seen    time.Time
+// cacheEntry records that a replica has a prefix cached.
+type cacheEntry struct {
+	replica  state.ReplicaID
+	lastSeen time.Time
 }
 
-func newPrefixCache(size int, memory time.Duration) *prefixCache {
-	entries, err := lru.New[uint64, []cached](size)
+func newPrefixCache(size int, ttl time.Duration) *prefixCache {
+	entries, err := lru.New[uint64, []cacheEntry](size)
 	if err != nil {
-		panic("home: " + err.Error()) // the size is positive by withDefaults
+		panic("home: " + err.Error()) // cannot happen: withDefaults makes the size positive
 	}
-	return &prefixCache{entries: entries, memory: memory}
+	return &prefixCache{entries: entries, ttl: ttl}
 }
 
-// insert notes that the replica holds the prefix.
+// insert records that the replica has the prefix.
 func (c *prefixCache) insert(now time.Time, prefix uint64, id state.ReplicaID) {
-	claims, _ := c.entries.Get(prefix)
+	cached, _ := c.entries.Get(prefix)
 	oldest := 0
-	for i := range claims {
-		if claims[i].replica == id {
-			claims[i].seen = now
+	for i := range cached {
+		if cached[i].replica == id {
+			cached[i].lastSeen = now
 			return
 		}
-		if claims[i].seen.Before(claims[oldest].seen) {
+		if cached[i].lastSeen.Before(cached[oldest].lastSeen) {
 			oldest = i
 		}
 	}
-	if len(claims) == holdersPerPrefix {
-		claims[oldest] = cached{replica: id, seen: now}
+	if len(cached) == maxReplicasPerPrefix {
+		cached[oldest] = cacheEntry{replica: id, lastSeen: now}
 		return
 	}
-	c.entries.Add(prefix, append(claims, cached{replica: id, seen: now}))
+	c.entries.Add(prefix, append(cached, cacheEntry{replica: id, lastSeen: now}))
 }
 
-// evict notes that the replica dropped the prefix.
+// evict records that the replica dropped the prefix.
 func (c *prefixCache) evict(prefix uint64, id state.ReplicaID) {
-	claims, _ := c.entries.Peek(prefix)
-	kept := claims[:0]
-	for _, claim := range claims {
-		if claim.replica != id {
-			kept = append(kept, claim)
+	cached, _ := c.entries.Peek(prefix)
+	kept := cached[:0]
+	for _, entry := range cached {
+		if entry.replica != id {
+			kept = append(kept, entry)
 		}
 	}
 	if len(kept) == 0 {
@@ -69,22 +69,22 @@
 	c.entries.Add(prefix, kept)
 }
 
-// forget drops all claims of a replica: it restarted, or events are missing
-// and evictions may be among them.
-func (c *prefixCache) forget(id state.ReplicaID) {
+// evictReplica drops all entries of a replica: it restarted, or events are missing and
+// evictions may be among them.
+func (c *prefixCache) evictReplica(id state.ReplicaID) {
 	for _, prefix := range c.entries.Keys() {
 		c.evict(prefix, id)
 	}
 }
 
-// claims returns the believed holders of the prefix, some of them perhaps
-// older than the memory.
-func (c *prefixCache) claims(prefix uint64) []cached {
-	claims, _ := c.entries.Get(prefix)
-	return claims
+// replicasOf returns the entries of the prefix, some of which may be older than the
+// TTL.
+func (c *prefixCache) replicasOf(prefix uint64) []cacheEntry {
+	cached, _ := c.entries.Get(prefix)
+	return cached
 }
 
-// fresh reports whether the claim is recent enough to act on.
-func (c *prefixCache) fresh(now time.Time, claim cached) bool {
-	return now.Sub(claim.seen) <= c.memory
+// fresh reports whether the entry is recent enough to be used.
+func (c *prefixCache) fresh(now time.Time, entry cacheEntry) bool {
+	return now.Sub(entry.lastSeen) <= c.ttl
 }
--- a/coordination/home/choose.go
+++ b/coordination/home/choose.go
@@ -7,32 +7,33 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// A replica believed to hold a request's prefix is taken in place of the best
-// one only if it is at least affinitySpeed as fast and at most affinityLoad
-// more loaded, as a share of its slots. So a belief made wrong by late or lost
-// cache events costs one prefill and this much of speed and load, no more.
+// A replica that is estimated to have a request's prefix cached is preferred to the
+// best replica only if it has at least affinityMinSpeed of its speed and at most
+// affinityMaxExtraLoad more load, as a share of its slots. An estimate that late or
+// lost cache events made wrong therefore costs no more than one prefill and this much
+// speed and load.
 const (
-	affinitySpeed = 0.7
-	affinityLoad  = 0.25
+	affinityMinSpeed     = 0.7
+	affinityMaxExtraLoad = 0.25
 )
 
-// choose returns the replica for w, or nil: the fastest kind that has a free
-// slot, its least loaded replica, unless prefix affinity prefers another.
-func (p *pool) choose(w *wait, now time.Time) *replica {
-	if w.alone {
-		return p.chooseAlone(w, now)
+// choose returns the replica for w, or nil: the least loaded replica of the fastest
+// kind that has a free slot, unless prefix affinity prefers another.
+func (p *pool) choose(w *waiter, now time.Time) *replica {
+	if w.exclusive {
+		return p.chooseExclusive(w, now)
 	}
 	var best *replica
 	var speed, load float64
 	for _, r := range p.order {
 		if best != nil && r.speed < speed {
-			break // sorted by speed, and a replica's effective speed is no higher
+			break // sorted by speed, and a replica's effective speed is never higher
 		}
 		if !p.usable(r, w, now) {
 			continue
 		}
-		s := r.effective(now, p.base, p.cfg.SpeedSampleTTL)
-		if w.late(now, s) {
+		s := r.effectiveSpeed(now, p.baseRate, p.cfg.SpeedSampleTTL)
+		if w.missesDeadline(now, s) {
 			continue
 		}
 		l := float64(r.used) / float64(r.slots)
@@ -43,15 +44,15 @@
 	if best == nil {
 		return nil
 	}
-	if r := p.affine(w, speed, load, now); r != nil {
+	if r := p.chooseByPrefix(w, speed, load, now); r != nil {
 		return r
 	}
 	return best
 }
 
 // usable reports whether w may get a slot of r now.
-func (p *pool) usable(r *replica, w *wait, now time.Time) bool {
-	if !r.offers(now) || r.held != nil || r.alone {
+func (p *pool) usable(r *replica, w *waiter, now time.Time) bool {
+	if !r.acceptsWork(now) || r.reservedFor != nil || r.exclusive {
 		return false
 	}
 	if r.failures > 0 && r.probing {
@@ -60,21 +61,21 @@
 	if len(w.exclude) > 0 && slices.Contains(w.exclude, r.id) {
 		return false
 	}
-	return r.free(p.terms, w.class, p.grantable(r))
+	return r.hasFreeSlot(p.terms, w.class, p.grantable(r))
 }
 
-// affine returns the replica that is believed to hold the longest prefix of w
-// and is not much worse than the best one.
-func (p *pool) affine(w *wait, speed, load float64, now time.Time) *replica {
+// chooseByPrefix returns the replica that is estimated to have the longest prefix of w
+// cached and is not much worse than the best one.
+func (p *pool) chooseByPrefix(w *waiter, speed, load float64, now time.Time) *replica {
 	for _, prefix := range w.prefixes {
-		for _, claim := range p.cache.claims(prefix) {
-			r := p.replicas[claim.replica]
-			if r == nil || !p.cache.fresh(now, claim) || !p.usable(r, w, now) {
+		for _, entry := range p.cache.replicasOf(prefix) {
+			r := p.replicas[entry.replica]
+			if r == nil || !p.cache.fresh(now, entry) || !p.usable(r, w, now) {
 				continue
 			}
-			s := r.effective(now, p.base, p.cfg.SpeedSampleTTL)
+			s := r.effectiveSpeed(now, p.baseRate, p.cfg.SpeedSampleTTL)
 			l := float64(r.used) / float64(r.slots)
-			if s >= affinitySpeed*speed && l <= load+affinityLoad && !w.late(now, s) {
+			if s >= affinityMinSpeed*speed && l <= load+affinityMaxExtraLoad && !w.missesDeadline(now, s) {
 				return r
 			}
 		}
@@ -82,25 +83,25 @@
 	return nil
 }
 
-// chooseAlone returns an idle replica for w. Without one it holds the least
-// loaded replica back from other work, one in a pool at a time, until it is
-// idle; under full load w would otherwise never run.
-func (p *pool) chooseAlone(w *wait, now time.Time) *replica {
-	if p.holding != nil && p.holding.held != w {
+// chooseExclusive returns an idle replica for w. If there is none, it reserves the
+// least loaded replica, one per pool at a time, until that is idle. Under full load w
+// would otherwise never run.
+func (p *pool) chooseExclusive(w *waiter, now time.Time) *replica {
+	if p.reserved != nil && p.reserved.reservedFor != w {
 		return nil
 	}
-	if p.holding != nil {
-		if p.settled(p.holding, w, now) {
-			return p.holding
+	if p.reserved != nil {
+		if p.canStart(p.reserved, w, now) {
+			return p.reserved
 		}
 		return nil
 	}
 	var best *replica
 	for _, r := range p.order {
-		if !p.usableAlone(r, w, now) {
+		if !p.usableExclusive(r, w, now) {
 			continue
 		}
-		if p.settled(r, w, now) {
+		if p.canStart(r, w, now) {
 			return r
 		}
 		if best == nil || r.used < best.used {
@@ -108,18 +109,18 @@
 		}
 	}
 	if best != nil {
-		best.held = w
-		p.holding = best
+		best.reservedFor = w
+		p.reserved = best
 		return nil
 	}
-	return p.chooseFailed(w, now)
+	return p.chooseFailedReplica(w, now)
 }
 
-// chooseFailed returns an idle replica that has failed, to be proved by w, where no
-// replica in good standing is left for w. Elsewhere other requests prove it: a server
-// that is not sound yet would have w taken for what ended it. Here nobody else may
-// come, and w would wait for its deadline.
-func (p *pool) chooseFailed(w *wait, now time.Time) *replica {
+// chooseFailedReplica returns an idle replica that has failed, with w as its probe, if
+// no replica in good standing is left for w. Otherwise other requests are used as
+// probes: on a server that is still broken, w would be blamed for a failure that it did
+// not cause. Here no other request may come, and w would wait until its deadline.
+func (p *pool) chooseFailedReplica(w *waiter, now time.Time) *replica {
 	var failed *replica
 	for _, r := range p.order {
 		if r.leaving || slices.Contains(w.exclude, r.id) {
@@ -128,19 +129,19 @@
 		if r.failures == 0 {
 			return nil
 		}
-		if failed == nil && r.offers(now) && !r.probing && !r.alone && r.used == 0 {
+		if failed == nil && r.acceptsWork(now) && !r.probing && !r.exclusive && r.used == 0 {
 			failed = r
 		}
 	}
 	return failed
 }
 
-func (p *pool) usableAlone(r *replica, w *wait, now time.Time) bool {
-	return r.offers(now) && r.failures == 0 && !r.alone && !slices.Contains(w.exclude, r.id)
+func (p *pool) usableExclusive(r *replica, w *waiter, now time.Time) bool {
+	return r.acceptsWork(now) && r.failures == 0 && !r.exclusive && !slices.Contains(w.exclude, r.id)
 }
 
-// possible reports whether any replica could ever serve w.
-func (p *pool) possible(exclude []state.ReplicaID) bool {
+// hasCandidate reports whether any replica outside exclude could ever serve a request.
+func (p *pool) hasCandidate(exclude []state.ReplicaID) bool {
 	for _, r := range p.order {
 		if !r.leaving && !slices.Contains(exclude, r.id) {
 			return true
--- a/coordination/home/dispatch.go
+++ b/coordination/home/dispatch.go
@@ -7,81 +7,82 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// dispatch grants free slots until no wait can use one.
+// dispatch grants free slots until no waiter can use one.
 func (p *pool) dispatch(now time.Time) {
-	if p.learn.waiting || len(p.waits) == 0 {
+	if p.recovery.waiting || len(p.waiters) == 0 {
 		return
 	}
-	if r := p.holding; r != nil && p.settled(r, r.held, now) {
-		p.give(r.held, r, now)
+	if r := p.reserved; r != nil && p.canStart(r, r.reservedFor, now) {
+		p.grantSlot(r.reservedFor, r, now)
 	}
 	slowest := p.slowest(now)
-	place := func(w *wait) bool { return p.place(w, now) }
-	constrained := func(w *wait) bool { return w.constrained(now, slowest) }
+	place := func(w *waiter) bool { return p.tryGrant(w, now) }
+	constrained := func(w *waiter) bool { return w.constrained(now, slowest) }
 	for _, q := range p.queues {
 		for q.count > 0 && q.search(place, constrained) {
 		}
 	}
 }
 
-// slowest returns the lowest speed of the pool's replicas.
+// slowest returns the lowest effective speed of the pool's replicas.
 func (p *pool) slowest(now time.Time) float64 {
 	low := math.Inf(1)
 	for _, r := range p.order {
-		low = min(low, r.effective(now, p.base, p.cfg.SpeedSampleTTL))
+		low = min(low, r.effectiveSpeed(now, p.baseRate, p.cfg.SpeedSampleTTL))
 	}
 	return low
 }
 
-// place grants w a slot if one is free for it.
-func (p *pool) place(w *wait, now time.Time) bool {
+// tryGrant grants w a slot if one is free for it.
+func (p *pool) tryGrant(w *waiter, now time.Time) bool {
 	r := p.choose(w, now)
 	if r == nil {
 		return false
 	}
-	p.give(w, r, now)
+	p.grantSlot(w, r, now)
 	return true
 }
 
-// give grants w a slot of r.
-func (p *pool) give(w *wait, r *replica, now time.Time) {
-	p.queues[w.class].granted(w)
+// grantSlot grants w a slot of r.
+func (p *pool) grantSlot(w *waiter, r *replica, now time.Time) {
+	p.queues[w.class].removeAndCharge(w)
 	p.dequeue(w)
-	p.take(&grant{
-		ask: w.ask, holder: w.from, r: r, class: p.terms.classes[w.class].name,
-		rank: w.class, at: now, alone: w.alone, apart: w.apart,
+	p.addGrant(&grant{
+		requestID: w.requestID, holder: w.from, target: r, class: p.terms.classes[w.class].name,
+		rank: w.class, at: now, exclusive: w.exclusive, staggered: w.staggered,
 	})
 	if r.failures > 0 {
-		r.probing, r.probe, r.probeAt = true, w.ask, now
+		r.probing, r.probe, r.probeAt = true, w.requestID, now
 	}
-	if !w.apart {
-		r.begunAt = now
+	if !w.staggered {
+		r.lastStart = now
 	}
 	for _, prefix := range w.prefixes {
 		p.cache.insert(now, prefix, r.id)
 	}
-	p.send(w.from.ID, SlotGrant{ID: w.ask, Pool: p.id, Replica: r.id, Summary: p.summary(now)})
+	p.send(w.from.ID, SlotGrant{ID: w.requestID, Pool: p.id, Replica: r.id, Summary: p.summary(now)})
 }
 
-// expire refuses the waits whose time is up.
+// expire refuses the waiters whose time has run out.
 func (p *pool) expire(now time.Time) {
 	for len(p.expiry) > 0 && !p.expiry[0].expires.After(now) {
-		p.refuseWait(p.expiry[0], state.ReasonDeadline, seconds(p.drain()), now)
+		p.refuseWaiter(p.expiry[0], state.ReasonDeadline, retryAfterSeconds(p.drainTime()), now)
 	}
 }
 
-// SuccessorWait is how long requests wait for the successor of a pool's last replicas, once
-// all of them are leaving. Daemons tell each other at once that one leaves, and the list that
-// names its successor follows within some 100 ms; without one they are refused after this.
+// SuccessorTimeout is how long requests wait for a successor of a pool's last replicas
+// once all of them are leaving. Daemons notify each other at once that a replica is
+// leaving, and the list that names its successor follows within some 100 ms. Without a
+// successor the requests are refused after this time.
 const SuccessorTimeout = time.Second
 
-// refuseImpossible refuses waits that no replica of the pool can ever serve. One whose
-// avoided replicas are the only ones that stay waits for those.
-func (p *pool) refuseImpossible(now time.Time) {
-	if p.possible(nil) {
-		p.barren = time.Time{}
-		for _, w := range p.waits {
-			if !p.possible(w.exclude) {
+// refuseUnservable refuses waiters that no replica of the pool can ever serve. A waiter
+// whose excluded replicas are the only ones left waits for those.
+func (p *pool) refuseUnservable(now time.Time) {
+	if p.hasCandidate(nil) {
+		p.allLeavingSince = time.Time{}
+		for _, w := range p.waiters {
+			if !p.hasCandidate(w.exclude) {
 				w.exclude = nil
 			}
 		}
@@ -90,64 +91,64 @@
 	if p.awaitsSuccessor(now) {
 		return
 	}
-	for _, w := range p.waitsInOrder() {
-		p.refuseWait(w, state.ReasonNoReplica, 1, now)
+	for _, w := range p.waitersInOrder() {
+		p.refuseWaiter(w, state.ReasonNoReplica, 1, now)
 	}
 }
 
-// awaitsSuccessor reports whether all replicas of the pool are leaving, and that for so
-// short a time that the list of their successors may be on its way.
+// awaitsSuccessor reports whether all replicas of the pool are leaving, and have been
+// for so short a time that the list of their successors may still arrive.
 //
-// Guard (successor-listed-late): a caller would be refused while a new version is rolled out,
-// although its first replica is ready.
+// Guard (successor-listed-late): a caller would be refused during the rollout of a new
+// version although its first replica is ready.
 func (p *pool) awaitsSuccessor(now time.Time) bool {
 	if len(p.order) == 0 {
 		return false
 	}
-	if p.barren.IsZero() {
-		p.barren = now
+	if p.allLeavingSince.IsZero() {
+		p.allLeavingSince = now
 	}
-	return now.Before(p.barren.Add(SuccessorTimeout))
+	return now.Before(p.allLeavingSince.Add(SuccessorTimeout))
 }
 
-// clearProbes ends the suspicion of replicas whose probe runs well.
+// clearProbes returns replicas whose probe runs without failure to good standing.
 func (p *pool) clearProbes(now time.Time) {
 	for _, r := range p.order {
-		if r.probeOK(now) {
-			p.recovered(r)
+		if r.probePassed(now) {
+			p.markRecovered(r)
 		}
 	}
 }
 
-func (p *pool) recovered(r *replica) {
-	r.clear()
-	*p.out = append(*p.out, Recovered{Pool: p.id, Replica: r.id})
+func (p *pool) markRecovered(r *replica) {
+	r.clearFailures()
+	*p.actions = append(*p.actions, Recovered{Pool: p.id, Replica: r.id})
 }
 
 // nextTick returns when the pool next needs a Tick, or the zero time.
 func (p *pool) nextTick(now time.Time) time.Time {
-	next := earliest(p.learn.nextTick(p.cfg), p.auditAt)
+	next := earliest(p.recovery.nextTick(p.cfg), p.auditAt)
 	if len(p.expiry) > 0 {
 		next = earliest(next, p.expiry[0].expires)
 	}
-	if !p.barren.IsZero() && len(p.waits) > 0 {
-		next = earliest(next, p.barren.Add(SuccessorTimeout))
+	if !p.allLeavingSince.IsZero() && len(p.waiters) > 0 {
+		next = earliest(next, p.allLeavingSince.Add(SuccessorTimeout))
 	}
-	if r := p.holding; r != nil && r.held.apart {
-		next = earliest(next, r.begunAt.Add(p.cfg.StaggerInterval))
+	if r := p.reserved; r != nil && r.reservedFor.staggered {
+		next = earliest(next, r.lastStart.Add(p.cfg.StaggerInterval))
 	}
 	for _, r := range p.order {
-		if r.suspected(now) {
-			next = earliest(next, r.until)
+		if r.inBackoff(now) {
+			next = earliest(next, r.backoffUntil)
 		}
 		if r.probing {
-			next = earliest(next, r.probeAt.Add(probeFor))
+			next = earliest(next, r.probeAt.Add(probeDuration))
 		}
 	}
 	return next
 }
 
-// earliest returns the earlier of two times, the zero time meaning never.
+// earliest returns the earlier of two times, where the zero time means never.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/coordination/home/estimate.go
+++ b/coordination/home/estimate.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// The estimate of holding times.
+// Parameters of the estimate of hold times.
 const (
 	holdSmoothing  = 0.05
 	minHoldSamples = 8
 )
 
-// holding is the mean time for which a class holds a slot.
-type holding struct {
+// holdTime is the mean time for which a class holds a slot.
+type holdTime struct {
 	mean    float64 // seconds
 	samples int
 }
 
-// add takes the sample of one released grant.
-func (h *holding) add(d time.Duration) {
+// add adds the sample of one released grant.
+func (h *holdTime) add(d time.Duration) {
 	h.samples++
 	weight := max(holdSmoothing, 1/float64(h.samples))
 	h.mean += weight * (d.Seconds() - h.mean)
 }
 
-// rate estimates how many slots come free in a second: by Little's law, the
-// slots in use over the mean time for which they are held, summed over the
-// classes. It is 0 while a class in use has too few samples. Unlike a count of
-// releases it is right at the first moment of a burst as well.
-func (p *pool) rate() float64 {
+// releaseRate estimates the number of slots released per second. By Little's law it is
+// the number of slots in use over the mean hold time, summed over the classes. It is 0
+// while a class in use has too few samples. Unlike a count of releases it is correct
+// from the start of a burst.
+func (p *pool) releaseRate() float64 {
 	sum := 0.0
-	for rank, used := range p.used {
+	for rank, used := range p.usedByClass {
 		if used == 0 {
 			continue
 		}
-		h := p.holds[rank]
+		h := p.holdTimes[rank]
 		if h.samples < minHoldSamples || h.mean <= 0 {
 			return 0
 		}
@@ -43,17 +43,17 @@
 	return sum
 }
 
-// estimate returns how long a new wait of f would take to its first token,
-// behind those that go before it; false where that is not known. A request
-// may wait for a slot of any kind or, where the slower kinds take too long to
-// the first token, for one of the faster kinds only, which come free less
-// often; the estimate is the smallest over these choices.
-func (p *pool) estimate(w *wait, f *flow) (time.Duration, bool) {
-	rate := p.rate()
+// estimateFirstToken returns the expected time to the first token of a new waiter of f,
+// behind those ahead of it, or false if it is unknown. A request may wait for a slot of
+// any kind or, if the slower kinds take too long to the first token, only for one of
+// the faster kinds, which are released less often. The estimate is the minimum over
+// these choices.
+func (p *pool) estimateFirstToken(w *waiter, f *flow) (time.Duration, bool) {
+	rate := p.releaseRate()
 	if rate == 0 {
 		return 0, false
 	}
-	ahead := p.queues[w.class].ahead(f) + 1
+	ahead := p.queues[w.class].estimateAhead(f) + 1
 	for i := range w.class {
 		ahead += float64(p.queues[i].count)
 	}
@@ -65,7 +65,7 @@
 	for _, r := range p.order {
 		sum += float64(r.used) * r.speed
 		if sum > 0 {
-			best = min(best, ahead/(rate*sum/total)+w.leadAt(r.speed).Seconds())
+			best = min(best, ahead/(rate*sum/total)+w.firstTokenLatencyAt(r.speed).Seconds())
 		}
 	}
 	if math.IsInf(best, 1) {
@@ -74,21 +74,21 @@
 	return time.Duration(best * float64(time.Second)), true
 }
 
-// drain returns how long the whole queue takes to pass, for RetryAfter.
-func (p *pool) drain() time.Duration {
-	rate := p.rate()
+// drainTime returns how long the whole queue takes to drain, for RetryAfter.
+func (p *pool) drainTime() time.Duration {
+	rate := p.releaseRate()
 	if rate == 0 {
 		return time.Second
 	}
-	return time.Duration(float64(len(p.waits)) / rate * float64(time.Second))
+	return time.Duration(float64(len(p.waiters)) / rate * float64(time.Second))
 }
 
-// summary is the pool's word to entry daemons.
+// summary returns the summary of the pool for entry daemons.
 func (p *pool) summary(now time.Time) Summary {
-	s := Summary{Waiting: clamp16(len(p.waits)), Rate: float32(p.rate())}
+	s := Summary{Waiting: clamp16(len(p.waiters)), Rate: float32(p.releaseRate())}
 	slots, used := 0, 0
 	for _, r := range p.order {
-		if r.offers(now) && !r.alone {
+		if r.acceptsWork(now) && !r.exclusive {
 			slots += r.slots
 			used += r.used
 		}
--- a/coordination/home/event.go
+++ b/coordination/home/event.go
@@ -7,12 +7,12 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// Event is what a Home is told.
+// Event is an input of a Home.
 type Event interface {
 	event()
 }
 
-// Tick says that time passed; see Home.NextTick.
+// Tick reports that time has passed; see Home.NextTick.
 type Tick struct{}
 
 // Received is a message from a daemon.
@@ -21,13 +21,13 @@
 	Msg  Message
 }
 
-// DocumentChanged gives a service's document now in force.
+// DocumentChanged carries the document of a service that is now in force.
 type DocumentChanged struct {
 	Document *service.Document
 }
 
-// PoolsAssigned lists all pools that this daemon is home of, each with all its
-// replicas. A pool that is not listed any more is handed on.
+// PoolsAssigned lists all pools that this daemon is home of, each with all of its
+// replicas. A pool that is no longer listed is handed off.
 type PoolsAssigned struct {
 	Pools []PoolSpec
 }
@@ -39,34 +39,34 @@
 	Replicas []state.Replica
 }
 
-// ViewChanged lists the members that are live, this daemon included.
+// ViewChanged lists the live members, including this daemon.
 type ViewChanged struct {
 	Live []state.Member
 }
 
-// ReplicaLeaving says that a replica gets no new work from now on, whatever
-// the source of the word is. It holds until ReplicaReturned, until the replica
-// leaves its pool, or until its spec shows other processes or stops to say
-// that it is leaving.
+// ReplicaLeaving reports that a replica gets no new work from now on, whatever the
+// source of the report. It holds until ReplicaReturned, until the replica leaves its
+// pool, or until its spec shows other processes or no longer reports that it is
+// leaving.
 type ReplicaLeaving struct {
 	Replica state.ReplicaID
 }
 
-// ReplicaReturned says that a replica which was leaving serves again, as after
-// the restart of its backend server.
+// ReplicaReturned reports that a replica that was leaving serves again, for example
+// after the restart of its backend server.
 type ReplicaReturned struct {
 	Replica state.ReplicaID
 }
 
-// CacheReported passes on cache events of a replica's first stage. Gap says
-// that events before these are missing.
+// CacheReported carries cache events of a replica's first stage. Gap is set if events
+// before these are missing.
 type CacheReported struct {
 	Replica state.ReplicaID
 	Changes []CacheChange
 	Gap     bool
 }
 
-// CacheChange is one prefix that entered or left a cache.
+// CacheChange is one prefix that was added to or evicted from a cache.
 type CacheChange struct {
 	Prefix  uint64
 	Evicted bool
@@ -81,19 +81,19 @@
 func (ReplicaReturned) event() {}
 func (CacheReported) event()   {}
 
-// Action is what a Home wants done.
+// Action is an instruction of a Home to its caller.
 type Action interface {
 	action()
 }
 
-// Send is a message to a daemon, possibly to this one.
+// Send sends a message to a daemon, possibly to this one.
 type Send struct {
 	To  state.DaemonID
 	Msg Message
 }
 
-// Learned notes that a new home of a pool began to grant. Silent counts the
-// members that had not reported by then.
+// GrantsRecovered reports that a new home of a pool has started to grant. Unreported is
+// the number of members that had not sent their report by then.
 type GrantsRecovered struct {
 	Pool       PoolID
 	Duration   time.Duration
@@ -101,14 +101,14 @@
 	Unreported int
 }
 
-// Suspected notes that a replica gets no work until Until.
+// Suspected reports that a replica gets no work until Until.
 type Suspected struct {
 	Pool    PoolID
 	Replica state.ReplicaID
 	Until   time.Time
 }
 
-// Recovered notes that a suspected replica served a probe.
+// Recovered reports that a suspected replica served a probe.
 type Recovered struct {
 	Pool    PoolID
 	Replica state.ReplicaID
@@ -119,47 +119,46 @@
 func (Suspected) action()       {}
 func (Recovered) action()       {}
 
-// Config holds the times and bounds of a Home. Zero fields take the defaults
-// of DefaultConfig.
+// Config holds the timeouts and limits of a Home. Zero fields take the defaults of
+// DefaultConfig.
 type Config struct {
-	// LearnWindow is the longest time a new home waits for reports of grants
-	// held elsewhere before it grants anything.
+	// ReportWindow is the longest time that a new home waits for reports of grants held
+	// elsewhere before it grants anything.
 	ReportWindow time.Duration
 
-	// CautiousFor follows LearnWindow while members have not reported: at
+	// HalfCapacityPeriod follows ReportWindow while reports of members are missing: at
 	// most half of each replica's slots are granted.
 	HalfCapacityPeriod time.Duration
 
-	// SettleAfter is the age past which a grant that its holder does not
-	// report is taken to be lost.
+	// UnreportedGrantTimeout is the age after which a grant that its holder does not
+	// report counts as lost.
 	UnreportedGrantTimeout time.Duration
 
-	// SettleFor is how long nothing may have begun on a replica before a
-	// request that is apart begins there: longer than a request mostly takes
-	// to end a server that it crashes.
+	// StaggerInterval is the time without any start on a replica after which a
+	// staggered request may start there. It is longer than a request usually takes to
+	// end a server that it crashes.
 	StaggerInterval time.Duration
 
-	// SuspectMin and SuspectMax bound the back-off of a replica that fails
-	// calls; it doubles with each failure.
+	// MinBackoff and MaxBackoff bound the back-off of a replica that fails calls. It
+	// doubles with each failure.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 
-	// SpeedMemory is how long a replica that was seen slow counts as slow
+	// SpeedSampleTTL is how long a replica that was observed to be slow counts as slow
 	// without a new sample.
 	SpeedSampleTTL time.Duration
 
-	// CacheEntries bounds the prefixes remembered per pool.
+	// MaxPrefixes bounds the prefixes remembered per pool.
 	MaxPrefixes int
 
-	// CacheMemory is how long a prefix is believed to be cached without a
-	// new sign of it.
+	// PrefixTTL is how long a prefix is assumed to be cached without a new indication.
 	PrefixTTL time.Duration
 
-	// QueuePerClass is used where the document names no bound.
+	// QueuePerClass applies if the document sets no limit.
 	QueuePerClass int
 }
 
-// DefaultConfig returns the settings used where Config has zero fields.
+// DefaultConfig returns the defaults for zero fields of Config.
 func DefaultConfig() Config {
 	return Config{
 		ReportWindow:           300 * time.Millisecond,
@@ -175,7 +174,7 @@
 	}
 }
 
-// withDefaults fills the zero fields of c.
+// withDefaults returns c with zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	d := DefaultConfig()
 	c.ReportWindow = orDefault(c.ReportWindow, d.ReportWindow)
@@ -191,7 +190,7 @@
 	return c
 }
 
-// orDefault returns v, or d where v is zero.
+// orDefault returns v, or d if v is zero.
 func orDefault[T comparable](v, d T) T {
 	var zero T
 	if v == zero {
--- a/coordination/home/home.go
+++ b/coordination/home/home.go
@@ -10,23 +10,23 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// holderTimeout is how long a daemon that is not in the view, and renews
-// nothing, is believed to hold its grants.
+// holderTimeout is how long the grants of a daemon that is not in the membership view
+// and sends no renewals are kept.
 const holderTimeout = 10 * time.Second
 
-// Home is the home of the pools that one daemon is assigned.
+// Home is the home of the pools that are assigned to one daemon.
 type Home struct {
 	cfg       Config
 	live      map[state.DaemonID]state.Member
-	members   []state.Member // live, by name
+	members   []state.Member // live members, by name
 	documents map[state.ServiceID]*service.Document
 	pools     map[PoolID]*pool
-	order     []*pool // by id, so that the order of actions is reproducible
-	out       []Action
+	order     []*pool // by ID, so that the order of actions is reproducible
+	actions   []Action
 }
 
-// New returns a home without pools. A Home must be told the view and the
-// documents before its pools.
+// New returns a home without pools. The membership view and the documents must be set
+// before pools are assigned.
 func New(cfg Config) *Home {
 	return &Home{
 		cfg:       cfg.withDefaults(),
@@ -36,31 +36,31 @@
 	}
 }
 
-// Step takes one event. The actions are valid until the next call.
+// Step processes one event. The actions are valid until the next call.
 func (h *Home) Step(now time.Time, ev Event) []Action {
-	h.out = h.out[:0]
+	h.actions = h.actions[:0]
 	switch e := ev.(type) {
 	case Tick:
 		h.tick(now)
 	case Received:
 		h.received(now, e.From, e.Msg)
 	case DocumentChanged:
-		h.document(now, e.Document)
+		h.setDocument(now, e.Document)
 	case PoolsAssigned:
-		h.assigned(now, e.Pools)
+		h.assignPools(now, e.Pools)
 	case ViewChanged:
-		h.view(now, e.Live)
+		h.setView(now, e.Live)
 	case ReplicaLeaving:
-		h.leaving(now, e.Replica)
+		h.replicaLeaving(now, e.Replica)
 	case ReplicaReturned:
-		h.returned(now, e.Replica)
+		h.replicaReturned(now, e.Replica)
 	case CacheReported:
-		h.cached(now, e)
+		h.cacheReported(now, e)
 	}
-	return h.out
+	return h.actions
 }
 
-// NextTick returns when Step next wants a Tick, or the zero time for never.
+// NextTick returns when Step next needs a Tick, or the zero time for never.
 func (h *Home) NextTick(now time.Time) time.Time {
 	var next time.Time
 	for _, p := range h.order {
@@ -78,12 +78,13 @@
 	return p.summary(now), true
 }
 
-// InFlight counts the grants of a replica. It reports false where this daemon is
-// not its home, or has not yet learned of the grants of the home before it.
+// InFlight returns the number of grants of a replica. It returns false if this daemon
+// is not the home of the replica, or has not yet recovered the grants of the previous
+// home.
 func (h *Home) InFlight(id state.ReplicaID) (int, bool) {
 	for _, p := range h.order {
 		if r := p.replicas[id]; r != nil {
-			return r.used, p.learn.silent == nil
+			return r.used, p.recovery.unreported == nil
 		}
 	}
 	return 0, false
@@ -91,16 +92,16 @@
 
 func (h *Home) tick(now time.Time) {
 	for _, p := range h.order {
-		p.advanceLearning(now)
+		p.advanceRecovery(now)
 		p.clearProbes(now)
 		p.audit(now, h.live)
 		p.expire(now)
-		p.refuseImpossible(now)
+		p.refuseUnservable(now)
 		p.dispatch(now)
 	}
 }
 
-func (h *Home) document(now time.Time, d *service.Document) {
+func (h *Home) setDocument(now time.Time, d *service.Document) {
 	h.documents[d.Service] = d
 	for _, p := range h.order {
 		if p.service == d.Service {
@@ -110,47 +111,47 @@
 	}
 }
 
-func (h *Home) assigned(now time.Time, specs []PoolSpec) {
+func (h *Home) assignPools(now time.Time, specs []PoolSpec) {
 	keep := make(map[PoolID]bool, len(specs))
 	for _, spec := range specs {
 		keep[spec.ID] = true
 		p, ok := h.pools[spec.ID]
 		if ok {
 			p.setReplicas(spec.Replicas)
-			p.refuseImpossible(now)
+			p.refuseUnservable(now)
 			p.dispatch(now)
 			continue
 		}
-		p = newPool(now, spec, h.cfg, newTerms(h.documents[spec.Service], h.cfg), &h.out)
+		p = newPool(now, spec, h.cfg, newTerms(h.documents[spec.Service], h.cfg), &h.actions)
 		h.pools[spec.ID] = p
-		p.beginLearning(now, h.members)
+		p.startRecovery(now, h.members)
 	}
 	for _, p := range h.order {
 		if !keep[p.id] {
-			h.handOn(p)
+			h.handOff(p)
 		}
 	}
 	h.order = slices.SortedFunc(maps.Values(h.pools), func(a, b *pool) int { return cmp.Compare(a.id, b.id) })
 }
 
-// handOn gives a pool up: those who wait are told to ask its next home, and
-// those who hold grants report them there.
-func (h *Home) handOn(p *pool) {
-	asks := make(map[state.DaemonID][]SlotRequestID)
-	for _, w := range p.waitsInOrder() {
-		asks[w.from.ID] = append(asks[w.from.ID], w.ask)
+// handOff gives up a pool: daemons whose requests wait are told to ask its next home,
+// and those that hold grants report them there.
+func (h *Home) handOff(p *pool) {
+	requestIDs := make(map[state.DaemonID][]SlotRequestID)
+	for _, w := range p.waitersInOrder() {
+		requestIDs[w.from.ID] = append(requestIDs[w.from.ID], w.requestID)
 	}
-	for _, to := range slices.Sorted(maps.Keys(asks)) {
-		p.send(to, NotHome{Pool: p.id, IDs: asks[to]})
+	for _, to := range slices.Sorted(maps.Keys(requestIDs)) {
+		p.send(to, NotHome{Pool: p.id, IDs: requestIDs[to]})
 	}
 	delete(h.pools, p.id)
 }
 
-// view takes the live members. A later incarnation of a daemon holds nothing
-// of what the one before it held. A member that was held for dead by mistake
-// comes back with everything that was freed in its name, so those that are new
-// in the view are asked what they hold, rather than at their second renewal.
-func (h *Home) view(now time.Time, live []state.Member) {
+// setView applies a membership view. A later incarnation of a daemon holds nothing of
+// what the previous one held. A member that was wrongly declared dead rejoins with
+// everything that was freed in its name, so members that are new in the view are asked
+// for a report at once instead of at their second renewal.
+func (h *Home) setView(now time.Time, live []state.Member) {
 	before := h.members
 	h.members = slices.Clone(live)
 	slices.SortFunc(h.members, func(a, b state.Member) int { return cmp.Compare(a.ID, b.ID) })
@@ -163,7 +164,7 @@
 			continue
 		}
 		for _, p := range h.order {
-			p.forgetHolder(now, m)
+			p.dropHolder(now, m)
 			p.dispatch(now)
 		}
 	}
@@ -177,32 +178,32 @@
 	}
 }
 
-func (h *Home) leaving(now time.Time, id state.ReplicaID) {
+func (h *Home) replicaLeaving(now time.Time, id state.ReplicaID) {
 	for _, p := range h.order {
 		if r := p.replicas[id]; r != nil {
-			p.leave(r)
-			p.refuseImpossible(now)
+			p.markLeaving(r)
+			p.refuseUnservable(now)
 			p.dispatch(now)
 		}
 	}
 }
 
-func (h *Home) returned(now time.Time, id state.ReplicaID) {
+func (h *Home) replicaReturned(now time.Time, id state.ReplicaID) {
 	for _, p := range h.order {
 		if r := p.replicas[id]; r != nil {
-			p.renewReplica(r)
+			p.resetReplica(r)
 			p.dispatch(now)
 		}
 	}
 }
 
-func (h *Home) cached(now time.Time, e CacheReported) {
+func (h *Home) cacheReported(now time.Time, e CacheReported) {
 	for _, p := range h.order {
 		if p.replicas[e.Replica] == nil {
 			continue
 		}
 		if e.Gap {
-			p.cache.forget(e.Replica)
+			p.cache.evictReplica(e.Replica)
 		}
 		for _, c := range e.Changes {
 			if c.Evicted {
--- a/coordination/home/learn.go
+++ b/coordination/home/learn.go
@@ -8,83 +8,83 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// learning is what a new home does before it grants as usual.
+// grantRecovery is the state of a new home before it grants normally.
 //
-// The failure: a home dies while its grants run on. Its successor knows none
-// of them, and would fill slots that are in use; every request of the pool
-// would then share engines with up to as many again. The guard: the new home
-// first asks all live members for the grants that they hold. It waits for them
-// no longer than LearnWindow, since callers wait too. Members still silent
-// then (paused, or cut off) may hold grants: until they report, leave the
-// view, or CautiousFor has passed, half of each replica's slots stay ungranted
-// for them. What they report later counts at once.
-type learning struct {
-	began   time.Time
-	waiting bool // nothing is granted
-	careful bool // half of the slots are granted
-	silent  map[state.Member]bool
-}
-
-// beginLearning asks all live members for their grants.
-func (p *pool) beginLearning(now time.Time, live []state.Member) {
-	p.learn = learning{began: now, waiting: true, silent: make(map[state.Member]bool, len(live))}
+// Failure: a home dies while its grants are in use. Its successor knows none of them
+// and would fill slots that are in use, so every request of the pool would share its
+// engine with up to as many requests again. Guard: the new home first asks all live
+// members for the grants that they hold. It waits for them at most ReportWindow, since
+// callers are waiting too. Members that have not reported by then (paused or
+// partitioned) may hold grants: until they report or leave the view, or
+// HalfCapacityPeriod has passed, half of each replica's slots are kept for them. What
+// they report later counts at once.
+type grantRecovery struct {
+	startedAt    time.Time
+	waiting      bool // nothing is granted
+	halfCapacity bool // half of the slots are granted
+	unreported   map[state.Member]bool
+}
+
+// startRecovery asks all live members for their grants.
+func (p *pool) startRecovery(now time.Time, live []state.Member) {
+	p.recovery = grantRecovery{startedAt: now, waiting: true, unreported: make(map[state.Member]bool, len(live))}
 	for _, m := range live {
-		p.learn.silent[m] = true
+		p.recovery.unreported[m] = true
 		p.send(m.ID, ReportQuery{Pool: p.id})
 	}
-	p.advanceLearning(now)
+	p.advanceRecovery(now)
 }
 
-// heardFrom notes that m has reported or can't any more.
-func (p *pool) heardFrom(now time.Time, m state.Member) {
-	if p.learn.silent == nil {
+// memberReported records that m has reported or no longer can.
+func (p *pool) memberReported(now time.Time, m state.Member) {
+	if p.recovery.unreported == nil {
 		return
 	}
-	delete(p.learn.silent, m)
-	p.advanceLearning(now)
+	delete(p.recovery.unreported, m)
+	p.advanceRecovery(now)
 }
 
-// advanceLearning ends a phase that has become needless or too long.
-func (p *pool) advanceLearning(now time.Time) {
-	l := &p.learn
-	if l.silent == nil {
+// advanceRecovery ends a phase that is no longer needed or has timed out.
+func (p *pool) advanceRecovery(now time.Time) {
+	l := &p.recovery
+	if l.unreported == nil {
 		return
 	}
-	since := now.Sub(l.began)
-	if l.waiting && (len(l.silent) == 0 || since >= p.cfg.ReportWindow) {
-		l.waiting, l.careful = false, true
-		*p.out = append(*p.out, GrantsRecovered{Pool: p.id, Duration: since, Grants: len(p.grants), Unreported: len(l.silent)})
+	since := now.Sub(l.startedAt)
+	if l.waiting && (len(l.unreported) == 0 || since >= p.cfg.ReportWindow) {
+		l.waiting, l.halfCapacity = false, true
+		*p.actions = append(*p.actions, GrantsRecovered{Pool: p.id, Duration: since, Grants: len(p.grants), Unreported: len(l.unreported)})
 	}
-	if l.careful && (len(l.silent) == 0 || since >= p.cfg.ReportWindow+p.cfg.HalfCapacityPeriod) {
-		l.careful, l.silent = false, nil
+	if l.halfCapacity && (len(l.unreported) == 0 || since >= p.cfg.ReportWindow+p.cfg.HalfCapacityPeriod) {
+		l.halfCapacity, l.unreported = false, nil
 	}
 }
 
-// nextTick returns the end of the present phase, or the zero time.
-func (l *learning) nextTick(cfg Config) time.Time {
+// nextTick returns the end of the current phase, or the zero time.
+func (l *grantRecovery) nextTick(cfg Config) time.Time {
 	switch {
 	case l.waiting:
-		return l.began.Add(cfg.ReportWindow)
-	case l.careful:
-		return l.began.Add(cfg.ReportWindow + cfg.HalfCapacityPeriod)
+		return l.startedAt.Add(cfg.ReportWindow)
+	case l.halfCapacity:
+		return l.startedAt.Add(cfg.ReportWindow + cfg.HalfCapacityPeriod)
 	default:
 		return time.Time{}
 	}
 }
 
-// grantable is how many slots of r may be in use before nothing is granted.
+// grantable returns how many slots of r may be in use.
 func (p *pool) grantable(r *replica) int {
-	if p.learn.careful {
+	if p.recovery.halfCapacity {
 		return (r.slots + 1) / 2
 	}
 	return r.slots
 }
 
-// holder is what the home believes one daemon to hold and wait for.
+// holder is the home's record of what one daemon holds and waits for.
 type holder struct {
 	held, waiting uint64    // as in PoolDigest
-	differs       int       // renewals in a row that did not agree
-	heard         time.Time // its last renewal or report
+	mismatches    int       // consecutive renewals that did not match
+	lastHeard     time.Time // its last renewal or report
 }
 
 func (p *pool) holder(m state.Member) *holder {
@@ -96,94 +96,93 @@
 	return h
 }
 
-// silentAfter is how long a holder may renew nothing before it is asked what it
-// holds: a holder that has nothing left sends no renewals, and its last release
-// may be lost, or may have gone to another home.
-const silentAfter = 3 * time.Second
+// renewalTimeout is how long a holder may go without a renewal before it is asked for a
+// report: a holder that has nothing left sends no renewals, and its last release may be
+// lost or may have gone to another home.
+const renewalTimeout = 3 * time.Second
 
-// auditEvery is the time between looks at what holders renewed.
-const auditEvery = time.Second
+// auditInterval is the time between checks for overdue renewals.
+const auditInterval = time.Second
 
-// audit asks the holders for a report that should have renewed, and forgets
-// daemons that asked for slots before the view knew them and then never came
-// into it.
+// audit asks holders whose renewal is overdue for a report. It drops daemons that
+// requested slots before they were in the view and never joined it.
 func (p *pool) audit(now time.Time, live map[state.DaemonID]state.Member) {
 	if now.Before(p.auditAt) {
 		return
 	}
-	p.auditAt = now.Add(auditEvery)
-	for _, m := range p.silentHolders(now) {
+	p.auditAt = now.Add(auditInterval)
+	for _, m := range p.overdueHolders(now) {
 		h := p.holders[m]
 		switch {
-		case live[m.ID] != m && now.Sub(h.heard) > holderTimeout:
-			p.forgetHolder(now, m)
+		case live[m.ID] != m && now.Sub(h.lastHeard) > holderTimeout:
+			p.dropHolder(now, m)
 		case h.held != 0 || h.waiting != 0:
 			p.send(m.ID, ReportQuery{Pool: p.id})
 		}
 	}
 }
 
-// silentHolders lists the holders that have not renewed for a while, by name.
-func (p *pool) silentHolders(now time.Time) []state.Member {
-	var silent []state.Member
+// overdueHolders returns the holders whose renewal is overdue, by name.
+func (p *pool) overdueHolders(now time.Time) []state.Member {
+	var overdue []state.Member
 	for m, h := range p.holders {
-		if now.Sub(h.heard) > silentAfter {
-			silent = append(silent, m)
+		if now.Sub(h.lastHeard) > renewalTimeout {
+			overdue = append(overdue, m)
 		}
 	}
-	slices.SortFunc(silent, func(a, b state.Member) int { return cmp.Compare(a.ID, b.ID) })
-	return silent
+	slices.SortFunc(overdue, func(a, b state.Member) int { return cmp.Compare(a.ID, b.ID) })
+	return overdue
 }
 
-// maxDiffers is how many renewals in a row may differ before the home asks for
-// a full report. One may differ because a grant is under way.
-const maxDiffers = 2
+// maxMismatches is the number of consecutive mismatching renewals after which the home
+// asks for a full report. A single mismatch may be due to a grant in flight.
+const maxMismatches = 2
 
-// renew compares a holder's digest with the home's own belief.
+// renew compares a holder's digest with the home's record.
 func (p *pool) renew(now time.Time, from state.Member, d PoolDigest) {
 	h := p.holder(from)
-	h.heard = now
+	h.lastHeard = now
 	if h.held == d.Held && h.waiting == d.Waiting {
-		h.differs = 0
+		h.mismatches = 0
 		return
 	}
-	h.differs++
-	if h.differs >= maxDiffers {
-		h.differs = 0
+	h.mismatches++
+	if h.mismatches >= maxMismatches {
+		h.mismatches = 0
 		p.send(from.ID, ReportQuery{Pool: p.id})
 	}
 }
 
-// report brings the home's belief in line with a holder's full report. The
-// failures: an answer was lost with its connection, so that a slot stays taken
-// for nobody, or a wait is believed to be queued that is not; or another
-// daemon was home meanwhile. A grant younger than SettleAfter may still be
-// under way to the holder and is left alone.
+// report reconciles the home's record with a holder's full report. This handles an
+// answer that was lost with its connection, so that a slot stays taken for no request
+// or a request is wrongly recorded as queued, and the case that another daemon was home
+// in the meantime. A grant younger than UnreportedGrantTimeout may still be in flight
+// to the holder and is kept.
 func (p *pool) report(now time.Time, from state.Member, m GrantReport) {
 	h := p.holder(from)
-	h.heard = now
+	h.lastHeard = now
 	listed := make(map[SlotRequestID]bool, len(m.Held)+len(m.Waiting))
 	for _, held := range m.Held {
 		listed[held.ID] = true
-		p.learnGrant(now, from, held)
+		p.recoverGrant(now, from, held)
 	}
-	var again []SlotRequestID
-	for _, ask := range m.Waiting {
-		listed[ask] = true
-		if p.grants[ask] == nil && p.waits[ask] == nil {
-			again = append(again, ask)
+	var unknown []SlotRequestID
+	for _, requestID := range m.Waiting {
+		listed[requestID] = true
+		if p.grants[requestID] == nil && p.waiters[requestID] == nil {
+			unknown = append(unknown, requestID)
 		}
-		p.grantAgain(now, from, ask)
+		p.resendGrant(now, from, requestID)
 	}
-	if len(again) > 0 {
-		p.send(from.ID, NotHome{Pool: p.id, IDs: again})
+	if len(unknown) > 0 {
+		p.send(from.ID, NotHome{Pool: p.id, IDs: unknown})
 	}
-	p.dropUnlisted(now, from, listed)
-	p.heardFrom(now, from)
+	p.dropUnreported(now, from, listed)
+	p.memberReported(now, from)
 }
 
-// learnGrant enters a grant that another home gave.
-func (p *pool) learnGrant(now time.Time, from state.Member, held HeldGrant) {
+// recoverGrant records a grant that another home gave.
+func (p *pool) recoverGrant(now time.Time, from state.Member, held HeldGrant) {
 	if p.grants[held.ID] != nil {
 		return
 	}
@@ -191,52 +190,52 @@
 	if r == nil {
 		return
 	}
-	if w := p.waits[held.ID]; w != nil {
-		p.dropWait(w)
+	if w := p.waiters[held.ID]; w != nil {
+		p.dropWaiter(w)
 	}
-	p.take(&grant{
-		ask: held.ID, holder: from, r: r, class: held.Class,
+	p.addGrant(&grant{
+		requestID: held.ID, holder: from, target: r, class: held.Class,
 		rank: p.terms.rankOf(held.Class), at: now,
 	})
 }
 
-// grantAgain repeats a grant whose message was lost.
-func (p *pool) grantAgain(now time.Time, from state.Member, ask SlotRequestID) {
-	g := p.grants[ask]
+// resendGrant repeats a grant whose message was lost.
+func (p *pool) resendGrant(now time.Time, from state.Member, requestID SlotRequestID) {
+	g := p.grants[requestID]
 	if g == nil || g.holder != from {
 		return
 	}
-	p.send(from.ID, SlotGrant{ID: ask, Pool: p.id, Replica: g.r.id, Summary: p.summary(now)})
+	p.send(from.ID, SlotGrant{ID: requestID, Pool: p.id, Replica: g.target.id, Summary: p.summary(now)})
 }
 
-// dropUnlisted ends what the holder does not know of.
-func (p *pool) dropUnlisted(now time.Time, from state.Member, listed map[SlotRequestID]bool) {
-	for ask, g := range p.grants {
-		if g.holder == from && !listed[ask] && now.Sub(g.at) >= p.cfg.UnreportedGrantTimeout {
-			p.free(g)
+// dropUnreported drops what the holder does not know of.
+func (p *pool) dropUnreported(now time.Time, from state.Member, listed map[SlotRequestID]bool) {
+	for requestID, g := range p.grants {
+		if g.holder == from && !listed[requestID] && now.Sub(g.at) >= p.cfg.UnreportedGrantTimeout {
+			p.removeGrant(g)
 		}
 	}
-	for ask, w := range p.waits {
-		if w.from == from && !listed[ask] && now.Sub(w.arrived) >= p.cfg.UnreportedGrantTimeout {
-			p.dropWait(w)
+	for requestID, w := range p.waiters {
+		if w.from == from && !listed[requestID] && now.Sub(w.arrived) >= p.cfg.UnreportedGrantTimeout {
+			p.dropWaiter(w)
 		}
 	}
 }
 
-// forgetHolder ends everything of a daemon that left the view. Its requests
-// may still run at a backend server for a moment; the engine ends them when
-// nobody resumes them.
-func (p *pool) forgetHolder(now time.Time, m state.Member) {
+// dropHolder drops everything of a daemon that left the view. Its requests may still
+// run at a backend server for a moment. The engine ends them when no daemon resumes
+// them.
+func (p *pool) dropHolder(now time.Time, m state.Member) {
 	for _, g := range p.grants {
 		if g.holder == m {
-			p.free(g)
+			p.removeGrant(g)
 		}
 	}
-	for _, w := range p.waits {
+	for _, w := range p.waiters {
 		if w.from == m {
-			p.dropWait(w)
+			p.dropWaiter(w)
 		}
 	}
 	delete(p.holders, m)
-	p.heardFrom(now, m)
+	p.memberReported(now, m)
 }
--- a/coordination/home/message.go
+++ b/coordination/home/message.go
@@ -8,71 +8,71 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// PoolID names one pool: a group of one service's replicas within a region.
+// PoolID identifies a pool: a group of one service's replicas within a region.
 type PoolID string
 
-// Ask names one request for a slot: an attempt of a request. It names the
-// grant as well, so that a repeated SlotRequest is idempotent.
+// SlotRequestID identifies one request for a slot: an attempt of a request. It also
+// identifies the grant, which makes a repeated SlotRequest idempotent.
 type SlotRequestID struct {
 	Request state.RequestID `msgpack:"r"`
 	Attempt state.Attempt   `msgpack:"a"`
 }
 
-// mixAttempt spreads attempt numbers over a digest.
-const mixAttempt = 0x9e3779b97f4a7c15
+// attemptMultiplier spreads attempt numbers over the bits of a digest.
+const attemptMultiplier = 0x9e3779b97f4a7c15
 
-// Digest is the ask's part of a Renewal's digest.
+// Digest returns the contribution of the slot request to a Renewal's digest.
 func (a SlotRequestID) Digest() uint64 {
-	return xxhash.Sum64String(string(a.Request)) ^ uint64(a.Attempt)*mixAttempt
+	return xxhash.Sum64String(string(a.Request)) ^ uint64(a.Attempt)*attemptMultiplier
 }
 
-// Message is what homes and entry daemons send to each other.
+// Message is a message between homes and entry daemons.
 type Message interface {
 	message()
 }
 
-// SlotRequest asks the home of Pool for a slot. It ends in exactly one
-// SlotGrant or SlotRefusal, or in the sender's CancelWait.
+// SlotRequest requests a slot from the home of Pool. It ends in exactly one SlotGrant
+// or SlotRefusal, or in the sender's CancelSlotRequest.
 type SlotRequest struct {
 	ID       SlotRequestID    `msgpack:"k"`
 	Pool     PoolID           `msgpack:"p"`
 	Class    state.ClassID    `msgpack:"c"`
 	Customer state.CustomerID `msgpack:"u"`
 
-	// Budget is the time left until the first token, from the sending of the
-	// message. Lead is the part of it that passes between slot and first
-	// token on a replica of speed 1; 0 where not known.
+	// Budget is the time left until the first token when the message is sent.
+	// FirstTokenLatency is the part of it between slot and first token on a replica of
+	// speed 1; 0 if unknown.
 	Budget            time.Duration `msgpack:"b"`
 	FirstTokenLatency time.Duration `msgpack:"d,omitempty"`
 
-	// Cost is the expected size of the work in tokens, for fairness; 0 counts
-	// as 1.
+	// Cost is the expected size of the work in tokens, for fairness; 0 counts as 1.
 	Cost uint32 `msgpack:"n,omitempty"`
 
 	// Prefixes are hashes of the prompt's prefix blocks, longest first.
 	Prefixes []uint64 `msgpack:"x,omitempty"`
 
-	// Exclude are replicas that just failed this request.
+	// Exclude lists replicas that have just failed this request.
 	Exclude []state.ReplicaID `msgpack:"e,omitempty"`
 
-	// Alone asks for a replica that runs nothing else meanwhile, for a
-	// request that may have crashed a backend server.
+	// Exclusive requests a replica that serves nothing else meanwhile, for a request
+	// that may have crashed a backend server.
 	Exclusive bool `msgpack:"l,omitempty"`
 
-	// Apart, with Alone, does not wait until the replica is idle, only until
-	// nothing has begun there for Config.SettleFor, and lets others begin there
-	// once SlotPassed has come. A death meanwhile still points to the request.
+	// Staggered, together with Exclusive, does not wait until the replica is idle, but
+	// only until nothing has started there for Config.StaggerInterval. Other requests
+	// may start there after ExclusiveEnded. A backend server's death in between can
+	// still be attributed to the request.
 	Staggered bool `msgpack:"q,omitempty"`
 }
 
-// SlotPassed says that the holder of a grant that is apart has done what may end
-// its replica.
+// ExclusiveEnded reports that the request of a staggered grant is past the point at
+// which it may crash its replica.
 type ExclusiveEnded struct {
 	ID   SlotRequestID `msgpack:"k"`
 	Pool PoolID        `msgpack:"p"`
 }
 
-// SlotGrant gives the sender of Ask a slot of Replica until its SlotRelease.
+// SlotGrant grants the sender of the request a slot of Replica until its SlotRelease.
 type SlotGrant struct {
 	ID      SlotRequestID   `msgpack:"k"`
 	Pool    PoolID          `msgpack:"p"`
@@ -80,7 +80,7 @@
 	Summary Summary         `msgpack:"s"`
 }
 
-// SlotRefusal ends an ask without a slot.
+// SlotRefusal ends a slot request without a slot.
 type SlotRefusal struct {
 	ID         SlotRequestID    `msgpack:"k"`
 	Pool       PoolID           `msgpack:"p"`
@@ -89,61 +89,61 @@
 	Summary    Summary          `msgpack:"s"`
 }
 
-// NotHome says that the receiver of an ask does not hold the pool; the sender
-// looks the home up again. It ends nothing.
+// NotHome reports that the receiver of a slot request is not the pool's home. The
+// sender looks up the home again. It ends nothing.
 type NotHome struct {
 	IDs  []SlotRequestID `msgpack:"k"`
 	Pool PoolID          `msgpack:"p"`
 }
 
-// Summary is a home's word on one pool, carried on its answers so that entry
+// Summary is the state of one pool, carried on the answers of its home so that entry
 // daemons can choose between pools.
 type Summary struct {
-	Slots   uint16  `msgpack:"n"` // of replicas that get new work
+	Slots   uint16  `msgpack:"n"` // of replicas that accept new work
 	Used    uint16  `msgpack:"u"`
 	Waiting uint16  `msgpack:"w"` // requests in the queue
-	Rate    float32 `msgpack:"r"` // slots that come free in a second; 0 not known
+	Rate    float32 `msgpack:"r"` // slots released per second; 0 if unknown
 }
 
-// Use says how a grant ended.
+// SlotOutcome tells how a grant ended.
 type SlotOutcome uint8
 
-// The values of Use.
+// The values of SlotOutcome.
 const (
 	OutcomeServed  SlotOutcome = iota // the replica served the request
 	OutcomeUnused                     // nothing was sent to the replica
 	OutcomeFailed                     // a call to the replica failed or was not answered
-	OutcomeLeaving                    // the replica said that it is leaving
+	OutcomeLeaving                    // the replica reported that it is leaving
 )
 
-// SlotRelease gives a slot back. Releasing an unknown grant does nothing.
+// SlotRelease releases a slot. Releasing an unknown grant does nothing.
 type SlotRelease struct {
 	ID      SlotRequestID   `msgpack:"k"`
 	Pool    PoolID          `msgpack:"p"`
 	Replica state.ReplicaID `msgpack:"i"`
 	Outcome SlotOutcome     `msgpack:"o"`
 
-	// Tokens were made in Busy, counted from the first token on; they show
-	// how fast the replica really is. 0 where not known.
+	// Tokens were generated in DecodeTime, counted from the first token on. They show
+	// the actual speed of the replica. 0 if unknown.
 	Tokens     uint32        `msgpack:"n,omitempty"`
 	DecodeTime time.Duration `msgpack:"b,omitempty"`
 }
 
-// CancelWait ends an ask that needs no slot any more. If the slot was granted
-// meanwhile, it is given back.
+// CancelSlotRequest ends a slot request that is no longer needed. If the slot was
+// granted in the meantime, it is released.
 type CancelSlotRequest struct {
 	ID   SlotRequestID `msgpack:"k"`
 	Pool PoolID        `msgpack:"p"`
 }
 
-// Renewal tells a home, a few times a minute, what its sender holds and waits
-// for, as one digest a pool.
+// Renewal reports to a home, at regular intervals, what its sender holds and waits for,
+// as one digest per pool.
 type Renewal struct {
 	Pools []PoolDigest `msgpack:"p"`
 }
 
-// PoolDigest stands for all asks of one daemon in one pool. Held and Waiting
-// are the exclusive or of Ask.Digest over them.
+// PoolDigest is the digest of all slot requests of one daemon in one pool. Held and
+// Waiting are the exclusive or of SlotRequestID.Digest over them.
 type PoolDigest struct {
 	Pool    PoolID `msgpack:"p"`
 	Held    uint64 `msgpack:"h"`
--- a/coordination/home/pool.go
+++ b/coordination/home/pool.go
@@ -12,17 +12,17 @@
 
 // grant is one slot in use.
 type grant struct {
-	ask    SlotRequestID
-	holder state.Member
-	r      *replica
-	class  state.ClassID
-	rank   int
-	at     time.Time
-	alone  bool // until passed, where it is apart
-	apart  bool
+	requestID SlotRequestID
+	holder    state.Member
+	target    *replica
+	class     state.ClassID
+	rank      int
+	at        time.Time
+	exclusive bool // if staggered, only until ExclusiveEnded
+	staggered bool
 }
 
-// pool is everything that a home knows of one pool.
+// pool is the state of one pool.
 type pool struct {
 	id      PoolID
 	service state.ServiceID
@@ -30,24 +30,24 @@
 	terms   *terms
 
 	replicas map[state.ReplicaID]*replica
-	order    []*replica // the fastest kind first
-	holding  *replica   // held back for one request that runs alone
-	base     float64    // tokens a second at speed 1 as observed; 0 not known
+	order    []*replica // fastest first
+	reserved *replica   // reserved for a waiter that needs an exclusive slot
+	baseRate float64    // observed tokens per second at speed 1; 0 if unknown
 
-	grants  map[SlotRequestID]*grant
-	waits   map[SlotRequestID]*wait
-	queues  []*classQueue // by class rank
-	used    []int         // slots in use by class rank
-	holds   []*holding    // by class rank
-	expiry  expiryHeap
-	barren  time.Time // since when all replicas are leaving; zero for not
-	holders map[state.Member]*holder
-	cache   *prefixCache
-	learn   learning
-	arrived uint64 // number of the last wait
-	auditAt time.Time
+	grants          map[SlotRequestID]*grant
+	waiters         map[SlotRequestID]*waiter
+	queues          []*classQueue // by class rank
+	usedByClass     []int         // slots in use by class rank
+	holdTimes       []*holdTime   // by class rank
+	expiry          expiryHeap
+	allLeavingSince time.Time // since when all replicas have been leaving; zero if not all are
+	holders         map[state.Member]*holder
+	cache           *prefixCache
+	recovery        grantRecovery
+	lastSeq         uint64 // sequence number of the last waiter
+	auditAt         time.Time
 
-	out *[]Action
+	actions *[]Action
 }
 
 func newPool(now time.Time, spec PoolSpec, cfg Config, t *terms, out *[]Action) *pool {
@@ -57,11 +57,11 @@
 		cfg:      cfg,
 		replicas: make(map[state.ReplicaID]*replica),
 		grants:   make(map[SlotRequestID]*grant),
-		waits:    make(map[SlotRequestID]*wait),
+		waiters:  make(map[SlotRequestID]*waiter),
 		holders:  make(map[state.Member]*holder),
 		cache:    newPrefixCache(cfg.MaxPrefixes, cfg.PrefixTTL),
-		out:      out,
-		auditAt:  now.Add(auditEvery),
+		actions:  out,
+		auditAt:  now.Add(auditInterval),
 	}
 	p.applyTerms(now, t)
 	p.setReplicas(spec.Replicas)
@@ -69,11 +69,11 @@
 }
 
 func (p *pool) send(to state.DaemonID, msg Message) {
-	*p.out = append(*p.out, Send{To: to, Msg: msg})
+	*p.actions = append(*p.actions, Send{To: to, Msg: msg})
 }
 
-// setReplicas takes the pool's replicas as they are now. Grants of a replica
-// that is gone end with it.
+// setReplicas sets the current replicas of the pool. Grants of a removed replica end
+// with it.
 func (p *pool) setReplicas(specs []state.Replica) {
 	seen := make(map[state.ReplicaID]bool, len(specs))
 	p.order = p.order[:0]
@@ -81,18 +81,18 @@
 		seen[spec.ID] = true
 		r, ok := p.replicas[spec.ID]
 		if !ok {
-			r = &replica{id: spec.ID, rank: make([]int, len(p.terms.classes))}
+			r = &replica{id: spec.ID, usedByRank: make([]int, len(p.terms.classes))}
 			p.replicas[spec.ID] = r
 		}
-		if r.renewed(spec) {
-			p.renewReplica(r)
+		if r.processesReplaced(spec) {
+			p.resetReplica(r)
 		}
 		r.spec = spec
 		r.slots = max(spec.Slots, 1)
 		r.speed = orDefault(spec.Speed, 1)
 		p.order = append(p.order, r)
 		if spec.Leaving {
-			p.leave(r)
+			p.markLeaving(r)
 		}
 	}
 	for id, r := range p.replicas {
@@ -112,52 +112,52 @@
 
 func (p *pool) dropReplica(r *replica) {
 	for _, g := range p.grants {
-		if g.r == r {
-			p.free(g)
+		if g.target == r {
+			p.removeGrant(g)
 		}
 	}
-	p.unhold(r)
-	p.cache.forget(r.id)
+	p.unreserve(r)
+	p.cache.evictReplica(r.id)
 	delete(p.replicas, r.id)
 }
 
-// leave stops new work for a replica.
-func (p *pool) leave(r *replica) {
+// markLeaving stops new work for a replica.
+func (p *pool) markLeaving(r *replica) {
 	r.leaving = true
-	p.unhold(r)
+	p.unreserve(r)
 }
 
-// renewReplica forgets what is known of a replica's earlier processes. Its
+// resetReplica drops the state that belongs to a replica's earlier processes. Its
 // grants stay: their holders release them.
-func (p *pool) renewReplica(r *replica) {
+func (p *pool) resetReplica(r *replica) {
 	r.leaving = false
-	r.clear()
-	r.rate = 0
-	p.cache.forget(r.id)
+	r.clearFailures()
+	r.tokenRate = 0
+	p.cache.evictReplica(r.id)
 }
 
-func (p *pool) unhold(r *replica) {
-	if p.holding == r {
-		r.held = nil
-		p.holding = nil
+func (p *pool) unreserve(r *replica) {
+	if p.reserved == r {
+		r.reservedFor = nil
+		p.reserved = nil
 	}
 }
 
-// applyTerms takes another document: ranks, reservations and weights change,
-// and everything queued or in use is counted anew by class name.
+// applyTerms applies a new document: ranks, reservations and weights change, and all
+// queued requests and grants are recounted by class name.
 func (p *pool) applyTerms(now time.Time, t *terms) {
-	waits := p.waitsInOrder()
+	waits := p.waitersInOrder()
 	names := p.classNames()
 	p.terms = t
 	p.queues = make([]*classQueue, len(t.classes))
-	p.holds = make([]*holding, len(t.classes))
-	p.used = make([]int, len(t.classes))
+	p.holdTimes = make([]*holdTime, len(t.classes))
+	p.usedByClass = make([]int, len(t.classes))
 	for i := range t.classes {
 		p.queues[i] = newClassQueue()
-		p.holds[i] = &holding{}
+		p.holdTimes[i] = &holdTime{}
 	}
 	for _, r := range p.replicas {
-		r.rank = make([]int, len(t.classes))
+		r.usedByRank = make([]int, len(t.classes))
 	}
 	for _, g := range p.grants {
 		g.rank = t.rankOf(g.class)
@@ -168,11 +168,11 @@
 	}
 }
 
-// waitsInOrder returns the waits by arrival, so that the order of actions does
-// not depend on a map's.
-func (p *pool) waitsInOrder() []*wait {
-	waits := slices.Collect(maps.Values(p.waits))
-	slices.SortFunc(waits, func(a, b *wait) int { return cmp.Compare(a.seq, b.seq) })
+// waitersInOrder returns the waiters by arrival, so that the order of actions does not
+// depend on map iteration.
+func (p *pool) waitersInOrder() []*waiter {
+	waits := slices.Collect(maps.Values(p.waiters))
+	slices.SortFunc(waits, func(a, b *waiter) int { return cmp.Compare(a.seq, b.seq) })
 	return waits
 }
 
@@ -187,8 +187,8 @@
 	return names
 }
 
-// requeue moves a wait to its class in the new terms, or refuses it.
-func (p *pool) requeue(now time.Time, w *wait, class state.ClassID) {
+// requeue moves a waiter to its class in the new terms, or refuses it.
+func (p *pool) requeue(now time.Time, w *waiter, class state.ClassID) {
 	rank, ok := p.terms.rank[class]
 	weight, known := p.terms.weights[w.customer]
 	if !ok || !known {
@@ -197,7 +197,7 @@
 		if ok {
 			reason = state.ReasonUnknownCustomer
 		}
-		p.refuseWait(w, reason, 0, now)
+		p.refuseWaiter(w, reason, 0, now)
 		return
 	}
 	w.class = rank
@@ -205,97 +205,97 @@
 	q.add(q.flow(w.customer, weight), w)
 }
 
-// count adds n uses of g's slot to the counts by rank.
+// count adds n to the slots in use at g's rank.
 func (p *pool) count(g *grant, n int) {
-	if g.rank < len(p.used) {
-		p.used[g.rank] += n
-		g.r.rank[g.rank] += n
+	if g.rank < len(p.usedByClass) {
+		p.usedByClass[g.rank] += n
+		g.target.usedByRank[g.rank] += n
 	}
 }
 
-// take enters a grant of holder.
-func (p *pool) take(g *grant) {
-	p.grants[g.ask] = g
-	g.r.used++
-	g.r.alone = g.r.alone || g.alone
+// addGrant records a grant.
+func (p *pool) addGrant(g *grant) {
+	p.grants[g.requestID] = g
+	g.target.used++
+	g.target.exclusive = g.target.exclusive || g.exclusive
 	p.count(g, +1)
-	p.holder(g.holder).held ^= g.ask.Digest()
+	p.holder(g.holder).held ^= g.requestID.Digest()
 }
 
-// passed lets others begin on the replica of a grant that was apart, the next
-// that is to be apart before all others: the replica is settled for it now.
-func (p *pool) passed(now time.Time, g *grant) {
-	if !g.apart || !g.alone {
+// endExclusive lets other requests start on the replica of a staggered grant. The next
+// staggered request goes first, since the replica is ready for it now.
+func (p *pool) endExclusive(now time.Time, g *grant) {
+	if !g.staggered || !g.exclusive {
 		return
 	}
-	g.alone = false
-	g.r.alone = false
-	for _, w := range p.waits {
-		if w.apart && p.holding == nil && p.usableAlone(g.r, w, now) && p.settled(g.r, w, now) {
-			p.give(w, g.r, now)
+	g.exclusive = false
+	g.target.exclusive = false
+	for _, w := range p.waiters {
+		if w.staggered && p.reserved == nil && p.usableExclusive(g.target, w, now) && p.canStart(g.target, w, now) {
+			p.grantSlot(w, g.target, now)
 			break
 		}
 	}
 	p.dispatch(now)
 }
 
-// settled reports whether w may begin on r without another request to blame for a
-// death: r is idle, or nothing else has begun there for long enough.
-func (p *pool) settled(r *replica, w *wait, now time.Time) bool {
+// canStart reports whether w may start on r such that a failure can be attributed to
+// it: r is idle, or nothing else has started there for StaggerInterval.
+func (p *pool) canStart(r *replica, w *waiter, now time.Time) bool {
 	if r.used == 0 {
 		return true
 	}
-	return w.apart && !r.alone && r.used < r.slots && now.Sub(r.begunAt) >= p.cfg.StaggerInterval
+	return w.staggered && !r.exclusive && r.used < r.slots && now.Sub(r.lastStart) >= p.cfg.StaggerInterval
 }
 
-// free ends a grant.
-func (p *pool) free(g *grant) {
-	delete(p.grants, g.ask)
-	g.r.used--
-	if g.alone {
-		g.r.alone = false
+// removeGrant ends a grant.
+func (p *pool) removeGrant(g *grant) {
+	delete(p.grants, g.requestID)
+	g.target.used--
+	if g.exclusive {
+		g.target.exclusive = false
 	}
-	if g.r.probing && g.r.probe == g.ask {
-		g.r.probing = false
+	if g.target.probing && g.target.probe == g.requestID {
+		g.target.probing = false
 	}
 	p.count(g, -1)
-	p.holder(g.holder).held ^= g.ask.Digest()
+	p.holder(g.holder).held ^= g.requestID.Digest()
 }
 
-// enqueue enters a wait.
-func (p *pool) enqueue(f *flow, w *wait) {
-	p.arrived++
-	w.seq = p.arrived
-	p.waits[w.ask] = w
+// enqueue adds a waiter to its queue.
+func (p *pool) enqueue(f *flow, w *waiter) {
+	p.lastSeq++
+	w.seq = p.lastSeq
+	p.waiters[w.requestID] = w
 	p.queues[w.class].add(f, w)
 	heap.Push(&p.expiry, w)
-	p.holder(w.from).waiting ^= w.ask.Digest()
+	p.holder(w.from).waiting ^= w.requestID.Digest()
 }
 
-// dequeue takes a wait out of everything but its flow.
-func (p *pool) dequeue(w *wait) {
-	delete(p.waits, w.ask)
+// dequeue removes a waiter from everything but its flow.
+func (p *pool) dequeue(w *waiter) {
+	delete(p.waiters, w.requestID)
 	heap.Remove(&p.expiry, w.heapIndex)
-	p.holder(w.from).waiting ^= w.ask.Digest()
-	if p.holding != nil && p.holding.held == w {
-		p.unhold(p.holding)
+	p.holder(w.from).waiting ^= w.requestID.Digest()
+	if p.reserved != nil && p.reserved.reservedFor == w {
+		p.unreserve(p.reserved)
 	}
 }
 
-// dropWait ends a wait without an answer.
-func (p *pool) dropWait(w *wait) {
+// dropWaiter removes a waiter without an answer.
+func (p *pool) dropWaiter(w *waiter) {
 	if w.flow != nil {
 		p.queues[w.class].remove(w)
 	}
 	p.dequeue(w)
 }
 
-// refuseWait ends a wait with a refusal.
-func (p *pool) refuseWait(w *wait, reason state.Reason, after state.RetryAfter, now time.Time) {
-	p.dropWait(w)
-	p.refuse(w.from.ID, w.ask, reason, after, now)
+// refuseWaiter removes a waiter with a refusal.
+func (p *pool) refuseWaiter(w *waiter, reason state.Reason, after state.RetryAfter, now time.Time) {
+	p.dropWaiter(w)
+	p.refuse(w.from.ID, w.requestID, reason, after, now)
 }
 
-func (p *pool) refuse(to state.DaemonID, ask SlotRequestID, reason state.Reason, after state.RetryAfter, now time.Time) {
-	p.send(to, SlotRefusal{ID: ask, Pool: p.id, Reason: reason, RetryAfter: after, Summary: p.summary(now)})
+func (p *pool) refuse(to state.DaemonID, requestID SlotRequestID, reason state.Reason, after state.RetryAfter, now time.Time) {
+	p.send(to, SlotRefusal{ID: requestID, Pool: p.id, Reason: reason, RetryAfter: after, Summary: p.summary(now)})
 }
--- a/coordination/home/queue.go
+++ b/coordination/home/queue.go
@@ -6,70 +6,69 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// wait is one ask in a queue.
-type wait struct {
-	seq      uint64 // order of arrival in the pool
-	ask      SlotRequestID
-	from     state.Member
-	class    int // rank
-	customer state.CustomerID
-	cost     float64
-	prefixes []uint64
-	exclude  []state.ReplicaID
-	alone    bool
-	apart    bool // with alone
-	arrived  time.Time
-	lead     time.Duration // from slot to first token at speed 1
-	deadline time.Time     // for the first token
-	expires  time.Time     // no replica is fast enough from then on
+// waiter is one slot request in a queue.
+type waiter struct {
+	seq               uint64 // order of arrival in the pool
+	requestID         SlotRequestID
+	from              state.Member
+	class             int // rank
+	customer          state.CustomerID
+	cost              float64
+	prefixes          []uint64
+	exclude           []state.ReplicaID
+	exclusive         bool
+	staggered         bool // only together with exclusive
+	arrived           time.Time
+	firstTokenLatency time.Duration // from slot to first token at speed 1
+	deadline          time.Time     // for the first token
+	expires           time.Time     // from then on no replica is fast enough
 
 	flow       *flow
-	prev, next *wait
+	prev, next *waiter
 	heapIndex  int
 }
 
-// constrained reports whether w can't use every free slot of its class, the
-// slowest replica having the given speed.
-func (w *wait) constrained(now time.Time, slowest float64) bool {
-	return w.alone || len(w.exclude) > 0 || w.late(now, slowest)
+// constrained reports whether w cannot use every free slot of its class, given the
+// speed of the slowest replica.
+func (w *waiter) constrained(now time.Time, slowest float64) bool {
+	return w.exclusive || len(w.exclude) > 0 || w.missesDeadline(now, slowest)
 }
 
-// late reports whether a replica of the speed would give the first token too
-// late.
-func (w *wait) late(now time.Time, speed float64) bool {
-	return w.lead > 0 && now.Add(w.leadAt(speed)).After(w.deadline)
+// missesDeadline reports whether a replica of the given speed would produce the first
+// token too late.
+func (w *waiter) missesDeadline(now time.Time, speed float64) bool {
+	return w.firstTokenLatency > 0 && now.Add(w.firstTokenLatencyAt(speed)).After(w.deadline)
 }
 
-// leadAt is the time from slot to first token at the speed.
-func (w *wait) leadAt(speed float64) time.Duration {
-	return time.Duration(float64(w.lead) / speed)
+// firstTokenLatencyAt returns the time from slot to first token at the given speed.
+func (w *waiter) firstTokenLatencyAt(speed float64) time.Duration {
+	return time.Duration(float64(w.firstTokenLatency) / speed)
 }
 
-// flow is one customer's part of a queue, first come first served. Start and
-// finish are virtual times of start-time fair queueing.
+// flow is one customer's part of a queue, first come, first served. start and finish
+// are virtual times of start-time fair queueing.
 type flow struct {
 	weight     float64
-	start      float64 // of the first wait
-	finish     float64 // of the last wait that was granted
-	busyPeriod uint64  // finish counts in this one only
-	pass       uint64  // the last search that went over it
-	head, tail *wait
+	start      float64 // of the first waiter
+	finish     float64 // of the last waiter that was granted
+	busyPeriod uint64  // finish is valid in this busy period only
+	lastSearch uint64  // last search that visited the flow
+	head, tail *waiter
 	count      int
 }
 
-// classQueue holds one class's waits. It is work-conserving and shares slots
-// among customers that wait by weight: the flow with the smallest start tag
-// goes first, and a grant advances its flow by cost/weight. A flow that was
-// idle starts at the present virtual time, so idling earns no credit, and the
-// longest wait of a customer is bounded by one wait of each other customer,
-// weighted, before each of its own.
+// classQueue holds the waiters of one class. It is work-conserving and shares slots by
+// weight among the customers that wait: the flow with the smallest start tag goes
+// first, and a grant advances its flow by cost/weight. A flow that was idle starts at
+// the current virtual time, so idling earns no credit, and before each waiter of a
+// customer at most one waiter of each other customer, adjusted by weight, is served.
 type classQueue struct {
 	flows      map[state.CustomerID]*flow
 	active     []*flow
-	weight     float64 // of the active flows
+	weight     float64 // sum over the active flows
 	virtual    float64
 	busyPeriod uint64
-	passes     uint64
+	searches   uint64
 	count      int
 }
 
@@ -77,7 +76,7 @@
 	return &classQueue{flows: make(map[state.CustomerID]*flow)}
 }
 
-// flow returns the customer's flow. Their number is bounded by the document's
+// flow returns the customer's flow. The number of flows is bounded by the document's
 // customers.
 func (q *classQueue) flow(customer state.CustomerID, weight float64) *flow {
 	f, ok := q.flows[customer]
@@ -92,7 +91,7 @@
 }
 
 // add appends w to f.
-func (q *classQueue) add(f *flow, w *wait) {
+func (q *classQueue) add(f *flow, w *waiter) {
 	w.flow, w.prev, w.next = f, f.tail, nil
 	if f.tail != nil {
 		f.tail.next = w
@@ -116,8 +115,8 @@
 	q.weight += f.weight
 }
 
-// granted takes w out and charges its flow.
-func (q *classQueue) granted(w *wait) {
+// removeAndCharge removes w and charges its flow.
+func (q *classQueue) removeAndCharge(w *waiter) {
 	f := w.flow
 	q.virtual = max(q.virtual, f.start)
 	f.finish = f.start + w.cost/f.weight
@@ -125,8 +124,8 @@
 	q.remove(w)
 }
 
-// remove takes w out without a charge.
-func (q *classQueue) remove(w *wait) {
+// remove removes w without a charge.
+func (q *classQueue) remove(w *waiter) {
 	f := w.flow
 	if w.prev != nil {
 		w.prev.next = w.next
@@ -163,17 +162,17 @@
 	}
 }
 
-// search offers waits in fair order to place until it takes one. A wait that
-// can use every free slot of the class and is not placed ends the search; one
-// that is constrained is passed over, so that it holds up nobody.
-func (q *classQueue) search(place, constrained func(*wait) bool) bool {
-	q.passes++
+// search offers waiters in fair order to place until it takes one. A waiter that can
+// use every free slot of the class and is not placed ends the search. A constrained
+// waiter is skipped, so that it blocks no other.
+func (q *classQueue) search(place, constrained func(*waiter) bool) bool {
+	q.searches++
 	for {
 		f := q.nextFlow()
 		if f == nil {
 			return false
 		}
-		f.pass = q.passes
+		f.lastSearch = q.searches
 		for w := f.head; w != nil; w = w.next {
 			if place(w) {
 				return true
@@ -185,12 +184,12 @@
 	}
 }
 
-// nextFlow returns the flow of the smallest start tag that this search has
-// not gone over.
+// nextFlow returns the flow with the smallest start tag that the current search has not
+// visited.
 func (q *classQueue) nextFlow() *flow {
 	var best *flow
 	for _, f := range q.active {
-		if f.pass == q.passes {
+		if f.lastSearch == q.searches {
 			continue
 		}
 		if best == nil || f.start < best.start {
@@ -200,8 +199,8 @@
 	return best
 }
 
-// longest returns the flow with the most waits for its weight.
-func (q *classQueue) longest() *flow {
+// longestFlow returns the flow with the most waiters relative to its weight.
+func (q *classQueue) longestFlow() *flow {
 	var best *flow
 	for _, f := range q.active {
 		if best == nil || f.backlog(0) > best.backlog(0) {
@@ -211,13 +210,13 @@
 	return best
 }
 
-// backlog is the flow's length for its weight, with extra waits.
+// backlog returns the flow's length relative to its weight, with extra more waiters.
 func (f *flow) backlog(extra int) float64 {
 	return float64(f.count+extra) / f.weight
 }
 
-// ahead estimates how many of the class's waits go before a new one of f.
-func (q *classQueue) ahead(f *flow) float64 {
+// estimateAhead estimates how many of the class's waiters go before a new one of f.
+func (q *classQueue) estimateAhead(f *flow) float64 {
 	weight := q.weight
 	if f.count == 0 {
 		weight += f.weight
@@ -225,8 +224,8 @@
 	return min(float64(q.count), float64(f.count+1)*weight/f.weight-1)
 }
 
-// expiryHeap orders waits by when they expire.
-type expiryHeap []*wait
+// expiryHeap orders waiters by expiry.
+type expiryHeap []*waiter
 
 func (h expiryHeap) Len() int           { return len(h) }
 func (h expiryHeap) Less(i, j int) bool { return h[i].expires.Before(h[j].expires) }
@@ -237,7 +236,7 @@
 
 // Push implements heap.Interface.
 func (h *expiryHeap) Push(x any) {
-	w := x.(*wait)
+	w := x.(*waiter)
 	w.heapIndex = len(*h)
 	*h = append(*h, w)
 }
--- a/coordination/home/receive.go
+++ b/coordination/home/receive.go
@@ -6,8 +6,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// received takes a message. One of an earlier incarnation than the view's is
-// dropped: that process is gone.
+// received handles a message. A message from an earlier incarnation than the view's is
+// dropped, since that process is gone.
 func (h *Home) received(now time.Time, from state.Member, msg Message) {
 	if live, ok := h.live[from.ID]; ok && from.Incarnation < live.Incarnation {
 		return
@@ -21,7 +21,7 @@
 		}
 	case ExclusiveEnded:
 		if p := h.pools[m.Pool]; p != nil && p.grants[m.ID] != nil {
-			p.passed(now, p.grants[m.ID])
+			p.endExclusive(now, p.grants[m.ID])
 		}
 	case CancelSlotRequest:
 		if p := h.pools[m.Pool]; p != nil {
@@ -46,56 +46,56 @@
 func (h *Home) request(now time.Time, from state.Member, m SlotRequest) {
 	p := h.pools[m.Pool]
 	if p == nil {
-		h.out = append(h.out, Send{To: from.ID, Msg: NotHome{Pool: m.Pool, IDs: []SlotRequestID{m.ID}}})
+		h.actions = append(h.actions, Send{To: from.ID, Msg: NotHome{Pool: m.Pool, IDs: []SlotRequestID{m.ID}}})
 		return
 	}
 	p.request(now, from, m)
 }
 
-// request queues an ask, or refuses it at once where it can't be served in
-// time. An ask that is known already is answered as before.
+// request queues a slot request, or refuses it at once if it cannot be served in time.
+// A request that is already known gets the same answer again.
 func (p *pool) request(now time.Time, from state.Member, m SlotRequest) {
 	if g := p.grants[m.ID]; g != nil {
-		p.grantAgain(now, from, m.ID)
+		p.resendGrant(now, from, m.ID)
 		return
 	}
-	if p.waits[m.ID] != nil {
+	if p.waiters[m.ID] != nil {
 		return
 	}
-	if !p.possible(m.Exclude) {
-		// Every replica failed this request: it waits for the first that is
-		// trusted again, rather than be refused while one restarts.
+	if !p.hasCandidate(m.Exclude) {
+		// Every replica has failed this request. It waits for the first that is usable
+		// again instead of being refused while one restarts.
 		m.Exclude = nil
 	}
-	rank, weight, reason := p.admit(now, m)
+	rank, weight, reason := p.validate(now, m)
 	if reason != "" {
 		p.refuse(from.ID, m.ID, reason, 0, now)
 		return
 	}
-	p.holder(from).heard = now
-	w := &wait{
-		ask: m.ID, from: from, class: rank, customer: m.Customer,
+	p.holder(from).lastHeard = now
+	w := &waiter{
+		requestID: m.ID, from: from, class: rank, customer: m.Customer,
 		cost: float64(max(m.Cost, 1)), prefixes: m.Prefixes, exclude: m.Exclude,
-		alone: m.Exclusive, apart: m.Exclusive && m.Staggered, arrived: now, lead: m.FirstTokenLatency, deadline: now.Add(m.Budget),
+		exclusive: m.Exclusive, staggered: m.Exclusive && m.Staggered, arrived: now, firstTokenLatency: m.FirstTokenLatency, deadline: now.Add(m.Budget),
 	}
-	w.expires = w.deadline.Add(-w.leadAt(p.order[0].speed))
+	w.expires = w.deadline.Add(-w.firstTokenLatencyAt(p.order[0].speed))
 	if !now.Before(w.expires) {
 		p.refuse(from.ID, m.ID, state.ReasonDeadline, 1, now)
 		return
 	}
 	f := p.queues[rank].flow(m.Customer, weight)
-	if !p.learn.waiting && p.placeAtOnce(f, w, now) {
+	if !p.recovery.waiting && p.grantImmediately(f, w, now) {
 		return
 	}
-	if !p.fits(f, w, now) {
+	if !p.admitToQueue(f, w, now) {
 		return
 	}
 	p.enqueue(f, w)
 	p.dispatch(now)
 }
 
-// admit checks an ask against the document and the pool's replicas.
-func (p *pool) admit(now time.Time, m SlotRequest) (rank int, weight float64, reason state.Reason) {
+// validate checks a request against the document and the pool's replicas.
+func (p *pool) validate(now time.Time, m SlotRequest) (rank int, weight float64, reason state.Reason) {
 	rank, ok := p.terms.rank[m.Class]
 	if !ok {
 		return 0, 0, state.ReasonBadRequest
@@ -104,117 +104,118 @@
 	if !ok {
 		return 0, 0, state.ReasonUnknownCustomer
 	}
-	if !p.possible(m.Exclude) && !p.awaitsSuccessor(now) {
+	if !p.hasCandidate(m.Exclude) && !p.awaitsSuccessor(now) {
 		return 0, 0, state.ReasonNoReplica
 	}
 	return rank, weight, ""
 }
 
-// placeAtOnce grants w if a slot is free for it. That passes nobody by: after
-// every event dispatch leaves no free slot that anyone in the queue could use.
-func (p *pool) placeAtOnce(f *flow, w *wait, now time.Time) bool {
+// grantImmediately grants w if a slot is free for it. This overtakes no waiter: after
+// every event, dispatch leaves no free slot that a queued waiter could use.
+func (p *pool) grantImmediately(f *flow, w *waiter, now time.Time) bool {
 	r := p.choose(w, now)
 	if r == nil {
-		if w.alone {
-			p.dropHoldOf(w)
+		if w.exclusive {
+			p.cancelReservation(w)
 		}
 		return false
 	}
 	p.enqueue(f, w)
-	p.give(w, r, now)
+	p.grantSlot(w, r, now)
 	return true
 }
 
-// dropHoldOf undoes the hold that choose made for a wait not yet queued.
-func (p *pool) dropHoldOf(w *wait) {
-	if p.holding != nil && p.holding.held == w {
-		p.unhold(p.holding)
+// cancelReservation undoes the reservation that choose made for a waiter that is not
+// yet queued.
+func (p *pool) cancelReservation(w *waiter) {
+	if p.reserved != nil && p.reserved.reservedFor == w {
+		p.unreserve(p.reserved)
 	}
 }
 
-// fits reports whether w may queue, and refuses it or, in a full queue, the
-// last wait of the longest flow if not. So a customer that fills a queue
-// can't shut the others out of it.
-func (p *pool) fits(f *flow, w *wait, now time.Time) bool {
-	if estimate, ok := p.estimate(w, f); ok && now.Add(estimate).After(w.deadline) {
-		p.refuse(w.from.ID, w.ask, state.ReasonDeadline, seconds(estimate-w.deadline.Sub(now)), now)
+// admitToQueue reports whether w may queue. If not, it refuses w or, if the queue is
+// full, the last waiter of the longest flow. A customer that fills a queue therefore
+// cannot lock the others out.
+func (p *pool) admitToQueue(f *flow, w *waiter, now time.Time) bool {
+	if estimate, ok := p.estimateFirstToken(w, f); ok && now.Add(estimate).After(w.deadline) {
+		p.refuse(w.from.ID, w.requestID, state.ReasonDeadline, retryAfterSeconds(estimate-w.deadline.Sub(now)), now)
 		return false
 	}
 	q := p.queues[w.class]
-	if q.count < p.terms.queueBound {
+	if q.count < p.terms.maxQueued {
 		return true
 	}
-	long := q.longest()
-	if f.backlog(1) < long.backlog(0) {
-		p.refuseWait(long.tail, state.ReasonQueueFull, seconds(p.drain()), now)
+	longest := q.longestFlow()
+	if f.backlog(1) < longest.backlog(0) {
+		p.refuseWaiter(longest.tail, state.ReasonQueueFull, retryAfterSeconds(p.drainTime()), now)
 		return true
 	}
-	p.refuse(w.from.ID, w.ask, state.ReasonQueueFull, seconds(p.drain()), now)
+	p.refuse(w.from.ID, w.requestID, state.ReasonQueueFull, retryAfterSeconds(p.drainTime()), now)
 	return false
 }
 
-// release ends a grant and notes what it showed of the replica.
+// release ends a grant and records what it showed of the replica.
 func (p *pool) release(now time.Time, from state.Member, m SlotRelease) {
 	g := p.grants[m.ID]
 	if g != nil && g.holder == from {
-		p.learnFrom(now, g, m)
-		p.free(g)
+		p.recordRelease(now, g, m)
+		p.removeGrant(g)
 	} else if r := p.replicas[m.Replica]; r != nil {
-		// Another home gave the grant; the word on the replica counts here too.
-		p.noteUse(now, r, now, m.Outcome)
+		// Another home gave the grant; its outcome counts for the replica here too.
+		p.recordOutcome(now, r, now, m.Outcome)
 	}
 	p.dispatch(now)
 }
 
-func (p *pool) learnFrom(now time.Time, g *grant, m SlotRelease) {
-	p.noteUse(now, g.r, g.at, m.Outcome)
+func (p *pool) recordRelease(now time.Time, g *grant, m SlotRelease) {
+	p.recordOutcome(now, g.target, g.at, m.Outcome)
 	if m.Outcome != OutcomeServed {
 		return
 	}
-	if g.rank < len(p.holds) {
-		p.holds[g.rank].add(now.Sub(g.at))
+	if g.rank < len(p.holdTimes) {
+		p.holdTimes[g.rank].add(now.Sub(g.at))
 	}
-	if g.r.probing && g.r.probe == m.ID {
-		p.recovered(g.r)
+	if g.target.probing && g.target.probe == m.ID {
+		p.markRecovered(g.target)
 	}
 	if m.Tokens >= minSampleTokens && m.DecodeTime > 0 {
-		p.sample(now, g.r, float64(m.Tokens)/m.DecodeTime.Seconds())
+		p.recordSpeed(now, g.target, float64(m.Tokens)/m.DecodeTime.Seconds())
 	}
 }
 
-// noteUse takes what a release says of its replica.
-func (p *pool) noteUse(now time.Time, r *replica, granted time.Time, use SlotOutcome) {
-	switch use {
+// recordOutcome records what a release reports about its replica.
+func (p *pool) recordOutcome(now time.Time, r *replica, granted time.Time, outcome SlotOutcome) {
+	switch outcome {
 	case OutcomeFailed:
-		if r.suspect(now, granted, p.cfg) {
-			p.unhold(r)
-			p.cache.forget(r.id)
-			*p.out = append(*p.out, Suspected{Pool: p.id, Replica: r.id, Until: r.until})
+		if r.recordFailure(now, granted, p.cfg) {
+			p.unreserve(r)
+			p.cache.evictReplica(r.id)
+			*p.actions = append(*p.actions, Suspected{Pool: p.id, Replica: r.id, Until: r.backoffUntil})
 		}
 	case OutcomeLeaving:
-		p.leave(r)
-		p.refuseImpossible(now)
+		p.markLeaving(r)
+		p.refuseUnservable(now)
 	case OutcomeServed, OutcomeUnused:
 	}
 }
 
-// sample notes a replica's tokens a second.
-func (p *pool) sample(now time.Time, r *replica, rate float64) {
+// recordSpeed records a sample of a replica's tokens per second.
+func (p *pool) recordSpeed(now time.Time, r *replica, rate float64) {
 	r.observe(now, rate)
 	normal := rate / r.speed
-	if p.base == 0 {
-		p.base = normal
+	if p.baseRate == 0 {
+		p.baseRate = normal
 		return
 	}
-	p.base += baseSmoothing * (normal - p.base)
+	p.baseRate += baseSmoothing * (normal - p.baseRate)
 }
 
-// cancel ends a wait, or the grant that crossed the cancel on the way.
-func (p *pool) cancel(now time.Time, from state.Member, ask SlotRequestID) {
-	if w := p.waits[ask]; w != nil && w.from == from {
-		p.dropWait(w)
-	} else if g := p.grants[ask]; g != nil && g.holder == from {
-		p.free(g)
+// cancel ends a waiter, or the grant that was sent before the cancel arrived.
+func (p *pool) cancel(now time.Time, from state.Member, requestID SlotRequestID) {
+	if w := p.waiters[requestID]; w != nil && w.from == from {
+		p.dropWaiter(w)
+	} else if g := p.grants[requestID]; g != nil && g.holder == from {
+		p.removeGrant(g)
 	}
 	p.dispatch(now)
 }
--- a/coordination/home/replica.go
+++ b/coordination/home/replica.go
@@ -7,85 +7,86 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// The observed speed of a replica.
+// Parameters of the observed speed of a replica.
 const (
-	minSampleTokens = 8    // a shorter answer says little about the speed
+	minSampleTokens = 8    // shorter answers say little about the speed
 	rateSmoothing   = 0.3  // weight of a new sample of one replica
 	baseSmoothing   = 0.05 // weight of a new sample of the whole pool
-	slowShare       = 0.7  // below this share of its own speed a replica is slow
+	slowFraction    = 0.7  // below this fraction of its own speed a replica is slow
 )
 
-// probeFor is how long a suspected replica's probe must run without a report
-// of failure to clear it: longer than a silent connection takes to be found.
-const probeFor = 2 * time.Second
+// probeDuration is how long the probe of a replica must run without a reported failure
+// to clear the replica. It is longer than the detection of an unresponsive connection
+// takes.
+const probeDuration = 2 * time.Second
 
-// replica is the exact count of one replica's slots.
+// replica tracks the slots of one replica exactly.
 type replica struct {
 	id      state.ReplicaID
 	speed   float64
 	slots   int
 	leaving bool
-	spec    state.Replica // as last told
+	spec    state.Replica // as last received
 
-	used  int
-	rank  []int // slots in use by class rank
-	held  *wait // its next and only use is this wait, which runs alone
-	alone bool  // in use by a request that runs alone
+	used        int
+	usedByRank  []int   // slots in use by class rank
+	reservedFor *waiter // waiter that the replica is reserved for, to run exclusively
+	exclusive   bool    // in use by an exclusive grant
 
-	begunAt time.Time // when a request that is not apart was last granted
+	lastStart time.Time // when a request that is not staggered was last granted
 
-	// A replica that failed a call gets nothing until `until`, then one grant
+	// A replica that failed a call gets no request until backoffUntil, then one grant
 	// at a time as a probe. failures is 0 for a replica in good standing.
-	failures    int
-	suspectedAt time.Time
-	until       time.Time
-	probing     bool
-	probe       SlotRequestID
-	probeAt     time.Time
-
-	rate   float64 // tokens a second as observed; 0 not known
-	rateAt time.Time
+	failures     int
+	suspectedAt  time.Time
+	backoffUntil time.Time
+	probing      bool
+	probe        SlotRequestID
+	probeAt      time.Time
+
+	tokenRate   float64 // observed tokens per second; 0 if unknown
+	tokenRateAt time.Time
 }
 
-// renewed reports whether spec shows that r's processes are others than those
-// that r was told to be leaving, or that failed.
-func (r *replica) renewed(spec state.Replica) bool {
+// processesReplaced reports whether spec shows that the processes of r that were
+// leaving or had failed have been replaced.
+func (r *replica) processesReplaced(spec state.Replica) bool {
 	return r.spec.Leaving && !spec.Leaving || len(r.spec.Stages) > 0 && !slices.Equal(r.spec.Stages, spec.Stages)
 }
 
-// suspected reports whether r is in its back-off.
-func (r *replica) suspected(now time.Time) bool {
-	return r.failures > 0 && now.Before(r.until)
+// inBackoff reports whether r is in its back-off.
+func (r *replica) inBackoff(now time.Time) bool {
+	return r.failures > 0 && now.Before(r.backoffUntil)
 }
 
-// offers reports whether r takes new work at all.
-func (r *replica) offers(now time.Time) bool {
-	return !r.leaving && !r.suspected(now)
+// acceptsWork reports whether r accepts new requests at all.
+func (r *replica) acceptsWork(now time.Time) bool {
+	return !r.leaving && !r.inBackoff(now)
 }
 
-// free reports whether a request of the rank may use a slot of r, given how
-// many of its slots may be used. Requests of rank i and after may together use
-// all slots but those reserved for the ranks before i. One slot is always left
-// to every class: a document whose reservations exceed a replica would
-// otherwise shut a class out for good.
-func (r *replica) free(t *terms, rank, slots int) bool {
+// hasFreeSlot reports whether a request of the given rank may use a slot of r if at
+// most slots of them may be in use. The requests of rank numbers i and above may
+// together use all slots except those reserved for rank numbers below i. Every class
+// may always use one slot: otherwise a document whose reservations exceed a replica's
+// slots would lock a class out for good.
+func (r *replica) hasFreeSlot(t *terms, rank, slots int) bool {
 	if r.used >= slots {
 		return false
 	}
 	after := r.used
 	for i := 0; i <= rank; i++ {
-		if after >= max(slots-t.classes[i].above, 1) {
+		if after >= max(slots-t.classes[i].reservedAbove, 1) {
 			return false
 		}
-		after -= r.rank[i]
+		after -= r.usedByRank[i]
 	}
 	return true
 }
 
-// suspect notes a failed call of a grant given at granted. Calls that were
-// under way when an earlier failure was seen don't count again: one crash ends
-// them all at once.
-func (r *replica) suspect(now, granted time.Time, cfg Config) bool {
+// recordFailure records the failed call of a grant given at granted. It returns false,
+// and does not count the call, if the call was in flight when an earlier failure was
+// recorded: one crash ends all calls at once.
+func (r *replica) recordFailure(now, granted time.Time, cfg Config) bool {
 	if r.failures > 0 && granted.Before(r.suspectedAt) {
 		return false
 	}
@@ -93,43 +94,43 @@
 	backoff = min(backoff, cfg.MaxBackoff)
 	r.failures++
 	r.suspectedAt = now
-	r.until = now.Add(backoff)
+	r.backoffUntil = now.Add(backoff)
 	r.probing = false
 	return true
 }
 
-// probeOK reports whether the running probe has cleared r.
-func (r *replica) probeOK(now time.Time) bool {
-	return r.probing && now.Sub(r.probeAt) >= probeFor
+// probePassed reports whether the running probe has cleared r.
+func (r *replica) probePassed(now time.Time) bool {
+	return r.probing && now.Sub(r.probeAt) >= probeDuration
 }
 
-// clear ends suspicion.
-func (r *replica) clear() {
+// clearFailures returns r to good standing.
+func (r *replica) clearFailures() {
 	r.failures = 0
 	r.probing = false
 }
 
-// observe takes a sample of the replica's tokens a second.
+// observe adds a sample of the replica's tokens per second.
 func (r *replica) observe(now time.Time, rate float64) {
-	if r.rate == 0 {
-		r.rate = rate
+	if r.tokenRate == 0 {
+		r.tokenRate = rate
 	} else {
-		r.rate += rateSmoothing * (rate - r.rate)
+		r.tokenRate += rateSmoothing * (rate - r.tokenRate)
 	}
-	r.rateAt = now
+	r.tokenRateAt = now
 }
 
-// effective is the speed to choose r by: its document's, unless it was lately
-// seen to be far slower than that, base being the pool's tokens a second at
-// speed 1. When the memory of that has run out, one request tries a replica
-// that is idle: the answer of a slow one takes long to show that it is slow,
-// and by then all its slots would be filled.
-func (r *replica) effective(now time.Time, base float64, memory time.Duration) float64 {
-	if r.rate == 0 || base == 0 {
+// effectiveSpeed returns the speed by which r is chosen: that of its document, unless r
+// was recently observed to be far slower. base is the pool's tokens per second at speed
+// 1. Once the sample has expired, one request is tried on the replica when it is idle:
+// the answer of a slow replica takes long to show that it is slow, and by then all of
+// its slots would be filled.
+func (r *replica) effectiveSpeed(now time.Time, base float64, ttl time.Duration) float64 {
+	if r.tokenRate == 0 || base == 0 {
 		return r.speed
 	}
-	seen := r.rate / base
-	if seen >= slowShare*r.speed || now.Sub(r.rateAt) > memory && r.used == 0 {
+	seen := r.tokenRate / base
+	if seen >= slowFraction*r.speed || now.Sub(r.tokenRateAt) > ttl && r.used == 0 {
 		return r.speed
 	}
 	return seen
--- a/coordination/home/world_test.go
+++ b/coordination/home/world_test.go
@@ -12,12 +12,13 @@
 const poolID = home.PoolID("drafting@kerala-south/0")
 
 var (
-	start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	third = state.Member{ID: "entry-2", Incarnation: 1}
-	other = state.Member{ID: "entry-1", Incarnation: 1}
+	start  = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	entry2 = state.Member{ID: "entry-2", Incarnation: 1}
+	entry1 = state.Member{ID: "entry-1", Incarnation: 1}
 )
 
-// document has a class check with one reserved slot and a class draft.
+// document returns a document with a class check, which has one reserved slot, and a
+// class draft.
 func document(queue, customers int) *service.Document {
 	d := &service.Document{
 		Service:  "drafting",
@@ -52,27 +53,27 @@
 	return out
 }
 
-// world drives one home and keeps its own books of what it granted.
-type world struct {
-	home    *home.Home
-	now     time.Time
-	granted map[home.SlotRequestID]home.SlotGrant
-	waiting map[home.SlotRequestID]home.SlotRequest
-	refused map[home.SlotRequestID]home.SlotRefusal
-	ended   map[home.SlotRequestID]int
-	queries []state.DaemonID
-	again   []home.SlotRequestID
-	learned int
-	bad     map[state.ReplicaID]bool
-	serial  int
+// simulation drives one home and keeps its own record of what the home granted.
+type simulation struct {
+	home          *home.Home
+	now           time.Time
+	granted       map[home.SlotRequestID]home.SlotGrant
+	waiting       map[home.SlotRequestID]home.SlotRequest
+	refused       map[home.SlotRequestID]home.SlotRefusal
+	ended         map[home.SlotRequestID]int
+	reportQueries []state.DaemonID
+	redirected    []home.SlotRequestID
+	recoveries    int
+	suspected     map[state.ReplicaID]bool
+	serial        int
 }
 
-func newWorld(cfg home.Config, doc *service.Document, specs []state.Replica, live ...state.Member) *world {
-	w := &world{
+func newSimulation(cfg home.Config, doc *service.Document, specs []state.Replica, live ...state.Member) *simulation {
+	w := &simulation{
 		home: home.New(cfg), now: start,
 		granted: map[home.SlotRequestID]home.SlotGrant{}, waiting: map[home.SlotRequestID]home.SlotRequest{},
 		refused: map[home.SlotRequestID]home.SlotRefusal{}, ended: map[home.SlotRequestID]int{},
-		bad: map[state.ReplicaID]bool{},
+		suspected: map[state.ReplicaID]bool{},
 	}
 	w.step(home.ViewChanged{Live: live})
 	w.step(home.DocumentChanged{Document: doc})
@@ -80,26 +81,26 @@
 	return w
 }
 
-func (w *world) assign(specs []state.Replica) {
+func (w *simulation) assign(specs []state.Replica) {
 	w.step(home.PoolsAssigned{Pools: []home.PoolSpec{{ID: poolID, Service: "drafting", Replicas: specs}}})
 }
 
-func (w *world) step(ev home.Event) {
+func (w *simulation) step(ev home.Event) {
 	for _, a := range w.home.Step(w.now, ev) {
 		switch a := a.(type) {
 		case home.Send:
-			w.sent(a)
+			w.receive(a)
 		case home.Suspected:
-			w.bad[a.Replica] = true
+			w.suspected[a.Replica] = true
 		case home.Recovered:
-			delete(w.bad, a.Replica)
+			delete(w.suspected, a.Replica)
 		case home.GrantsRecovered:
-			w.learned++
+			w.recoveries++
 		}
 	}
 }
 
-func (w *world) sent(a home.Send) {
+func (w *simulation) receive(a home.Send) {
 	switch m := a.Msg.(type) {
 	case home.SlotGrant:
 		if _, known := w.granted[m.ID]; !known {
@@ -112,33 +113,33 @@
 		w.refused[m.ID] = m
 		delete(w.waiting, m.ID)
 	case home.ReportQuery:
-		w.queries = append(w.queries, a.To)
+		w.reportQueries = append(w.reportQueries, a.To)
 	case home.NotHome:
-		w.again = append(w.again, m.IDs...)
+		w.redirected = append(w.redirected, m.IDs...)
 	}
 }
 
-// ask sends a request of the class and returns its name.
-func (w *world) ask(from state.Member, class state.ClassID, c int, change ...func(*home.SlotRequest)) home.SlotRequestID {
+// request sends a slot request of the class and returns its ID.
+func (w *simulation) request(from state.Member, class state.ClassID, c int, change ...func(*home.SlotRequest)) home.SlotRequestID {
 	w.serial++
-	ask := home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-1-%08d", w.serial)), Attempt: 1}
-	m := home.SlotRequest{ID: ask, Pool: poolID, Class: class, Customer: customer(c), Budget: time.Hour}
+	id := home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-1-%08d", w.serial)), Attempt: 1}
+	m := home.SlotRequest{ID: id, Pool: poolID, Class: class, Customer: customer(c), Budget: time.Hour}
 	for _, f := range change {
 		f(&m)
 	}
-	w.waiting[ask] = m
+	w.waiting[id] = m
 	w.step(home.Received{From: from, Msg: m})
-	return ask
+	return id
 }
 
-func (w *world) release(from state.Member, ask home.SlotRequestID, use home.SlotOutcome) {
-	g := w.granted[ask]
-	delete(w.granted, ask)
-	w.step(home.Received{From: from, Msg: home.SlotRelease{ID: ask, Pool: poolID, Replica: g.Replica, Outcome: use}})
+func (w *simulation) release(from state.Member, id home.SlotRequestID, outcome home.SlotOutcome) {
+	g := w.granted[id]
+	delete(w.granted, id)
+	w.step(home.Received{From: from, Msg: home.SlotRelease{ID: id, Pool: poolID, Replica: g.Replica, Outcome: outcome}})
 }
 
-// advance moves the clock, ticking whenever the home asks for it.
-func (w *world) advance(d time.Duration) {
+// advance moves the clock, with a Tick whenever the home requests one.
+func (w *simulation) advance(d time.Duration) {
 	end := w.now.Add(d)
 	for {
 		next := w.home.NextTick(w.now)
@@ -154,7 +155,7 @@
 	w.step(home.Tick{})
 }
 
-func (w *world) usedBy(id state.ReplicaID) int {
+func (w *simulation) usedBy(id state.ReplicaID) int {
 	n := 0
 	for _, g := range w.granted {
 		if g.Replica == id {
