--- a/coordination/route/bench_test.go
+++ b/coordination/route/bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// planRouter is a router of one of 70 daemons in a region with 2,000 replicas
+// largeRouter returns the router of one of 70 daemons in a region with 2,000 replicas
 // of one service.
-func planRouter() (*route.Router, []route.Peer, time.Time) {
+func largeRouter() (*route.Router, []route.Peer, time.Time) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var peers []route.Peer
 	for i := range 70 {
@@ -25,9 +25,9 @@
 	return r, peers, now
 }
 
-// BenchmarkRequest is a Want, its grant and its Done.
+// BenchmarkRequest measures an AcquireSlot, its grant and its ReleaseSlot.
 func BenchmarkRequest(b *testing.B) {
-	r, _, now := planRouter()
+	r, _, now := largeRouter()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		k := home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-0-%08x", i)), Attempt: 1}
@@ -42,9 +42,10 @@
 	}
 }
 
-// BenchmarkView is a change of the members: every pool's home anew.
+// BenchmarkView measures a change of the members: the homes of all pools are
+// recomputed.
 func BenchmarkView(b *testing.B) {
-	r, peers, now := planRouter()
+	r, peers, now := largeRouter()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		r.Step(now, route.ViewChanged{Live: peers[:69+i%2]})
--- a/coordination/route/books.go
+++ b/coordination/route/books.go
@@ -11,53 +11,53 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// ask is one Want from its beginning to its Done.
-type ask struct {
-	want    AcquireSlot
-	pool    home.PoolID
-	home    state.DaemonID // that was asked, or gave the grant
-	tried   []home.PoolID
-	misses  int // answers NotHome in a row
-	replica state.ReplicaID
-	held    bool
+// slotRequest is one AcquireSlot until its ReleaseSlot.
+type slotRequest struct {
+	acquire      AcquireSlot
+	pool         home.PoolID
+	home         state.DaemonID // that was sent the request or granted it
+	triedPools   []home.PoolID
+	notHomeCount int // consecutive NotHome answers
+	replica      state.ReplicaID
+	held         bool
 }
 
-// books are this daemon's asks in one pool.
-type books struct {
+// poolUsage counts this daemon's requests in one pool.
+type poolUsage struct {
 	held, waiting uint64 // as in home.PoolDigest
-	asks          int
+	requestCount  int
 }
 
-func (b *books) wait(k home.SlotRequestID) {
+func (b *poolUsage) addWaiting(k home.SlotRequestID) {
 	b.waiting ^= k.Digest()
-	b.asks++
+	b.requestCount++
 }
 
-func (b *books) unwait(k home.SlotRequestID) {
+func (b *poolUsage) removeWaiting(k home.SlotRequestID) {
 	b.waiting ^= k.Digest()
-	b.asks--
+	b.requestCount--
 }
 
-func (b *books) hold(k home.SlotRequestID) {
+func (b *poolUsage) addHeld(k home.SlotRequestID) {
 	b.held ^= k.Digest()
-	b.asks++
+	b.requestCount++
 }
 
-func (b *books) unhold(k home.SlotRequestID) {
+func (b *poolUsage) removeHeld(k home.SlotRequestID) {
 	b.held ^= k.Digest()
-	b.asks--
+	b.requestCount--
 }
 
-// renew sends every home one digest for each of its pools that this daemon
-// uses: some 40 bytes a pool and second, whatever the number of requests.
+// renew sends every home one digest for each of its pools that this daemon uses: some
+// 40 bytes per pool and second, independent of the number of requests.
 func (r *Router) renew() {
 	byHome := make(map[state.DaemonID][]home.PoolDigest)
 	for _, id := range slices.Sorted(maps.Keys(r.layout.pools)) {
 		p := r.layout.pools[id]
-		if p.mine.asks == 0 {
-			continue // a home that believes otherwise asks for a report
+		if p.usage.requestCount == 0 {
+			continue // a home whose record differs asks for a report
 		}
-		d := home.PoolDigest{Pool: id, Held: p.mine.held, Waiting: p.mine.waiting}
+		d := home.PoolDigest{Pool: id, Held: p.usage.held, Waiting: p.usage.waiting}
 		byHome[p.home] = append(byHome[p.home], d)
 	}
 	for _, to := range slices.Sorted(maps.Keys(byHome)) {
@@ -65,35 +65,36 @@
 	}
 }
 
-// report answers a home's query with everything held and waited for.
+// report answers a home's query with all slots that are held and all requests that
+// wait.
 func (r *Router) report(to state.DaemonID, pool home.PoolID) {
 	m := home.GrantReport{Pool: pool}
-	for _, a := range r.inOrder() {
+	for _, a := range r.requestsInOrder() {
 		if a.pool != pool {
 			continue
 		}
 		if a.held {
-			m.Held = append(m.Held, home.HeldGrant{ID: a.want.ID, Replica: a.replica, Class: a.want.Class})
+			m.Held = append(m.Held, home.HeldGrant{ID: a.acquire.ID, Replica: a.replica, Class: a.acquire.Class})
 		} else if a.home == to {
-			m.Waiting = append(m.Waiting, a.want.ID)
+			m.Waiting = append(m.Waiting, a.acquire.ID)
 		}
 	}
 	r.send(to, m)
 }
 
-// inOrder lists the asks by name, so that actions do not depend on a map's
-// order.
-func (r *Router) inOrder() []*ask {
-	return slices.SortedFunc(maps.Values(r.asks), func(a, b *ask) int {
-		return cmp.Or(cmp.Compare(a.want.ID.Request, b.want.ID.Request), cmp.Compare(a.want.ID.Attempt, b.want.ID.Attempt))
+// requestsInOrder returns the requests by ID, so that actions do not depend on map
+// iteration.
+func (r *Router) requestsInOrder() []*slotRequest {
+	return slices.SortedFunc(maps.Values(r.requests), func(a, b *slotRequest) int {
+		return cmp.Or(cmp.Compare(a.acquire.ID.Request, b.acquire.ID.Request), cmp.Compare(a.acquire.ID.Attempt, b.acquire.ID.Attempt))
 	})
 }
 
-// timer wakes the router for one ask. Timers of asks that ended are skipped.
+// timer is a timer of one request. Timers of requests that have ended are ignored.
 type timer struct {
-	at    time.Time
-	ask   home.SlotRequestID
-	retry bool // else the deadline
+	at        time.Time
+	requestID home.SlotRequestID
+	retry     bool // otherwise the deadline
 }
 
 type timers []timer
@@ -116,6 +117,6 @@
 	return x
 }
 
-func (r *Router) wake(at time.Time, k home.SlotRequestID, retry bool) {
-	heap.Push(&r.timers, timer{at: at, ask: k, retry: retry})
+func (r *Router) startTimer(at time.Time, k home.SlotRequestID, retry bool) {
+	heap.Push(&r.timers, timer{at: at, requestID: k, retry: retry})
 }
--- a/coordination/route/compare/baseline.go
+++ b/coordination/route/compare/baseline.go
@@ -7,54 +7,54 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// The engines' load reports as daemons see them.
+// Timing of the engines' load reports as daemons see them.
 const (
-	reportEvery  = time.Second
-	reportMinLag = 500 * time.Millisecond // at its youngest; at its oldest 1 s more
+	reportInterval = time.Second
+	reportMinLag   = 500 * time.Millisecond // age of a new report; the oldest is 1 s older
 )
 
-// queueBound is each engine's bound of waiting jobs a class, so that all
-// engines together queue about as many as one home does.
-const queueBound = 7
+// maxQueued is the limit of waiting jobs per engine and class. It is chosen so that all
+// engines together queue about as many jobs as one home does.
+const maxQueued = 7
 
-// direct is a policy in which each daemon sends to an engine of its own choice,
-// which queues by priority.
-type direct struct {
-	loop    *Loop
-	engines []*Engine
-	reports []int   // load of each engine, lagging
-	sent    [][]int // by daemon and engine, since the last report
-	rng     *rand.Rand
-	choose  func(d int) int
+// directPolicy is a policy in which each daemon chooses an engine by itself, and the
+// engine queues by priority.
+type directPolicy struct {
+	loop          *Loop
+	engines       []*Engine
+	reportedLoads []int   // last reported load of each engine
+	sentSince     [][]int // by daemon and engine, since the last report
+	rng           *rand.Rand
+	choose        func(d int) int
 }
 
-func newDirect(loop *Loop, engines []*Engine, daemons int, rng *rand.Rand) *direct {
-	p := &direct{loop: loop, engines: engines, reports: make([]int, len(engines)), rng: rng}
-	p.sent = make([][]int, daemons)
-	for d := range p.sent {
-		p.sent[d] = make([]int, len(engines))
+func newDirectPolicy(loop *Loop, engines []*Engine, daemons int, rng *rand.Rand) *directPolicy {
+	p := &directPolicy{loop: loop, engines: engines, reportedLoads: make([]int, len(engines)), rng: rng}
+	p.sentSince = make([][]int, daemons)
+	for d := range p.sentSince {
+		p.sentSince[d] = make([]int, len(engines))
 	}
-	p.report()
+	p.sampleLoads()
 	return p
 }
 
-// report samples all loads and shows them when the lag has passed.
-func (p *direct) report() {
+// sampleLoads samples all loads and publishes them after the report lag.
+func (p *directPolicy) sampleLoads() {
 	loads := make([]int, len(p.engines))
 	for i, e := range p.engines {
 		loads[i] = e.Load()
 	}
 	p.loop.After(reportMinLag, func() {
-		p.reports = loads
-		for d := range p.sent {
-			clear(p.sent[d])
+		p.reportedLoads = loads
+		for d := range p.sentSince {
+			clear(p.sentSince[d])
 		}
 	})
-	p.loop.After(reportEvery, p.report)
+	p.loop.After(reportInterval, p.sampleLoads)
 }
 
-// random draws an engine by its capacity.
-func (p *direct) random(int) int {
+// random chooses an engine at random, weighted by capacity.
+func (p *directPolicy) random(int) int {
 	total := 0.0
 	for _, e := range p.engines {
 		total += e.Spec.Speed * float64(e.Spec.Slots)
@@ -69,10 +69,10 @@
 	return len(p.engines) - 1
 }
 
-// twoChoices draws two engines and takes the one whose reported load is the
-// smaller share of its capacity. Counting adds what this daemon sent itself
-// since the report.
-func (p *direct) twoChoices(counting bool) func(d int) int {
+// twoChoices chooses two random engines and takes the one whose reported load is the
+// smaller share of its capacity. With counting, the requests that this daemon has sent
+// since the report are added.
+func (p *directPolicy) twoChoices(counting bool) func(d int) int {
 	return func(d int) int {
 		a, b := p.random(d), p.random(d)
 		if p.load(d, b, counting) < p.load(d, a, counting) {
@@ -82,19 +82,19 @@
 	}
 }
 
-func (p *direct) load(d, i int, counting bool) float64 {
-	n := p.reports[i] + 1
+func (p *directPolicy) load(d, i int, counting bool) float64 {
+	n := p.reportedLoads[i] + 1
 	if counting {
-		n += p.sent[d][i]
+		n += p.sentSince[d][i]
 	}
 	e := p.engines[i]
 	return float64(n) / (e.Spec.Speed * float64(e.Spec.Slots))
 }
 
-func (p *direct) submit(d int, j *Job) {
+func (p *directPolicy) submit(d int, j *Job) {
 	i := p.choose(d)
-	p.sent[d][i]++
-	if !p.engines[i].Submit(j, queueBound) {
+	p.sentSince[d][i]++
+	if !p.engines[i].Submit(j, maxQueued) {
 		j.Refused = state.ReasonQueueFull
 		j.Ended(j)
 	}
--- a/coordination/route/compare/compare_test.go
+++ b/coordination/route/compare/compare_test.go
@@ -36,7 +36,7 @@
 	for _, load := range []float64{0.7, 0.9} {
 		s := compare.LargeSetup(load)
 		s.Prefixes, s.DraftPrefill = 400, 2*time.Second
-		fmt.Printf("\nload %.2f, 400 prefixes: not told; told with events at once; 5 s late; 5 s late and 30%% lost; all lost\n", load)
+		fmt.Printf("\nload %.2f, 400 prefixes: no affinity; affinity with events at once; 5 s late; 5 s late and 30%% lost; all lost\n", load)
 		table(s, compare.HomePerPoolOf64)
 		s.Affinity = true
 		table(s, compare.HomePerPoolOf64)
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestManyPools prints how pools of 64 compare to one pool where a service has
-// many, as at the size of the plan.
+// TestManyPools prints how pools of 64 compare to a single pool for a service with many
+// replicas.
 func TestManyPools(t *testing.T) {
 	if !*full {
 		t.Skip("only with -compare")
--- a/coordination/route/compare/doc.go
+++ b/coordination/route/compare/doc.go
@@ -1,4 +1,4 @@
-// Package compare measures ways to spread requests over replicas: it runs the
-// machines of packages route and home, and simpler policies beside them, over
-// stand-ins of engines in virtual time. It serves tests and measurements only.
+// Package compare measures policies for distributing requests over replicas. It runs
+// the state machines of packages route and home, and simpler policies next to them,
+// over simulated engines in virtual time. It is used for tests and measurements only.
 package compare
--- a/coordination/route/compare/engine.go
+++ b/coordination/route/compare/engine.go
@@ -9,10 +9,10 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Step times at speed 1, and what a cached prefix saves of the prefill.
+// Step time at speed 1, and the share of a prefill that remains with a cached prefix.
 const (
-	tokenTime   = 25 * time.Millisecond
-	cachedShare = 0.2 // of the prefill that is left with a cached prefix
+	tokenTime          = 25 * time.Millisecond
+	cachedPrefillShare = 0.2 // of the prefill, with a cached prefix
 )
 
 // Class is the rank of a request's class.
@@ -25,7 +25,7 @@
 	classes
 )
 
-// Names of the classes in documents.
+// classNames are the names of the classes in documents.
 var classNames = [classes]state.ClassID{"check", "draft"}
 
 // Job is one request.
@@ -37,77 +37,77 @@
 	Tokens   int
 	Prefix   uint64 // 0 for none
 	Arrived  time.Time
-	Deadline time.Time // for the first token to be worth anything
+	Deadline time.Time // for the first token
 
-	Started time.Time // left the queue for a replica's slot
-	First   time.Time // first token
+	Started time.Time // when the job left the queue for a replica's slot
+	First   time.Time // when the first token came
 	Done    time.Time
 	Refused state.Reason
 	Replica state.ReplicaID
 	Ended   func(*Job) // called once, when the job is done or refused
 }
 
-// work is the job's time in a slot of speed 1 without any cached prefix.
+// work returns the job's time in a slot of speed 1 without a cached prefix.
 func (j *Job) work() time.Duration {
 	return j.Prefill + time.Duration(j.Tokens)*tokenTime
 }
 
-// Engine stands in for a replica: a batch of slots whose step time does not
-// depend on their number, and, for policies without homes, a queue by priority
-// in which one slot is kept from drafts.
+// Engine simulates a replica: a batch of slots whose step time does not depend on their
+// number and, for policies without homes, a priority queue that reserves one slot for
+// checks.
 type Engine struct {
 	Spec state.Replica
 
-	// Slowdown divides the speed, as a degraded link does.
+	// Slowdown divides the speed, like a degraded link.
 	Slowdown float64
 
-	// Dead engines end every job without a token; Failed counts them.
+	// Dead engines end every job without a token. Failed counts these jobs.
 	Dead   bool
 	Failed int
 
-	// Peak is the most jobs that ran at one time; Began counts all.
+	// Peak is the highest number of jobs that ran at one time. Started counts all jobs.
 	Peak    int
 	Started int
 
-	loop    *Loop
-	running int
-	drafts  int
-	queue   [classes][]*Job
-	cache   *lru.Cache[uint64, struct{}]
-	events  []home.CacheChange
-	hits    int
-	misses  int
-	busy    time.Duration // slot time that was used, at speed 1
+	loop     *Loop
+	running  int
+	drafts   int
+	queue    [classes][]*Job
+	cache    *lru.Cache[uint64, struct{}]
+	events   []home.CacheChange
+	hits     int
+	misses   int
+	usedTime time.Duration // slot time used, at speed 1
 }
 
-// cachedPrefixes is how many prefixes an engine keeps.
-const cachedPrefixes = 48
+// maxCachedPrefixes is the number of prefixes that an engine keeps.
+const maxCachedPrefixes = 48
 
 // NewEngine returns an idle engine.
 func NewEngine(loop *Loop, spec state.Replica) *Engine {
 	e := &Engine{Spec: spec, Slowdown: 1, loop: loop}
-	e.cache, _ = lru.NewWithEvict(cachedPrefixes, func(p uint64, _ struct{}) {
+	e.cache, _ = lru.NewWithEvict(maxCachedPrefixes, func(p uint64, _ struct{}) {
 		e.events = append(e.events, home.CacheChange{Prefix: p, Evicted: true})
 	})
 	return e
 }
 
-// Load is the number of jobs that run and wait.
+// Load returns the number of jobs that run or wait.
 func (e *Engine) Load() int {
 	return e.running + len(e.queue[Check]) + len(e.queue[Draft])
 }
 
-// Submit queues j, or reports that the class's queue is at bound.
+// Submit queues j, or returns false if the class's queue has bound jobs.
 func (e *Engine) Submit(j *Job, bound int) bool {
 	if len(e.queue[j.Class]) >= bound && !e.admits(j.Class) {
 		return false
 	}
 	e.queue[j.Class] = append(e.queue[j.Class], j)
-	e.next()
+	e.startNext()
 	return true
 }
 
-// Start runs j at once; the caller holds a slot for it.
+// Start runs j at once. The caller must hold a slot for it.
 func (e *Engine) Start(j *Job) {
 	e.running++
 	e.Started++
@@ -120,13 +120,13 @@
 		e.loop.After(time.Millisecond, func() { e.fail(j) })
 		return
 	}
-	e.busy += j.work()
-	e.loop.After(e.prefill(j), func() { e.first(j) })
+	e.usedTime += j.work()
+	e.loop.After(e.prefill(j), func() { e.firstToken(j) })
 }
 
 func (e *Engine) fail(j *Job) {
 	e.Failed++
-	e.end(j)
+	e.finish(j)
 }
 
 func (e *Engine) prefill(j *Job) time.Duration {
@@ -136,7 +136,7 @@
 	}
 	if _, hit := e.cache.Get(j.Prefix); hit {
 		e.hits++
-		return time.Duration(full * cachedShare)
+		return time.Duration(full * cachedPrefillShare)
 	}
 	e.misses++
 	e.cache.Add(j.Prefix, struct{}{})
@@ -144,22 +144,22 @@
 	return time.Duration(full)
 }
 
-func (e *Engine) first(j *Job) {
+func (e *Engine) firstToken(j *Job) {
 	j.First = e.loop.Now()
 	rest := float64(time.Duration(j.Tokens)*tokenTime) / e.Spec.Speed * e.Slowdown
 	e.loop.After(time.Duration(rest), func() {
 		j.Done = e.loop.Now()
-		e.end(j)
+		e.finish(j)
 	})
 }
 
-func (e *Engine) end(j *Job) {
+func (e *Engine) finish(j *Job) {
 	e.running--
 	if j.Class == Draft {
 		e.drafts--
 	}
 	j.Ended(j)
-	e.next()
+	e.startNext()
 }
 
 // admits reports whether a slot is free for the class.
@@ -167,8 +167,8 @@
 	return e.running < e.Spec.Slots && (c == Check || e.drafts < e.Spec.Slots-1)
 }
 
-// next starts what waits, checks first, without those that are too late.
-func (e *Engine) next() {
+// startNext starts waiting jobs, checks first, and refuses those past their deadline.
+func (e *Engine) startNext() {
 	for c := range e.queue {
 		for len(e.queue[c]) > 0 {
 			j := e.queue[c][0]
--- a/coordination/route/compare/failure_test.go
+++ b/coordination/route/compare/failure_test.go
@@ -15,10 +15,10 @@
 	RunSpecs(t, "compare")
 }
 
-var _ = Describe("homes against what daemons see late", func() {
-	// What a user sees: a clerk's check waits for seconds though replicas are
-	// idle. Order: all daemons read the same load reports, 0.5 to 1.5 s old,
-	// and send to the same replicas until the next ones. Cause: the lag.
+var _ = Describe("homes compared to policies with outdated information", func() {
+	// All daemons read the same load reports, which are 0.5 to 1.5 s old, and send to
+	// the same replicas until the next reports. Checks then wait for seconds while
+	// replicas are idle.
 	It("keeps checks fast where lagging load reports do not", Label("failure:lagging-load"), func() {
 		s := compare.LargeSetup(0.9)
 		s.Duration = 4 * time.Minute
@@ -31,19 +31,17 @@
 		Expect(homes.Missed[compare.Draft]).To(BeNumerically("<", lagging.Missed[compare.Draft]))
 	})
 
-	// What a user sees: nothing, or a first token that is a prefill later.
-	// Order: engines drop prefixes; every event of it is lost, so homes go on
-	// steering requests by beliefs that are wrong. Cause: events come late
-	// and with gaps.
-	It("loses nothing by beliefs about caches that are all wrong", Label("failure:late-cache-events"), func() {
+	// Engines drop prefixes and every cache event is lost, so homes keep choosing
+	// replicas by wrong estimates. At worst a first token is late by one prefill.
+	It("loses no throughput by cache estimates that are all wrong", Label("failure:late-cache-events"), func() {
 		s := compare.LargeSetup(0.9)
 		s.Duration, s.Prefixes = 4*time.Minute, 5000 // far more than the engines keep
-		untold := compare.Run(s, compare.HomePerPoolOf64)
+		withoutAffinity := compare.Run(s, compare.HomePerPoolOf64)
 		s.Affinity, s.CacheLoss = true, 1
 		wrong := compare.Run(s, compare.HomePerPoolOf64)
-		Expect(wrong.Throughput).To(BeNumerically(">", 0.99*untold.Throughput))
+		Expect(wrong.Throughput).To(BeNumerically(">", 0.99*withoutAffinity.Throughput))
 		for _, c := range []compare.Class{compare.Check, compare.Draft} {
-			late := wrong.First[c].ValueAtQuantile(95) - untold.First[c].ValueAtQuantile(95)
+			late := wrong.First[c].ValueAtQuantile(95) - withoutAffinity.First[c].ValueAtQuantile(95)
 			Expect(late).To(BeNumerically("<", 200_000), "microseconds")
 		}
 	})
--- a/coordination/route/compare/fleet.go
+++ b/coordination/route/compare/fleet.go
@@ -13,22 +13,22 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// latency is one way between two daemons.
+// latency is the one-way latency between two daemons.
 const latency = 300 * time.Microsecond
 
-// Fleet is a number of daemons, each a Router and a Home, over shared engines.
+// Fleet is a set of daemons, each with a Router and a Home, over shared engines.
 type Fleet struct {
 	Daemons []*Daemon
 	Engines map[state.ReplicaID]*Engine
 
-	// Drop, if set, loses messages.
+	// Drop, if set, reports which messages are lost.
 	Drop func(from, to state.DaemonID, msg home.Message) bool
 
-	// Affinity makes requests tell their prefix.
+	// Affinity makes requests carry their prefix.
 	Affinity bool
 
-	// Messages and Bytes count what was sent between daemons, as msgpack;
-	// Bytes only with CountBytes.
+	// Messages and Bytes count the messages between daemons and their msgpack size.
+	// Bytes is counted only with CountBytes.
 	Messages   int
 	Bytes      int
 	CountBytes bool
@@ -36,7 +36,7 @@
 	loop *Loop
 }
 
-// Daemon is one process.
+// Daemon is one daemon process.
 type Daemon struct {
 	Member          state.Member
 	Router          *route.Router
@@ -45,16 +45,15 @@
 	Draining        bool
 	GrantsRecovered []home.GrantsRecovered
 
-	// Retry asks again for a job whose engine failed.
+	// Retry repeats a job whose engine failed.
 	Retry bool
 
-	fleet *Fleet
-	jobs  map[home.SlotRequestID]*Job // not ended yet
-	wake  time.Time
+	fleet    *Fleet
+	jobs     map[home.SlotRequestID]*Job // jobs that have not ended
+	nextWake time.Time
 }
 
-// NewFleet returns n daemons that all know each other, the document and the
-// replicas.
+// NewFleet returns n daemons that all know each other, the document and the replicas.
 func NewFleet(loop *Loop, n int, hc home.Config, rc route.Config, doc *service.Document, specs []state.Replica, seed uint64) *Fleet {
 	f := &Fleet{loop: loop, Engines: make(map[state.ReplicaID]*Engine)}
 	for _, s := range specs {
@@ -72,20 +71,20 @@
 	}
 	for _, d := range f.Daemons {
 		d.view(f.Peers())
-		d.home(home.DocumentChanged{Document: doc})
+		d.stepHome(home.DocumentChanged{Document: doc})
 	}
 	f.SetReplicas(doc, specs)
 	return f
 }
 
-// SetReplicas tells every daemon the service's replicas.
+// SetReplicas notifies every daemon of the service's replicas.
 func (f *Fleet) SetReplicas(doc *service.Document, specs []state.Replica) {
 	for _, d := range f.Daemons {
-		d.route(route.ReplicasChanged{Service: doc.Service, Capacity: doc.Capacity.Replicas, Replicas: specs})
+		d.stepRouter(route.ReplicasChanged{Service: doc.Service, Capacity: doc.Capacity.Replicas, Replicas: specs})
 	}
 }
 
-// Peers lists the daemons that are alive.
+// Peers returns the live daemons.
 func (f *Fleet) Peers() []route.Peer {
 	var live []route.Peer
 	for _, d := range f.Daemons {
@@ -96,21 +95,21 @@
 	return live
 }
 
-// Kill ends a daemon; its engines' work for it goes on for a moment, as the
-// rest of the fleet learns of the death after detect.
+// Kill stops a daemon. Its jobs on engines go on until they end, and the other daemons
+// learn of its death after detect.
 func (f *Fleet) Kill(d *Daemon, detect time.Duration) {
 	d.Dead = true
 	f.loop.After(detect, f.SyncViews)
 }
 
-// Spread gives all daemons the true view.
+// SyncViews gives all daemons the accurate membership view.
 func (f *Fleet) SyncViews() {
 	for _, o := range f.Daemons {
 		o.SetView(f.Peers())
 	}
 }
 
-// View gives the daemon its view of the members.
+// SetView sets the daemon's membership view.
 func (d *Daemon) SetView(live []route.Peer) {
 	if !d.Dead {
 		d.view(live)
@@ -122,28 +121,28 @@
 	for i, p := range live {
 		members[i] = p.Member
 	}
-	d.home(home.ViewChanged{Live: members})
-	d.route(route.ViewChanged{Live: live})
+	d.stepHome(home.ViewChanged{Live: members})
+	d.stepRouter(route.ViewChanged{Live: live})
 }
 
-// Leaving tells the daemon that a replica is leaving.
+// NotifyLeaving notifies the daemon that a replica is leaving.
 func (d *Daemon) NotifyLeaving(id state.ReplicaID) {
-	d.home(home.ReplicaLeaving{Replica: id})
-	d.route(route.ReplicaLeaving{Replica: id})
+	d.stepHome(home.ReplicaLeaving{Replica: id})
+	d.stepRouter(route.ReplicaLeaving{Replica: id})
 }
 
-// CacheEvents passes an engine's events to the daemon's home.
+// CacheEvents passes an engine's cache events to the daemon's home.
 func (d *Daemon) CacheEvents(e home.CacheReported) {
-	d.home(e)
+	d.stepHome(e)
 }
 
-// Submit starts a job at this daemon.
+// Submit submits a job at this daemon.
 func (d *Daemon) Submit(j *Job) {
 	d.jobs[j.ID] = j
-	d.want(j, nil)
+	d.acquire(j, nil)
 }
 
-func (d *Daemon) want(j *Job, exclude []state.ReplicaID) {
+func (d *Daemon) acquire(j *Job, exclude []state.ReplicaID) {
 	w := route.AcquireSlot{
 		ID: j.ID, Service: "drafting", Class: classNames[j.Class], Customer: j.Customer,
 		Deadline: j.Deadline, FirstTokenLatency: j.Prefill, Cost: uint32(j.Tokens), Exclude: exclude,
@@ -151,10 +150,10 @@
 	if j.Prefix != 0 && d.fleet.Affinity {
 		w.Prefixes = []uint64{j.Prefix}
 	}
-	d.route(w)
+	d.stepRouter(w)
 }
 
-func (d *Daemon) home(ev home.Event) {
+func (d *Daemon) stepHome(ev home.Event) {
 	if d.Dead {
 		return
 	}
@@ -170,7 +169,7 @@
 	d.schedule()
 }
 
-func (d *Daemon) route(ev route.Event) {
+func (d *Daemon) stepRouter(ev route.Event) {
 	if d.Dead {
 		return
 	}
@@ -180,11 +179,11 @@
 		case route.Send:
 			d.fleet.send(d, a.To, a.Msg)
 		case route.PoolsAssigned:
-			d.home(home.PoolsAssigned{Pools: a.Pools})
+			d.stepHome(home.PoolsAssigned{Pools: a.Pools})
 		case route.Granted:
 			d.start(a)
 		case route.Refused:
-			d.refused(a)
+			d.jobRefused(a)
 		}
 	}
 	d.schedule()
@@ -196,23 +195,23 @@
 	report := j.Ended
 	j.Ended = func(j *Job) {
 		j.Ended = report
-		d.ended(j, engine)
+		d.jobEnded(j, engine)
 	}
 	engine.Start(j)
 }
 
-// ended releases the slot and ends the job, or tries it elsewhere.
-func (d *Daemon) ended(j *Job, e *Engine) {
+// jobEnded releases the slot and ends the job, or retries it on another replica.
+func (d *Daemon) jobEnded(j *Job, e *Engine) {
 	if d.Dead {
 		return
 	}
 	if !j.Done.IsZero() {
-		d.route(route.ReleaseSlot{ID: j.ID, Outcome: home.OutcomeServed, Tokens: uint32(j.Tokens), DecodeTime: j.Done.Sub(j.First)})
+		d.stepRouter(route.ReleaseSlot{ID: j.ID, Outcome: home.OutcomeServed, Tokens: uint32(j.Tokens), DecodeTime: j.Done.Sub(j.First)})
 		delete(d.jobs, j.ID)
 		j.Ended(j)
 		return
 	}
-	d.route(route.ReleaseSlot{ID: j.ID, Outcome: home.OutcomeFailed})
+	d.stepRouter(route.ReleaseSlot{ID: j.ID, Outcome: home.OutcomeFailed})
 	delete(d.jobs, j.ID)
 	if !d.Retry {
 		j.Refused = state.ReasonBackendFailed
@@ -221,38 +220,38 @@
 	}
 	j.ID.Attempt++
 	d.jobs[j.ID] = j
-	d.want(j, []state.ReplicaID{e.Spec.ID})
+	d.acquire(j, []state.ReplicaID{e.Spec.ID})
 }
 
-func (d *Daemon) refused(a route.Refused) {
+func (d *Daemon) jobRefused(a route.Refused) {
 	j := d.jobs[a.ID]
 	delete(d.jobs, a.ID)
 	j.Refused = a.Reason
 	j.Ended(j)
 }
 
-// schedule ticks both machines when they next want it.
+// schedule sends a Tick to both state machines when the earlier of them needs one.
 func (d *Daemon) schedule() {
 	now := d.fleet.loop.Now()
 	next := d.Router.NextTick()
 	if h := d.Home.NextTick(now); !h.IsZero() && (next.IsZero() || h.Before(next)) {
 		next = h
 	}
-	if next.IsZero() || !d.wake.IsZero() && d.wake.After(now) && !next.Before(d.wake) {
+	if next.IsZero() || !d.nextWake.IsZero() && d.nextWake.After(now) && !next.Before(d.nextWake) {
 		return
 	}
-	d.wake = next
+	d.nextWake = next
 	d.fleet.loop.After(max(next.Sub(now), time.Microsecond), func() {
-		if d.Dead || d.wake != next {
+		if d.Dead || d.nextWake != next {
 			return
 		}
-		d.wake = time.Time{}
-		d.home(home.Tick{})
-		d.route(route.Tick{})
+		d.nextWake = time.Time{}
+		d.stepHome(home.Tick{})
+		d.stepRouter(route.Tick{})
 	})
 }
 
-// send delivers msg after the latency, unless it is lost.
+// send delivers msg after the latency, unless it is dropped.
 func (f *Fleet) send(from *Daemon, to state.DaemonID, msg home.Message) {
 	delay := latency
 	if from.Member.ID == to {
@@ -287,8 +286,8 @@
 func (d *Daemon) receive(from state.Member, msg home.Message) {
 	switch msg.(type) {
 	case home.SlotGrant, home.SlotRefusal, home.NotHome, home.ReportQuery:
-		d.route(route.Received{From: from, Msg: msg})
+		d.stepRouter(route.Received{From: from, Msg: msg})
 	default:
-		d.home(home.Received{From: from, Msg: msg})
+		d.stepHome(home.Received{From: from, Msg: msg})
 	}
 }
--- a/coordination/route/compare/loop.go
+++ b/coordination/route/compare/loop.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Loop runs functions in the order of virtual time.
+// Loop is an event loop that runs functions in the order of virtual time.
 type Loop struct {
 	now    time.Time
 	events eventHeap
 	seq    uint64
 }
 
-// NewLoop returns a loop whose clock stands at start.
+// NewLoop returns a loop whose clock is set to start.
 func NewLoop(start time.Time) *Loop {
 	return &Loop{now: start}
 }
@@ -22,13 +22,13 @@
 	return l.now
 }
 
-// After runs f when d has passed; functions of one moment run as scheduled.
+// After runs f after d. Functions due at the same time run in the order of scheduling.
 func (l *Loop) After(d time.Duration, f func()) {
 	l.seq++
 	heap.Push(&l.events, event{at: l.now.Add(max(d, 0)), seq: l.seq, f: f})
 }
 
-// Run runs all functions that are due within d, and moves the clock by d.
+// Run runs all functions that are due within d and advances the clock by d.
 func (l *Loop) Run(d time.Duration) {
 	end := l.now.Add(d)
 	for len(l.events) > 0 && !l.events[0].at.After(end) {
--- a/coordination/route/compare/run.go
+++ b/coordination/route/compare/run.go
@@ -12,7 +12,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Policy names a way to spread requests.
+// Policy is a way to distribute requests over replicas.
 type Policy string
 
 // The policies.
@@ -27,27 +27,27 @@
 	OnePool           Policy = "one home for all"
 )
 
-// Policies lists those that are compared at today's size, where one home serves
+// Policies returns the policies that are compared for LargeSetup, where one home serves
 // a whole service.
 func Policies() []Policy {
 	return []Policy{Random, TwoChoices, TwoChoicesCounted, HomePerReplica, HomePerPoolOf8, HomePerPoolOf64, Unreserved}
 }
 
-// Setup is what a run is made of. The workload is Poisson; a share Checks of
-// the requests are checks of fixed size, the others drafts whose length is
-// exponential, cut at MaxTokens.
+// Setup describes a comparison run. Requests arrive as a Poisson process. A share
+// CheckShare of them are checks of fixed size; the others are drafts of exponentially
+// distributed length, truncated at maxTokens.
 type Setup struct {
 	Daemons    int
 	Speeds     []float64 // by replica
 	Slots      int
 	CheckShare float64
-	Load       float64 // of the bound
+	Load       float64 // share of Bound
 	Duration   time.Duration
 	Seed       uint64
-	Prefixes   int  // conversations that share a prefix; 0 for none
-	Affinity   bool // requests tell their prefix
+	Prefixes   int  // number of distinct prefixes; 0 for none
+	Affinity   bool // requests carry their prefix
 
-	// Cache events reach homes after CacheLag, a share CacheLoss never.
+	// Cache events reach homes after CacheLag. A share CacheLoss of them is lost.
 	CacheLag  time.Duration
 	CacheLoss float64
 
@@ -56,7 +56,7 @@
 	DraftPrefill  time.Duration // at speed 1
 }
 
-// Sizes at speed 1.
+// Sizes of requests, with times at speed 1.
 const (
 	checkPrefill = 100 * time.Millisecond
 	checkTokens  = 10
@@ -64,7 +64,7 @@
 	maxTokens    = 1200.0
 )
 
-// Today is the larger user's size: 40 drafting replicas of five kinds.
+// LargeSetup is the size of the larger customer: 40 drafting replicas of five kinds.
 func LargeSetup(load float64) Setup {
 	s := Setup{
 		Daemons: 9, Slots: 8, CheckShare: 0.7, Load: load, Duration: 10 * time.Minute, Seed: 1,
@@ -79,18 +79,18 @@
 	return s
 }
 
-// Counter is 3 replicas of one kind that serve short checks alone.
+// SmallSetup is 3 replicas of one kind that serve only short checks.
 func SmallSetup(load float64) Setup {
 	s := LargeSetup(load)
 	s.Speeds, s.CheckShare = []float64{1, 1, 1}, 1
 	return s
 }
 
-// Result is what a run showed.
+// Result is the outcome of a run.
 type Result struct {
 	Offered, Completed, Late, Refused int
 
-	// Throughput is the work completed as a share of the bound: the sum over
+	// Throughput is the completed work as a share of the upper bound: the sum over
 	// replicas of slots times speed.
 	Throughput float64
 
@@ -104,38 +104,38 @@
 
 	Hits float64 // share of drafts whose prefix was cached
 
-	Messages float64 // between daemons, for each request
-	Bytes    float64 // of them
+	Messages float64 // between daemons, per request
+	Bytes    float64 // of these messages, per request
 }
 
-// run is a Setup under way.
-type run struct {
+// comparison is the state of a run.
+type comparison struct {
 	Setup
-	loop    *Loop
-	rng     *rand.Rand // of the workload alone, which is the same for all policies
-	lossRNG *rand.Rand
-	specs   []state.Replica
-	submit  func(d int, j *Job)
-	fleet   *Fleet
-	res     *Result
-	serial  int
-	total   [classes]int
-	missed  [classes]int
-	done    time.Duration
-	good    time.Duration
-	begin   time.Time
-	warmed  time.Time
+	loop          *Loop
+	rng           *rand.Rand // for the workload only, which is the same for all policies
+	lossRNG       *rand.Rand
+	specs         []state.Replica
+	submit        func(d int, j *Job)
+	fleet         *Fleet
+	res           *Result
+	jobCount      int
+	total         [classes]int
+	missed        [classes]int
+	completedWork time.Duration
+	goodWork      time.Duration
+	start         time.Time
+	warmUpEnd     time.Time
 }
 
-// warmUp is left out of the figures.
+// warmUp is excluded from the results.
 const warmUp = time.Minute
 
-// Run carries out s under the policy.
+// Run runs s with the given policy.
 func Run(s Setup, policy Policy) Result {
-	r := &run{Setup: s, rng: rand.New(rand.NewPCG(s.Seed, 7)), lossRNG: rand.New(rand.NewPCG(s.Seed, 9)), res: &Result{}}
-	r.begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	r.warmed = r.begin.Add(warmUp)
-	r.loop = NewLoop(r.begin)
+	r := &comparison{Setup: s, rng: rand.New(rand.NewPCG(s.Seed, 7)), lossRNG: rand.New(rand.NewPCG(s.Seed, 9)), res: &Result{}}
+	r.start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	r.warmUpEnd = r.start.Add(warmUp)
+	r.loop = NewLoop(r.start)
 	for c := range classes {
 		r.res.Wait[c] = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 		r.res.Total[c] = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
@@ -143,12 +143,12 @@
 	}
 	r.build(policy)
 	r.loop.Run(time.Second)
-	r.arrive()
+	r.submitNext()
 	r.loop.Run(s.Duration)
 	return r.result()
 }
 
-func (r *run) capacity() float64 {
+func (r *comparison) capacity() float64 {
 	sum := 0.0
 	for _, speed := range r.Speeds {
 		sum += speed * float64(r.Slots)
@@ -156,22 +156,22 @@
 	return sum
 }
 
-// Bound is the highest rate of requests a second that all slots together can
+// Bound returns the highest rate, in requests per second, that all slots together can
 // serve: the sum of slots times speed over the mean work of a request.
 func (s Setup) Bound() float64 {
-	r := run{Setup: s}
+	r := comparison{Setup: s}
 	return r.capacity() / s.meanWork().Seconds()
 }
 
 func (s Setup) meanWork() time.Duration {
 	check := checkPrefill + checkTokens*tokenTime
-	tokens := draftTokens * (1 - math.Exp(-maxTokens/draftTokens)) // the mean of the cut distribution
+	tokens := draftTokens * (1 - math.Exp(-maxTokens/draftTokens)) // mean of the truncated distribution
 	draft := s.DraftPrefill + time.Duration(tokens*float64(tokenTime))
 	return time.Duration(s.CheckShare*float64(check) + (1-s.CheckShare)*float64(draft))
 }
 
-// build makes the engines and the policy over them.
-func (r *run) build(policy Policy) {
+// build creates the engines and the policy.
+func (r *comparison) build(policy Policy) {
 	size := map[Policy]int{HomePerReplica: 1, HomePerPoolOf8: 8, OnePool: 1 << 20}[policy]
 	r.specs = specs(r.Speeds, r.Slots, size == 1)
 	doc := Document(len(r.specs))
@@ -180,7 +180,7 @@
 	}
 	rc := route.Config{PoolSize: size}
 	if size == 1 {
-		doc.Capacity.QueuePerClass = queueBound
+		doc.Capacity.QueuePerClass = maxQueued
 	}
 	r.fleet = NewFleet(r.loop, r.Daemons, home.Config{}, rc, doc, r.specs, r.Seed)
 	r.fleet.CountBytes = true
@@ -195,7 +195,7 @@
 	}
 	switch policy {
 	case Random, TwoChoices, TwoChoicesCounted:
-		p := newDirect(r.loop, engines, r.Daemons, rand.New(rand.NewPCG(r.Seed, 8)))
+		p := newDirectPolicy(r.loop, engines, r.Daemons, rand.New(rand.NewPCG(r.Seed, 8)))
 		p.choose = p.random
 		if policy != Random {
 			p.choose = p.twoChoices(policy == TwoChoicesCounted)
@@ -205,8 +205,8 @@
 	}
 }
 
-// cacheEvents carries the engines' events to the homes, late and with losses.
-func (r *run) cacheEvents(engines []*Engine) {
+// cacheEvents delivers the engines' cache events to the homes, delayed and with losses.
+func (r *comparison) cacheEvents(engines []*Engine) {
 	for _, e := range engines {
 		if len(e.events) == 0 {
 			continue
@@ -225,9 +225,9 @@
 	r.loop.After(time.Second, func() { r.cacheEvents(engines) })
 }
 
-// ended books a job.
-func (r *run) ended(j *Job) {
-	if r.loop.Now().Before(r.warmed) {
+// recordJob records a finished job.
+func (r *comparison) recordJob(j *Job) {
+	if r.loop.Now().Before(r.warmUpEnd) {
 		return
 	}
 	r.total[j.Class]++
@@ -237,7 +237,7 @@
 		return
 	}
 	r.res.Completed++
-	r.done += j.work()
+	r.completedWork += j.work()
 	_ = r.res.Wait[j.Class].RecordValue(j.Started.Sub(j.Arrived).Microseconds())
 	_ = r.res.First[j.Class].RecordValue(j.First.Sub(j.Arrived).Microseconds())
 	_ = r.res.Total[j.Class].RecordValue(j.Done.Sub(j.Arrived).Microseconds())
@@ -246,15 +246,15 @@
 		r.missed[j.Class]++
 		return
 	}
-	r.good += j.work()
+	r.goodWork += j.work()
 }
 
-func (r *run) result() Result {
-	span := r.loop.Now().Sub(r.warmed)
+func (r *comparison) result() Result {
+	span := r.loop.Now().Sub(r.warmUpEnd)
 	bound := r.capacity() * span.Seconds()
-	r.res.Offered = r.serial
-	r.res.Throughput = r.done.Seconds() / bound
-	r.res.Goodput = r.good.Seconds() / bound
+	r.res.Offered = r.jobCount
+	r.res.Throughput = r.completedWork.Seconds() / bound
+	r.res.Goodput = r.goodWork.Seconds() / bound
 	hits, began := 0, 0
 	for _, e := range r.fleet.Engines {
 		hits += e.hits
@@ -264,7 +264,7 @@
 	for c := range classes {
 		r.res.Missed[c] = float64(r.missed[c]) / float64(max(r.total[c], 1))
 	}
-	r.res.Messages = float64(r.fleet.Messages) / float64(r.serial)
-	r.res.Bytes = float64(r.fleet.Bytes) / float64(r.serial)
+	r.res.Messages = float64(r.fleet.Messages) / float64(r.jobCount)
+	r.res.Bytes = float64(r.fleet.Bytes) / float64(r.jobCount)
 	return *r.res
 }
--- a/coordination/route/compare/workload.go
+++ b/coordination/route/compare/workload.go
@@ -10,8 +10,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// specs names the replicas; apart makes names that hash to pools of their own.
-func specs(speeds []float64, slots int, apart bool) []state.Replica {
+// specs returns the replicas. With distinctPools, their names hash to different pools.
+func specs(speeds []float64, slots int, distinctPools bool) []state.Replica {
 	var out []state.Replica
 	taken := map[string]bool{}
 	for n := 0; len(out) < len(speeds); n++ {
@@ -21,7 +21,7 @@
 		}
 		one := route.ReplicasChanged{Service: "drafting", Capacity: len(speeds), Replicas: []state.Replica{s}}
 		pool := string(route.Partition(one, nil, 1)[0].ID)
-		if apart && taken[pool] {
+		if distinctPools && taken[pool] {
 			continue
 		}
 		taken[pool] = true
@@ -30,10 +30,10 @@
 	return out
 }
 
-// customers is the number of customers; the first few send most requests.
+// customers is the number of customers. The first few send most requests.
 const customers = 10
 
-// Document describes the service of the runs.
+// Document returns the document of the simulated service.
 func Document(capacity int) *service.Document {
 	d := &service.Document{
 		Service:  "drafting",
@@ -53,22 +53,22 @@
 	return state.CustomerID(fmt.Sprintf("customer-%d", i))
 }
 
-// arrive submits a request and schedules the next one.
-func (r *run) arrive() {
+// submitNext submits a request and schedules the next one.
+func (r *comparison) submitNext() {
 	rate := r.Load * r.Bound()
-	r.loop.After(time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.arrive)
-	r.submit(r.rng.IntN(r.Daemons), r.job())
+	r.loop.After(time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), r.submitNext)
+	r.submit(r.rng.IntN(r.Daemons), r.newJob())
 }
 
-func (r *run) job() *Job {
+func (r *comparison) newJob() *Job {
 	now := r.loop.Now()
-	r.serial++
+	r.jobCount++
 	j := &Job{
-		ID:       home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-0-%012x", r.serial)), Attempt: 1},
+		ID:       home.SlotRequestID{Request: state.RequestID(fmt.Sprintf("entry-0-%012x", r.jobCount)), Attempt: 1},
 		Customer: customerName(min(int(r.rng.ExpFloat64()*2), customers-1)),
 		Class:    Draft, Prefill: r.DraftPrefill, Arrived: now, Deadline: now.Add(r.DraftDeadline),
 		Tokens: min(int(r.rng.ExpFloat64()*draftTokens)+1, maxTokens),
-		Ended:  r.ended,
+		Ended:  r.recordJob,
 	}
 	if r.rng.Float64() < r.CheckShare {
 		j.Class, j.Prefill, j.Tokens = Check, checkPrefill, checkTokens
--- a/coordination/route/event.go
+++ b/coordination/route/event.go
@@ -7,92 +7,93 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Event is what a Router is told.
+// Event is an input of a Router.
 type Event interface {
 	event()
 }
 
-// Tick says that time passed; see Router.NextTick.
+// Tick reports that time has passed; see Router.NextTick.
 type Tick struct{}
 
-// Received is a message from a home, which may be this daemon's own.
+// Received is a message from a home, possibly this daemon's own.
 type Received struct {
 	From state.Member
 	Msg  home.Message
 }
 
-// ViewChanged lists the live members, this daemon included.
+// ViewChanged lists the live members, including this daemon.
 type ViewChanged struct {
 	Live []Peer
 }
 
-// Peer is one live member. A draining one holds grants but is home of nothing.
+// Peer is one live member. A draining member may hold grants but is home of no pool.
 type Peer struct {
 	Member   state.Member
 	Region   state.Region
 	Draining bool
 }
 
-// Reconnected says that a connection to a peer was lost and messages with it.
+// Reconnected reports that a connection to a peer was lost together with messages.
 type Reconnected struct {
 	Peer state.DaemonID
 }
 
-// ReplicasChanged gives all replicas of a service, and how many its document
-// asks for: the number of pools follows the document, which all daemons share,
-// and not the replicas that happen to be up.
+// ReplicasChanged carries all replicas of a service and the capacity that its document
+// requires. The number of pools follows the document, which all daemons share, and not
+// the replicas that are currently up.
 type ReplicasChanged struct {
 	Service  state.ServiceID
 	Capacity int
 	Replicas []state.Replica
 }
 
-// RegionsChanged tells the region of each failure domain known now. It takes
-// effect on a service's pools with its next ReplicasChanged, so that a list that
-// grows does not move them twice.
+// RegionsChanged carries the region of each known failure domain. It takes effect on a
+// service's pools with the next ReplicasChanged, so that a growing list does not move
+// them twice.
 type RegionsChanged struct {
 	Regions map[state.FailureDomain]state.Region
 }
 
-// ReplicaLeaving says that a replica gets no new work.
+// ReplicaLeaving reports that a replica gets no new work.
 type ReplicaLeaving struct {
 	Replica state.ReplicaID
 }
 
-// ReplicaReturned says that a replica which was leaving serves again.
+// ReplicaReturned reports that a replica that was leaving serves again.
 type ReplicaReturned struct {
 	Replica state.ReplicaID
 }
 
-// Want asks for a slot.
+// AcquireSlot requests a slot.
 type AcquireSlot struct {
 	ID                home.SlotRequestID
 	Service           state.ServiceID
 	Class             state.ClassID
 	Customer          state.CustomerID
 	Deadline          time.Time     // for the first token
-	FirstTokenLatency time.Duration // from slot to first token at speed 1; 0 not known
-	Cost              uint32        // expected tokens; 0 not known
+	FirstTokenLatency time.Duration // from slot to first token at speed 1; 0 if unknown
+	Cost              uint32        // expected tokens; 0 if unknown
 	Prefixes          []uint64      // hashes of the prompt's prefix blocks, longest first
 	Exclude           []state.ReplicaID
 	Exclusive         bool
 	Staggered         bool // see home.SlotRequest
 }
 
-// Done ends a grant.
+// ReleaseSlot ends a grant.
 type ReleaseSlot struct {
 	ID         home.SlotRequestID
 	Outcome    home.SlotOutcome
-	Tokens     uint32        // made in Busy
+	Tokens     uint32        // generated in DecodeTime
 	DecodeTime time.Duration // from the first token to the last
 }
 
-// Passed says that a request that is apart has done what may end its replica.
+// ExclusiveEnded reports that a staggered request is past the point at which it may
+// crash its replica.
 type ExclusiveEnded struct {
 	ID home.SlotRequestID
 }
 
-// Cancel ends a Want that was not granted yet.
+// CancelAcquire ends an AcquireSlot that has not been granted.
 type CancelAcquire struct {
 	ID home.SlotRequestID
 }
@@ -110,31 +111,31 @@
 func (ReleaseSlot) event()     {}
 func (CancelAcquire) event()   {}
 
-// Action is what a Router wants done.
+// Action is an instruction of a Router to its caller.
 type Action interface {
 	action()
 }
 
-// Send is a message to a daemon, possibly to this one.
+// Send sends a message to a daemon, possibly to this one.
 type Send struct {
 	To  state.DaemonID
 	Msg home.Message
 }
 
-// Granted gives the slot that was wanted.
+// Granted delivers the requested slot.
 type Granted struct {
 	ID      home.SlotRequestID
 	Replica state.ReplicaID
 }
 
-// Refused ends a Want without a slot.
+// Refused ends an AcquireSlot without a slot.
 type Refused struct {
 	ID         home.SlotRequestID
 	Reason     state.Reason
 	RetryAfter state.RetryAfter
 }
 
-// Assigned lists all pools that this daemon is home of from now on.
+// PoolsAssigned lists all pools that this daemon is home of from now on.
 type PoolsAssigned struct {
 	Pools []home.PoolSpec
 }
@@ -144,40 +145,41 @@
 func (Refused) action()       {}
 func (PoolsAssigned) action() {}
 
-// Config holds the settings of a Router. Zero durations and counts take the
+// Config holds the settings of a Router. Durations and counts that are zero take the
 // defaults of DefaultConfig.
 type Config struct {
 	Self   state.Member
 	Region state.Region
 
-	// Regions tells the region of each failure domain known at the start; see
-	// RegionsChanged. Replicas of domains
-	// that it lacks share one region without a name.
+	// Regions is the region of each failure domain known at the start; see
+	// RegionsChanged. Replicas of domains that it lacks share one unnamed region.
 	Regions map[state.FailureDomain]state.Region
 
-	// PoolSize is about how many replicas a pool holds, at most.
+	// PoolSize is the approximate maximum number of replicas in a pool.
 	PoolSize int
 
-	// RenewEvery is the time between renewals.
+	// RenewInterval is the time between renewals.
 	RenewInterval time.Duration
 
-	// RetryMiss is the wait before a daemon that was not home is asked again.
+	// NotHomeRetryDelay is the delay before a daemon that was not the home is asked
+	// again.
 	NotHomeRetryDelay time.Duration
 
-	// Margin is taken off each budget for the way to the home and the replica.
+	// TransitMargin is subtracted from each budget for the latency to the home and the
+	// replica.
 	TransitMargin time.Duration
 
-	// Grace is how long past a deadline a home may take to refuse.
+	// RefusalGrace is how long after a deadline the refusal of a home is awaited.
 	RefusalGrace time.Duration
 
-	// SummaryAge is how long a pool's summary is believed.
+	// SummaryTTL is how long a pool's summary is used.
 	SummaryTTL time.Duration
 
-	// MaxPools bounds the pools that one ask tries.
+	// MaxPools bounds the number of pools that one request tries.
 	MaxPools int
 }
 
-// DefaultConfig returns the settings used where Config has zero fields.
+// DefaultConfig returns the defaults for zero fields of Config.
 func DefaultConfig() Config {
 	return Config{
 		PoolSize:          64,
--- a/coordination/route/fleet_test.go
+++ b/coordination/route/fleet_test.go
@@ -18,26 +18,26 @@
 
 const pool = home.PoolID("drafting@/0")
 
-// site is a fleet under a steady load of drafts and checks.
-type site struct {
+// cluster is a set of daemons under a steady load of drafts and checks.
+type cluster struct {
 	*compare.Fleet
-	loop  *compare.Loop
-	specs []state.Replica
-	rng   *rand.Rand
-	rate  float64 // requests a second; 0 stops them
-	entry func(i int) bool
+	loop            *compare.Loop
+	specs           []state.Replica
+	rng             *rand.Rand
+	rate            float64 // requests per second; 0 stops them
+	acceptsRequests func(i int) bool
 
-	jobs  []*compare.Job
-	late  time.Duration // the longest that a refusal came after its deadline
-	ended map[*compare.Job]int
+	jobs           []*compare.Job
+	maxLateRefusal time.Duration // longest delay of a refusal after its deadline
+	ended          map[*compare.Job]int
 }
 
-func newSite(daemons, replicas, slots int, rate float64) *site {
-	s := &site{
+func newCluster(daemons, replicas, slots int, rate float64) *cluster {
+	s := &cluster{
 		loop: compare.NewLoop(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)),
 		rng:  rand.New(rand.NewPCG(1, 2)), rate: rate,
-		entry: func(int) bool { return true },
-		ended: map[*compare.Job]int{},
+		acceptsRequests: func(int) bool { return true },
+		ended:           map[*compare.Job]int{},
 	}
 	for i := range replicas {
 		s.specs = append(s.specs, state.Replica{
@@ -47,18 +47,18 @@
 	doc := compare.Document(replicas)
 	s.Fleet = compare.NewFleet(s.loop, daemons, home.Config{}, route.Config{}, doc, s.specs, 3)
 	s.loop.Run(time.Second)
-	s.arrive()
+	s.submitNext()
 	return s
 }
 
-// arrive submits a request at a daemon that is alive and schedules the next.
-func (s *site) arrive() {
+// submitNext submits a request at a live daemon and schedules the next one.
+func (s *cluster) submitNext() {
 	if s.rate == 0 {
 		return
 	}
-	s.loop.After(time.Duration(s.rng.ExpFloat64()/s.rate*float64(time.Second)), s.arrive)
+	s.loop.After(time.Duration(s.rng.ExpFloat64()/s.rate*float64(time.Second)), s.submitNext)
 	i := s.rng.IntN(len(s.Daemons))
-	if s.Daemons[i].Dead || !s.entry(i) {
+	if s.Daemons[i].Dead || !s.acceptsRequests(i) {
 		return
 	}
 	now := s.loop.Now()
@@ -75,15 +75,15 @@
 	j.Ended = func(j *compare.Job) {
 		s.ended[j]++
 		if j.Refused != "" {
-			s.late = max(s.late, s.loop.Now().Sub(j.Deadline))
+			s.maxLateRefusal = max(s.maxLateRefusal, s.loop.Now().Sub(j.Deadline))
 		}
 	}
 	s.jobs = append(s.jobs, j)
 	s.Daemons[i].Submit(j)
 }
 
-// homeOf returns the home daemon of the only pool as daemon i sees it.
-func (s *site) homeOf(i int) *compare.Daemon {
+// homeOf returns the home daemon of the only pool in the view of daemon i.
+func (s *cluster) homeOf(i int) *compare.Daemon {
 	id, ok := s.Daemons[i].Router.Home(pool)
 	Expect(ok).To(BeTrue())
 	for _, d := range s.Daemons {
@@ -94,15 +94,15 @@
 	return nil
 }
 
-// resetPeaks begins to count the engines' peaks anew.
-func (s *site) resetPeaks() {
+// resetPeaks resets the engines' peaks.
+func (s *cluster) resetPeaks() {
 	for _, e := range s.Engines {
 		e.Peak = 0
 	}
 }
 
-// peak is the most jobs that any engine ran at one time.
-func (s *site) peak() int {
+// peak returns the highest number of jobs that any engine ran at one time.
+func (s *cluster) peak() int {
 	most := 0
 	for _, e := range s.Engines {
 		most = max(most, e.Peak)
@@ -110,15 +110,15 @@
 	return most
 }
 
-// settle ends the load and waits for all that is under way.
-func (s *site) settle() {
+// drain stops the load and waits until all requests in flight have ended.
+func (s *cluster) drain() {
 	s.rate = 0
 	s.loop.Run(3 * time.Minute)
 }
 
-// wrong tells what is wrong after settle: a job whose entry daemon lives that
-// did not end once, or a slot that is taken for nobody.
-func (s *site) wrong() string {
+// violation returns what is wrong after drain, or "": a job of a live entry daemon that
+// did not end exactly once, or a slot that is taken for no request.
+func (s *cluster) violation() string {
 	for _, j := range s.jobs {
 		if n := s.ended[j]; n > 1 || n == 0 && !s.entryDied(j) {
 			return fmt.Sprintf("%v ended %d times", j.ID, n)
@@ -127,30 +127,30 @@
 	for _, d := range s.Daemons {
 		sum, ok := d.Home.Summary(s.loop.Now(), pool)
 		if ok && !d.Dead && (sum.Used > 0 || sum.Waiting > 0) {
-			return fmt.Sprintf("%s believes %d slots used and %d requests waiting", d.Member, sum.Used, sum.Waiting)
+			return fmt.Sprintf("%s records %d slots used and %d requests waiting", d.Member, sum.Used, sum.Waiting)
 		}
 	}
 	return ""
 }
 
-func (s *site) entryDied(j *compare.Job) bool {
+func (s *cluster) entryDied(j *compare.Job) bool {
 	return slices.ContainsFunc(s.Daemons, func(d *compare.Daemon) bool {
 		return d.Dead && strings.HasPrefix(string(j.ID.Request), string(d.Member.ID))
 	})
 }
 
-// longestGap is the longest time within [from, to] in which no job began.
-func (s *site) longestGap(from, to time.Time) time.Duration {
-	var began []time.Time
+// longestGrantGap returns the longest time within [from, to] in which no job started.
+func (s *cluster) longestGrantGap(from, to time.Time) time.Duration {
+	var starts []time.Time
 	for _, j := range s.jobs {
 		if !j.Started.IsZero() && j.Started.After(from) && j.Started.Before(to) {
-			began = append(began, j.Started)
+			starts = append(starts, j.Started)
 		}
 	}
-	began = append(began, to)
-	slices.SortFunc(began, time.Time.Compare)
+	starts = append(starts, to)
+	slices.SortFunc(starts, time.Time.Compare)
 	gap, last := time.Duration(0), from
-	for _, t := range began {
+	for _, t := range starts {
 		gap = max(gap, t.Sub(last))
 		last = t
 	}
@@ -158,39 +158,38 @@
 }
 
 var _ = Describe("a fleet of routers and homes", func() {
-	// What a user sees: for a moment no new answer begins, then all go on.
-	// Order: the home daemon of a busy pool dies; 4 s later the others know;
-	// the next home in rank takes over while hundreds of answers still run.
-	// Cause: the grants were known to the dead home only.
-	It("learns grants again when a home dies, and never fills a slot twice", Label("failure:daemon-dies-mid-stream"), func() {
-		s := newSite(9, 20, 8, 90)
+	// The home daemon of a busy pool dies, and the others detect it 4 s later. The next
+	// home in rank takes over while hundreds of answers are still running. Only the
+	// dead home knew the grants. Callers see no new answer start for a moment, then all
+	// continue.
+	It("recovers grants when a home dies and never grants a slot twice", Label("failure:daemon-dies-mid-stream"), func() {
+		s := newCluster(9, 20, 8, 90)
 		first := s.homeOf(0)
-		s.entry = func(i int) bool { return s.Daemons[i] != first }
+		s.acceptsRequests = func(i int) bool { return s.Daemons[i] != first }
 		s.loop.Run(30 * time.Second)
 		at := s.loop.Now()
 		s.Kill(first, 4*time.Second)
 		s.loop.Run(time.Minute)
-		Expect(s.homeOf(s.other(first))).NotTo(Equal(first))
-		gap := s.longestGap(at, s.loop.Now())
-		AddReportEntry("longest time without a grant, of which 4 s until the death is known", gap.String())
+		Expect(s.homeOf(s.otherDaemon(first))).NotTo(Equal(first))
+		gap := s.longestGrantGap(at, s.loop.Now())
+		AddReportEntry("longest time without a grant, including 4 s until the death is detected", gap.String())
 		Expect(gap).To(BeNumerically("<", 4100*time.Millisecond))
-		s.settle()
+		s.drain()
 		for _, j := range s.jobs {
 			if j.Class == compare.Draft {
 				Expect(j.Refused).To(BeEmpty(), "a draft's deadline is 10 s")
 			}
 		}
-		Expect(s.late).To(BeNumerically("<", 100*time.Millisecond), "checks have 2 s")
+		Expect(s.maxLateRefusal).To(BeNumerically("<", 100*time.Millisecond), "checks have 2 s")
 		Expect(s.peak()).To(Equal(8))
-		Expect(s.wrong()).To(BeEmpty())
+		Expect(s.violation()).To(BeEmpty())
 	})
 
-	// What a user sees: nothing but slower answers for a while.
-	// Order: half of the daemons lose sight of the home and take another one
-	// for it, so that two homes hand out the same slots; then they see it
-	// again. Cause: the membership views differ.
-	It("at most doubles a replica's load under two homes, and recovers", Label("failure:regions-parted"), func() {
-		s := newSite(9, 10, 8, 55)
+	// Half of the daemons lose sight of the home and choose another one, so that two
+	// homes grant the same slots, until the membership views agree again. Callers see
+	// slower answers.
+	It("at most doubles a replica's load under two homes and recovers", Label("failure:regions-parted"), func() {
+		s := newCluster(9, 10, 8, 55)
 		first := s.homeOf(0)
 		s.loop.Run(20 * time.Second)
 		var rest []route.Peer
@@ -199,11 +198,11 @@
 				rest = append(rest, p)
 			}
 		}
-		blind := 0
+		unaware := 0
 		for _, d := range s.Daemons {
-			if d != first && blind < 4 {
+			if d != first && unaware < 4 {
 				d.SetView(rest)
-				blind++
+				unaware++
 			}
 		}
 		s.loop.Run(30 * time.Second)
@@ -214,32 +213,31 @@
 		s.resetPeaks()
 		s.loop.Run(30 * time.Second)
 		Expect(s.peak()).To(BeNumerically("<=", 8))
-		s.settle()
-		Expect(s.wrong()).To(BeEmpty())
-		Expect(s.runs()).To(Equal(s.completed()))
+		s.drain()
+		Expect(s.violation()).To(BeEmpty())
+		Expect(s.startedJobs()).To(Equal(s.completedJobs()))
 	})
 
-	// What a user sees: nothing. Order: a replica's server tells one entry
-	// daemon that it is leaving; the platform's list is silent for another
-	// 10 s. Cause: the list lags.
-	It("gives a leaving replica nothing new once any entry daemon was told", Label("failure:backend-leaving"), func() {
-		s := newSite(9, 4, 8, 30)
+	// A replica's server reports to one entry daemon that it is leaving, while the
+	// platform's list shows it only 10 s later. Callers must not notice.
+	It("grants no slot of a leaving replica once any entry daemon was notified", Label("failure:backend-leaving"), func() {
+		s := newCluster(9, 4, 8, 30)
 		s.loop.Run(20 * time.Second)
 		id := s.specs[1].ID
-		told := s.other(s.homeOf(0))
-		s.Daemons[told].NotifyLeaving(id)
+		notified := s.otherDaemon(s.homeOf(0))
+		s.Daemons[notified].NotifyLeaving(id)
 		s.loop.Run(2 * time.Second)
-		began := s.Engines[id].Started
+		starts := s.Engines[id].Started
 		s.loop.Run(30 * time.Second)
-		Expect(s.Engines[id].Started).To(Equal(began))
-		s.settle()
-		Expect(s.wrong()).To(BeEmpty())
+		Expect(s.Engines[id].Started).To(Equal(starts))
+		s.drain()
+		Expect(s.violation()).To(BeEmpty())
 	})
 
-	// What a user sees: nothing. Order: the home drains; its pool moves while
-	// answers run and requests wait; then it exits. Cause: a planned stop.
-	It("moves a pool from a draining home without a refusal or a slot filled twice", Label("failure:planned-stop"), func() {
-		s := newSite(9, 20, 8, 80)
+	// Planned stop: the home drains, its pool moves while answers run and requests
+	// wait, then it exits. Callers must not notice.
+	It("moves a pool from a draining home without a refusal and without granting a slot twice", Label("failure:planned-stop"), func() {
+		s := newCluster(9, 20, 8, 80)
 		s.loop.Run(20 * time.Second)
 		first := s.homeOf(0)
 		first.Draining = true
@@ -247,32 +245,31 @@
 		s.SyncViews()
 		s.loop.Run(30 * time.Second)
 		Expect(s.homeOf(0)).NotTo(Equal(first))
-		AddReportEntry("longest time without a grant in the second after", s.longestGap(at, at.Add(time.Second)).String())
-		s.settle()
+		AddReportEntry("longest time without a grant in the following second", s.longestGrantGap(at, at.Add(time.Second)).String())
+		s.drain()
 		Expect(s.peak()).To(BeNumerically("<=", 8))
-		Expect(s.refused()).To(BeZero())
-		Expect(s.wrong()).To(BeEmpty())
+		Expect(s.refusedJobs()).To(BeZero())
+		Expect(s.violation()).To(BeEmpty())
 	})
 
-	// What a user sees: nothing, or slower answers for a while. Order: a daemon
-	// is cut off from its peers but not from the replicas; it is held for dead
-	// and its slots are given to others; it comes back. Cause: what it runs was
-	// never ended.
-	It("counts what a daemon held as soon as it is back", Label("failure:isolated-daemon"), func() {
-		s := newSite(9, 10, 8, 55)
+	// A daemon is partitioned from its peers but not from the replicas. It is declared
+	// dead and its slots are granted to others although its requests still run; then it
+	// returns.
+	It("counts the grants of a daemon as soon as it is back", Label("failure:isolated-daemon"), func() {
+		s := newCluster(9, 10, 8, 55)
 		s.loop.Run(20 * time.Second)
-		cut := s.Daemons[s.other(s.homeOf(0))]
+		isolated := s.Daemons[s.otherDaemon(s.homeOf(0))]
 		s.Drop = func(from, to state.DaemonID, _ home.Message) bool {
-			return from != to && (from == cut.Member.ID || to == cut.Member.ID)
+			return from != to && (from == isolated.Member.ID || to == isolated.Member.ID)
 		}
 		var rest []route.Peer
 		for _, p := range s.Peers() {
-			if p.Member != cut.Member {
+			if p.Member != isolated.Member {
 				rest = append(rest, p)
 			}
 		}
 		for _, d := range s.Daemons {
-			if d != cut {
+			if d != isolated {
 				d.SetView(rest)
 			}
 		}
@@ -283,29 +280,28 @@
 		s.resetPeaks()
 		s.loop.Run(10 * time.Second)
 		Expect(s.peak()).To(BeNumerically("<=", 8))
-		s.settle()
-		Expect(s.wrong()).To(BeEmpty())
+		s.drain()
+		Expect(s.violation()).To(BeEmpty())
 	})
 
-	// What a user sees: some requests take 2 to 3 s longer. Order: a share of
-	// the messages between daemons gets lost for a while, each kind alike.
-	// Cause: connections go silent and are replaced, with what was in them.
-	It("ends every request and frees every slot though messages are lost", Label("failure:silent-connection"), func() {
-		s := newSite(9, 10, 8, 40)
+	// A share of the messages between daemons, of all kinds, is lost for a while, as
+	// when connections become unresponsive and are replaced. Some requests take 2 to 3
+	// s longer.
+	It("ends every request and frees every slot although messages are lost", Label("failure:silent-connection"), func() {
+		s := newCluster(9, 10, 8, 40)
 		s.Drop = func(from, to state.DaemonID, _ home.Message) bool { return from != to && s.rng.IntN(50) == 0 }
 		s.loop.Run(time.Minute)
 		s.Drop = nil
-		s.settle()
-		Expect(s.wrong()).To(BeEmpty())
-		Expect(s.runs()).To(Equal(s.completed()))
+		s.drain()
+		Expect(s.violation()).To(BeEmpty())
+		Expect(s.startedJobs()).To(Equal(s.completedJobs()))
 		Expect(s.peak()).To(BeNumerically("<=", 8))
 	})
 
-	// What a user sees: a few answers begin again elsewhere. Order: a replica's
-	// stage dies; each call to it fails at once, which makes it look free.
-	// Cause: the least loaded replica is the one that fails fastest.
-	It("sends a dying replica a probe now and then, not the whole load", Label("failure:stage-dies-mid-stream"), func() {
-		s := newSite(9, 10, 8, 40)
+	// A stage of a replica dies. Each call to it fails at once, which makes it look
+	// idle, so the least loaded replica would be the one that fails fastest.
+	It("sends a failing replica occasional probes instead of the full load", Label("failure:stage-dies-mid-stream"), func() {
+		s := newCluster(9, 10, 8, 40)
 		for _, d := range s.Daemons {
 			d.Retry = true
 		}
@@ -316,19 +312,18 @@
 		AddReportEntry("calls that failed in 60 s", fmt.Sprint(dead.Failed))
 		Expect(dead.Failed).To(BeNumerically("<", 20))
 		dead.Dead = false
-		began := dead.Started
+		starts := dead.Started
 		s.loop.Run(time.Minute)
-		Expect(dead.Started - began).To(BeNumerically(">", 50))
-		s.settle()
-		Expect(s.wrong()).To(BeEmpty())
+		Expect(dead.Started - starts).To(BeNumerically(">", 50))
+		s.drain()
+		Expect(s.violation()).To(BeEmpty())
 	})
 
-	// What a user sees: some answers come ten times slower, and more and more
-	// of them if nobody notices. Order: a link inside one replica degrades;
-	// its slots free up later. Cause: documents name a kind's speed, not a
-	// link's.
+	// A link inside one replica degrades, and its slots are released later. Documents
+	// state the speed of a kind, not of a link, so without measurements ever more
+	// answers would be ten times slower.
 	It("prefers other replicas over one behind a degraded link", Label("failure:link-degrades"), func() {
-		s := newSite(9, 10, 8, 20)
+		s := newCluster(9, 10, 8, 20)
 		s.loop.Run(20 * time.Second)
 		slow := s.Engines[s.specs[0].ID]
 		slow.Slowdown = 10
--- a/coordination/route/layout.go
+++ b/coordination/route/layout.go
@@ -11,14 +11,13 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// poolSalt keeps the hash that places replicas in pools apart from others.
+// poolSalt makes the hash that assigns replicas to pools independent of other hashes.
 const poolSalt = "pool"
 
-// Partition groups a service's replicas into pools of about size replicas or
-// fewer, each within one region. Their number is a power of two that follows
-// capacity, so that a change of capacity splits or joins whole pools, and a
-// replica that comes or goes moves no other. Every daemon with the same
-// document computes the same pools.
+// Partition groups a service's replicas into pools of about size replicas or fewer,
+// each within one region. The number of pools is a power of two that follows capacity,
+// so that a change of capacity splits or merges whole pools, and a replica that joins
+// or leaves moves no other. All daemons with the same document compute the same pools.
 func Partition(e ReplicasChanged, regions map[state.FailureDomain]state.Region, size int) []home.PoolSpec {
 	byRegion := make(map[state.Region][]state.Replica)
 	for _, r := range e.Replicas {
@@ -33,7 +32,8 @@
 	return pools
 }
 
-// poolCount returns the smallest power of two of pools that hold capacity.
+// poolCount returns the smallest power of two n such that n pools of the given size
+// hold capacity replicas.
 func poolCount(capacity, size int) int {
 	n := 1
 	for n*size < capacity {
@@ -59,24 +59,24 @@
 	return pools
 }
 
-// layout is where everything is: pools, their homes, and the replicas' pools.
+// layout records the pools, their homes, and the pool of each replica.
 type layout struct {
 	pools    map[home.PoolID]*poolInfo
 	services map[state.ServiceID]*serviceInfo
-	ofRep    map[state.ReplicaID]home.PoolID
+	poolOf   map[state.ReplicaID]home.PoolID
 }
 
-// poolInfo is what an entry daemon knows of one pool.
+// poolInfo is an entry daemon's state of one pool.
 type poolInfo struct {
 	spec   home.PoolSpec
 	region state.Region
 	home   state.DaemonID
-	load   lastSeen
-	mine   books
+	load   poolLoad
+	usage  poolUsage
 }
 
-// serviceInfo lists a service's pools, those of this daemon's region first
-// counted by local.
+// serviceInfo lists a service's pools. The first local ones are in this daemon's
+// region.
 type serviceInfo struct {
 	pools []*poolInfo
 	local int
@@ -86,17 +86,17 @@
 	return layout{
 		pools:    make(map[home.PoolID]*poolInfo),
 		services: make(map[state.ServiceID]*serviceInfo),
-		ofRep:    make(map[state.ReplicaID]home.PoolID),
+		poolOf:   make(map[state.ReplicaID]home.PoolID),
 	}
 }
 
-// place takes a service's pools as they are now, keeping what is known of
-// those that stay.
-func (l *layout) place(service state.ServiceID, specs []home.PoolSpec, regionOf func(home.PoolSpec) state.Region, own state.Region) {
+// setPools sets the current pools of a service and keeps the state of those that
+// remain.
+func (l *layout) setPools(service state.ServiceID, specs []home.PoolSpec, regionOf func(home.PoolSpec) state.Region, own state.Region) {
 	if old := l.services[service]; old != nil {
 		for _, p := range old.pools {
 			for _, r := range p.spec.Replicas {
-				delete(l.ofRep, r.ID)
+				delete(l.poolOf, r.ID)
 			}
 		}
 	}
@@ -111,14 +111,14 @@
 		}
 		p.spec = spec
 		for _, r := range spec.Replicas {
-			l.ofRep[r.ID] = spec.ID
+			l.poolOf[r.ID] = spec.ID
 		}
 		info.pools = append(info.pools, p)
 		if p.region == own {
 			info.local++
 		}
 	}
-	slices.SortStableFunc(info.pools, func(a, b *poolInfo) int { return cmp.Compare(far(a, own), far(b, own)) })
+	slices.SortStableFunc(info.pools, func(a, b *poolInfo) int { return cmp.Compare(distance(a, own), distance(b, own)) })
 	l.services[service] = info
 	for id, p := range l.pools {
 		if p.spec.Service == service && !keep[id] {
@@ -127,17 +127,17 @@
 	}
 }
 
-func far(p *poolInfo, own state.Region) int {
+func distance(p *poolInfo, own state.Region) int {
 	if p.region == own {
 		return 0
 	}
 	return 1
 }
 
-// settle computes each pool's home among the live peers: one of the pool's
-// region where there is one, so that regions which lose each other keep their
-// own pools' homes.
-func (l *layout) settle(live []Peer) {
+// assignHomes computes each pool's home among the live peers: a peer of the pool's
+// region if there is one, so that regions partitioned from each other keep the homes of
+// their own pools.
+func (l *layout) assignHomes(live []Peer) {
 	all := make([]state.DaemonID, 0, len(live))
 	byRegion := make(map[state.Region][]state.DaemonID)
 	for _, p := range live {
@@ -156,8 +156,8 @@
 	}
 }
 
-// owned lists the pools that self is home of, by id.
-func (l *layout) owned(self state.DaemonID) []home.PoolSpec {
+// poolsOf returns the pools that self is home of, by ID.
+func (l *layout) poolsOf(self state.DaemonID) []home.PoolSpec {
 	var own []home.PoolSpec
 	for _, id := range slices.Sorted(maps.Keys(l.pools)) {
 		if p := l.pools[id]; p.home == self {
--- a/coordination/route/layout_test.go
+++ b/coordination/route/layout_test.go
@@ -26,7 +26,7 @@
 }
 
 var _ = Describe("the layout of pools", func() {
-	It("holds every replica once, and moves none when another goes", func() {
+	It("assigns every replica once and moves none when another leaves", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			all := replicasOf(rapid.IntRange(2, 300).Draw(t, "replicas"), "a")
 			gone := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
@@ -51,7 +51,7 @@
 		})
 	})
 
-	It("makes pools of about 64 at the size of the plan", func() {
+	It("creates pools of about 64 replicas for 12,000 replicas", func() {
 		e := route.ReplicasChanged{Service: "drafting", Capacity: 12000, Replicas: replicasOf(12000, "a")}
 		most := 0
 		for _, p := range route.Partition(e, nil, 64) {
@@ -60,9 +60,9 @@
 		Expect(most).To(BeNumerically("<", 90))
 	})
 
-	// What a user sees: nothing in the own region. Order: two regions lose
-	// each other; each sees only its own daemons. Cause: the link between.
-	It("keeps each region's homes while regions are parted", Label("failure:regions-parted"), func() {
+	// Two regions are partitioned from each other, and each sees only its own daemons.
+	// Callers in a region must not notice.
+	It("keeps each region's homes during a partition between regions", Label("failure:regions-parted"), func() {
 		regions := map[state.FailureDomain]state.Region{"a": "north", "b": "south"}
 		peers := func(region state.Region) (out []route.Peer) {
 			for i := range 5 {
@@ -93,39 +93,39 @@
 
 var _ = Describe("a fleet under random faults", func() {
 	It("ends each request once, leaks no slot, and runs nothing without a grant", func() {
-		asked := 0
+		total := 0
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			s := newSite(5, rapid.IntRange(1, 6).Draw(t, "replicas"), 3, float64(rapid.IntRange(2, 20).Draw(t, "rate")))
+			s := newCluster(5, rapid.IntRange(1, 6).Draw(t, "replicas"), 3, float64(rapid.IntRange(2, 20).Draw(t, "rate")))
 			for range rapid.IntRange(1, 12).Draw(t, "faults") {
-				s.fault(t)
+				s.injectFault(t)
 				s.loop.Run(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
 			}
 			s.Drop = nil
 			s.SyncViews()
-			s.settle()
-			if w := s.wrong(); w != "" {
+			s.drain()
+			if w := s.violation(); w != "" {
 				t.Fatal(w)
 			}
-			asked += len(s.jobs)
+			total += len(s.jobs)
 		})
-		Expect(asked).To(BeNumerically(">", 100))
+		Expect(total).To(BeNumerically(">", 100))
 	})
 })
 
-// fault brings about one random fault.
-func (s *site) fault(t *rapid.T) {
+// injectFault injects one random fault.
+func (s *cluster) injectFault(t *rapid.T) {
 	i := rapid.IntRange(0, len(s.Daemons)-1).Draw(t, "daemon")
 	d := s.Daemons[i]
-	switch rapid.SampledFrom([]string{"kill", "drop", "whole", "blind", "seeing", "leaving", "drain", "engine"}).Draw(t, "fault") {
+	switch rapid.SampledFrom([]string{"kill", "drop", "no-drop", "partial-view", "full-view", "leaving", "drain", "engine"}).Draw(t, "fault") {
 	case "kill":
 		if len(s.Peers()) > 2 && !d.Dead {
 			s.Kill(d, time.Second)
 		}
 	case "drop":
 		s.Drop = func(from, to state.DaemonID, _ home.Message) bool { return from != to && s.rng.IntN(10) == 0 }
-	case "whole":
+	case "no-drop":
 		s.Drop = nil
-	case "blind":
+	case "partial-view":
 		var rest []route.Peer
 		for _, p := range s.Peers() {
 			if p.Member.ID == d.Member.ID || s.rng.IntN(2) == 0 {
@@ -133,7 +133,7 @@
 			}
 		}
 		d.SetView(rest)
-	case "seeing":
+	case "full-view":
 		s.SyncViews()
 	case "leaving":
 		if len(s.specs) > 1 {
--- a/coordination/route/router.go
+++ b/coordination/route/router.go
@@ -10,42 +10,42 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// missesPerPool is how often a pool whose home can't be found is asked before
+// maxNotHomePerPool is how often a pool whose home cannot be found is tried before
 // another pool is.
-const missesPerPool = 3
+const maxNotHomePerPool = 3
 
-// Router gets slots for the requests of one entry daemon.
+// Router obtains slots for the requests of one entry daemon.
 type Router struct {
-	cfg     Config
-	pick    picker
-	layout  layout
-	live    []Peer
-	asks    map[home.SlotRequestID]*ask
-	leaving map[state.ReplicaID]bool
-	timers  timers
-	renewAt time.Time
-	own     []home.PoolSpec
-	out     []Action
+	cfg        Config
+	poolPicker picker
+	layout     layout
+	livePeers  []Peer
+	requests   map[home.SlotRequestID]*slotRequest
+	leaving    map[state.ReplicaID]bool
+	timers     timers
+	renewAt    time.Time
+	ownPools   []home.PoolSpec
+	actions    []Action
 }
 
-// New returns a router that knows of no member and no replica yet.
+// New returns a router that knows no member and no replica yet.
 func New(cfg Config, rng *rand.Rand) *Router {
 	cfg = cfg.withDefaults()
 	return &Router{
-		cfg:     cfg,
-		pick:    picker{rng: rng, maxAge: cfg.SummaryTTL},
-		layout:  newLayout(),
-		asks:    make(map[home.SlotRequestID]*ask),
-		leaving: make(map[state.ReplicaID]bool),
+		cfg:        cfg,
+		poolPicker: picker{rng: rng, maxAge: cfg.SummaryTTL},
+		layout:     newLayout(),
+		requests:   make(map[home.SlotRequestID]*slotRequest),
+		leaving:    make(map[state.ReplicaID]bool),
 	}
 }
 
-// Step takes one event. The actions are valid until the next call.
+// Step processes one event. The actions are valid until the next call.
 func (r *Router) Step(now time.Time, ev Event) []Action {
-	r.out = r.out[:0]
+	r.actions = r.actions[:0]
 	if r.renewAt.IsZero() {
-		// Spread the renewals of daemons that start together.
-		r.renewAt = now.Add(time.Duration(r.pick.rng.Int64N(int64(r.cfg.RenewInterval))))
+		// Spread the renewals of daemons that start at the same time.
+		r.renewAt = now.Add(time.Duration(r.poolPicker.rng.Int64N(int64(r.cfg.RenewInterval))))
 	}
 	switch e := ev.(type) {
 	case Tick:
@@ -53,10 +53,10 @@
 	case Received:
 		r.received(now, e.From, e.Msg)
 	case ViewChanged:
-		r.live = slices.Clone(e.Live)
-		r.resettle(now)
+		r.livePeers = slices.Clone(e.Live)
+		r.reassignHomes(now)
 	case Reconnected:
-		r.repeat(now, e.Peer)
+		r.resendTo(now, e.Peer)
 	case ReplicasChanged:
 		r.replicas(now, e)
 	case ReplicaLeaving:
@@ -66,19 +66,18 @@
 	case ReplicaReturned:
 		delete(r.leaving, e.Replica)
 	case AcquireSlot:
-		r.want(now, e)
+		r.acquire(now, e)
 	case ExclusiveEnded:
-		r.passed(e.ID)
+		r.endExclusive(e.ID)
 	case ReleaseSlot:
-		r.done(e)
+		r.release(e)
 	case CancelAcquire:
 		r.cancel(e.ID)
 	}
-	return r.out
+	return r.actions
 }
 
-// NextTick returns when Step next wants a Tick; the zero time before the first
-// Step.
+// NextTick returns when Step next needs a Tick, or the zero time before the first Step.
 func (r *Router) NextTick() time.Time {
 	if len(r.timers) > 0 && r.timers[0].at.Before(r.renewAt) {
 		return r.timers[0].at
@@ -86,7 +85,7 @@
 	return r.renewAt
 }
 
-// Home returns the pool's home daemon as this daemon sees it.
+// Home returns the pool's home daemon in this daemon's view.
 func (r *Router) Home(pool home.PoolID) (state.DaemonID, bool) {
 	p := r.layout.pools[pool]
 	if p == nil {
@@ -95,28 +94,28 @@
 	return p.home, true
 }
 
-// HomeOf returns the home daemon of a replica's pool as this daemon sees it.
+// HomeOf returns the home daemon of a replica's pool in this daemon's view.
 func (r *Router) HomeOf(replica state.ReplicaID) (state.DaemonID, bool) {
-	return r.Home(r.layout.ofRep[replica])
+	return r.Home(r.layout.poolOf[replica])
 }
 
 func (r *Router) send(to state.DaemonID, msg home.Message) {
-	r.out = append(r.out, Send{To: to, Msg: msg})
+	r.actions = append(r.actions, Send{To: to, Msg: msg})
 }
 
 func (r *Router) tick(now time.Time) {
 	for len(r.timers) > 0 && !r.timers[0].at.After(now) {
 		t := heap.Pop(&r.timers).(timer)
-		a := r.asks[t.ask]
+		a := r.requests[t.requestID]
 		switch {
 		case a == nil || a.held:
 		case t.retry:
-			r.askAgain(now, a)
+			r.resend(now, a)
 		default:
-			// The home is silent past the deadline; it may still grant, and
-			// then gets the slot back unused.
-			r.send(a.home, home.CancelSlotRequest{ID: t.ask, Pool: a.pool})
-			r.giveUp(a, state.ReasonDeadline, 0)
+			// The home has not answered by the deadline. It may still grant the slot,
+			// which is then returned unused.
+			r.send(a.home, home.CancelSlotRequest{ID: t.requestID, Pool: a.pool})
+			r.refuse(a, state.ReasonDeadline, 0)
 		}
 	}
 	if !now.Before(r.renewAt) {
@@ -125,20 +124,20 @@
 	}
 }
 
-// replicas takes a service's replicas. What is held moves with its replica to
-// the pool that the replica is in now.
+// replicas applies a service's replicas. Held slots move with their replica to the pool
+// that the replica is in now.
 func (r *Router) replicas(now time.Time, e ReplicasChanged) {
 	specs := Partition(e, r.cfg.Regions, r.cfg.PoolSize)
-	r.returned(e)
+	r.clearLeaving(e)
 	regionOf := func(s home.PoolSpec) state.Region { return r.cfg.Regions[s.Replicas[0].FailureDomain] }
-	r.layout.place(e.Service, specs, regionOf, r.cfg.Region)
-	r.rebook()
-	r.resettle(now)
+	r.layout.setPools(e.Service, specs, regionOf, r.cfg.Region)
+	r.recount()
+	r.reassignHomes(now)
 }
 
-// returned forgets that replicas are leaving which are gone now, or whose
-// processes are others.
-func (r *Router) returned(e ReplicasChanged) {
+// clearLeaving clears the leaving state of replicas that are gone or whose processes
+// were replaced.
+func (r *Router) clearLeaving(e ReplicasChanged) {
 	service := r.layout.services[e.Service]
 	if service == nil {
 		return
@@ -157,47 +156,47 @@
 	}
 }
 
-// rebook counts all asks anew by pool.
-func (r *Router) rebook() {
+// recount recounts the requests of all pools.
+func (r *Router) recount() {
 	for _, p := range r.layout.pools {
-		p.mine = books{}
+		p.usage = poolUsage{}
 	}
-	for k, a := range r.asks {
-		if pool, ok := r.layout.ofRep[a.replica]; ok && a.held {
+	for k, a := range r.requests {
+		if pool, ok := r.layout.poolOf[a.replica]; ok && a.held {
 			a.pool = pool
 		}
 		p := r.layout.pools[a.pool]
 		switch {
 		case p == nil:
 		case a.held:
-			p.mine.hold(k)
+			p.usage.addHeld(k)
 		default:
-			p.mine.wait(k)
+			p.usage.addWaiting(k)
 		}
 	}
 }
 
-// resettle computes the homes anew and asks again where one has changed.
-func (r *Router) resettle(now time.Time) {
-	r.layout.settle(r.live)
-	for _, a := range r.inOrder() {
+// reassignHomes recomputes the homes and resends requests whose home has changed.
+func (r *Router) reassignHomes(now time.Time) {
+	r.layout.assignHomes(r.livePeers)
+	for _, a := range r.requestsInOrder() {
 		if a.held {
 			continue
 		}
 		p := r.layout.pools[a.pool]
 		if p == nil {
-			r.elsewhere(now, a, state.ReasonNoReplica, 1)
+			r.tryOtherPool(now, a, state.ReasonNoReplica, 1)
 			continue
 		}
 		if p.home != a.home {
-			p.load = lastSeen{}
-			r.request(now, a, p)
+			p.load = poolLoad{}
+			r.sendRequest(now, a, p)
 		}
 	}
-	own := r.layout.owned(r.cfg.Self.ID)
-	if !slices.EqualFunc(own, r.own, sameSpec) {
-		r.own = own
-		r.out = append(r.out, PoolsAssigned{Pools: own})
+	own := r.layout.poolsOf(r.cfg.Self.ID)
+	if !slices.EqualFunc(own, r.ownPools, sameSpec) {
+		r.ownPools = own
+		r.actions = append(r.actions, PoolsAssigned{Pools: own})
 	}
 }
 
@@ -208,12 +207,12 @@
 	})
 }
 
-// repeat sends the asks that wait at a peer again: messages to or from it were
-// lost with a connection. Homes know an ask that they have already.
-func (r *Router) repeat(now time.Time, peer state.DaemonID) {
-	for _, a := range r.inOrder() {
+// resendTo resends the requests that wait at a peer, since messages to or from it were
+// lost with a connection. Homes recognize a request that they already have.
+func (r *Router) resendTo(now time.Time, peer state.DaemonID) {
+	for _, a := range r.requestsInOrder() {
 		if !a.held && a.home == peer {
-			r.askAgain(now, a)
+			r.resend(now, a)
 		}
 	}
 }
--- a/coordination/route/site_test.go
+++ b/coordination/route/site_test.go
@@ -6,13 +6,13 @@
 	"github.com/hibiscuswick/hibiscuswick/coordination/route/compare"
 )
 
-// other returns a daemon that is alive and not d.
-func (s *site) other(d *compare.Daemon) int {
+// otherDaemon returns the index of a live daemon other than d.
+func (s *cluster) otherDaemon(d *compare.Daemon) int {
 	return slices.IndexFunc(s.Daemons, func(o *compare.Daemon) bool { return o != d && !o.Dead })
 }
 
-// runs counts the executions of all engines.
-func (s *site) runs() int {
+// startedJobs returns the number of jobs started on all engines.
+func (s *cluster) startedJobs() int {
 	n := 0
 	for _, e := range s.Engines {
 		n += e.Started
@@ -20,7 +20,7 @@
 	return n
 }
 
-func (s *site) completed() int {
+func (s *cluster) completedJobs() int {
 	n := 0
 	for _, j := range s.jobs {
 		if !j.Done.IsZero() {
@@ -30,7 +30,7 @@
 	return n
 }
 
-func (s *site) refused() int {
+func (s *cluster) refusedJobs() int {
 	n := 0
 	for _, j := range s.jobs {
 		if j.Refused != "" {
