--- a/coordination/quarantine/config.go
+++ b/coordination/quarantine/config.go
@@ -6,53 +6,55 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Config holds the bounds of a Quarantine. Zero fields take the default.
+// Config holds the limits of a Quarantine. Zero fields take the defaults.
 type Config struct {
 	// Self is this daemon.
 	Self state.Member
 
-	// FactLife is how long an implication holds. Default 10 min.
+	// FactTTL is how long an implication is kept. Default 10 min.
 	FactTTL time.Duration
 
-	// ConvictedFor is how long a convicted content is refused; UnprovedFor
-	// that of one whose turn ended with nothing known. Defaults 24 h, 10 min.
+	// QuarantineTTL is how long a quarantined content is refused. UnconfirmedTTL
+	// applies if the lock for the content ended with an unknown result. Defaults 24 h
+	// and 10 min.
 	QuarantineTTL  time.Duration
 	UnconfirmedTTL time.Duration
 
-	// TurnLife is after how long a turn that nobody ended counts as ended
-	// with nothing known; a run alone must begin and end within half of it.
-	// Default 10 min.
+	// LockTTL is the time after which a lock that was not released counts as ended with
+	// an unknown result. An exclusive run must start and end within half of it. Default
+	// 10 min.
 	LockTTL time.Duration
 
-	// PollEvery is the time between two looks at a turn that another holds,
-	// or at a store that does not answer. Default 500 ms.
+	// PollInterval is the time between checks of a lock that another daemon holds, or
+	// of a store that does not answer. Default 500 ms.
 	PollInterval time.Duration
 
-	// ScanEvery is the time between two scans for convictions. Default 60 s.
+	// ScanInterval is the time between scans for quarantine entries. Default 60 s.
 	ScanInterval time.Duration
 
-	// SyncEvery is the time between two comparisons of facts with some other
-	// daemon. Default 5 s.
+	// SyncInterval is the time between comparisons of facts with another daemon.
+	// Default 5 s.
 	SyncInterval time.Duration
 
-	// SpreadWait bounds the wait for other daemons' word that they know of a
-	// death. Default 1 s.
+	// PropagationTimeout bounds the wait until other daemons acknowledge a death.
+	// Default 1 s.
 	PropagationTimeout time.Duration
 
-	// BurstReplicas other deaths in one failure domain within BurstWindow are
-	// taken for a failure of the domain. Defaults 4 and 3 s.
+	// If BurstReplicas other replicas of a failure domain die within BurstWindow, the
+	// domain is assumed to have failed. Defaults 4 and 3 s.
 	BurstReplicas int
 	BurstWindow   time.Duration
 
-	// Direct is to how many daemons facts are told at first; Forward to how
-	// many each tells on those that are new to it, when there are more
-	// daemons than Direct. Defaults 16 and 6.
+	// DirectFanout is the number of daemons that facts are sent to first. ForwardFanout
+	// is the number that each of them forwards new facts to, if there are more daemons
+	// than DirectFanout. Defaults 16 and 6.
 	DirectFanout  int
 	ForwardFanout int
 
-	// MaxSuspects, MaxDeaths, MaxConvicted and MaxWaiting bound the memory:
-	// contents, deaths and convictions remembered, and requests that wait for
-	// one turn. The oldest are forgotten first. Defaults 4096, 1024, 1024, 64.
+	// MaxSuspects, MaxDeaths, MaxQuarantined and MaxWaiting bound the memory: the
+	// contents, deaths and quarantine entries kept, and the requests that wait for one
+	// lock. The oldest contents and deaths are dropped first. Defaults 4096, 1024,
+	// 1024, 64.
 	MaxSuspects    int
 	MaxDeaths      int
 	MaxQuarantined int
--- a/coordination/quarantine/doc.go
+++ b/coordination/quarantine/doc.go
@@ -1,34 +1,37 @@
-// Package quarantine keeps a request whose content crashes backend servers from
-// crashing many of them, whatever idempotency key or daemon its caller repeats
-// it through.
+// Package quarantine prevents a request whose content crashes backend servers from
+// crashing many of them, whatever idempotency key or daemon its caller uses for
+// repeats.
 //
-// A backend server's death implicates the fingerprint of every content that ran
-// there. An implicated content is run alone: in a replica that runs nothing
-// else, and at one daemon at a time, who holds the turn for it. If the replica
-// dies again, the content is convicted and refused for Config.ConvictedFor; if
-// a run of it completes, alone or not, it is cleared.
+// The death of a backend server implicates the fingerprint of every content that ran
+// there. An implicated content runs exclusively: on a replica that runs nothing else,
+// and at one daemon at a time, which holds the lock for it. If the replica dies again,
+// the content is quarantined: it is refused for Config.QuarantineTTL. If a run of it
+// completes, exclusive or not, it is cleared.
 //
-// The turn is a row of the table service, taken by a conditional write, so that
-// "one crash alone" rests on no clock, view or message. Implications are soft
-// facts, told from daemon to daemon: merged as sets, bounded, and expiring.
+// The lock is a row of the table service, written conditionally on its revision, so
+// that "at most one exclusive crash" depends on no clock, view or message. Implications
+// are soft facts that daemons send to each other: they are merged as sets, bounded, and
+// expire.
 //
-// The bound: crashes of one content within the life of its conviction are at
-// most W+1, where W counts the runs begun by daemons that did not know yet of
-// the first crash. A caller that repeats only after it was told of the failure
-// has W = 1, so two crashes, if the failure is told after the action Spread.
-// Each daemon that dies between a crash and Spread can add one to W.
+// Bound: while its quarantine lasts, a content causes at most W+1 crashes, where W is
+// the number of runs started by daemons that did not yet know of the first crash. A
+// caller that repeats only after it received the failure has W = 1, hence two crashes,
+// if the failure is reported after the action DeathPropagated. Each daemon that dies
+// between a crash and DeathPropagated can add one to W.
 //
-// What it guards against:
+// Failures handled here:
 //
-//   - A caller that sends a crashing request again and again: replicas die one
-//     after the other, and other callers' answers with them.
-//   - Its repeats at several daemons at the same moment: only one gets the turn.
-//   - A daemon that dies during the turn: what became of it is unknown, and the
-//     content counts as convicted for Config.UnprovedFor.
-//   - A rack failure that kills many replicas: of the contents that ran there
-//     only those that ran in two of them are implicated, and it convicts none.
+//   - A caller sends a crashing request again and again: replicas die one after
+//     another, and the answers of other callers are lost with them.
+//   - It is repeated at several daemons at the same time: only one of them gets the
+//     lock.
+//   - A daemon dies while it holds the lock: the result of its run is unknown, and the
+//     content counts as quarantined for Config.UnconfirmedTTL.
+//   - A rack failure kills many replicas: of the contents that ran there only those
+//     that ran on two of the replicas are implicated, and the failure quarantines none.
 //
-// The contract for the caller: report each run with Began before dispatch and
-// Ended after it; a backend server's death with Died, before Ended of its runs;
-// ask with Ask before each dispatch, and obey Allow.Alone until Allow.Until.
+// Requirements on the caller: report each run with RunStarted before its dispatch and
+// with RunEnded after it, and a backend server's death with BackendDied before the
+// RunEnded of its runs. Send RunRequested before each dispatch, and observe
+// Allow.Exclusive until Allow.Until.
 package quarantine
--- a/coordination/quarantine/event.go
+++ b/coordination/quarantine/event.go
@@ -7,30 +7,31 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// RunID numbers one run of one daemon.
+// RunID identifies one run of one daemon.
 type RunID uint64
 
-// Event is what a Quarantine is told.
+// Event is an input of a Quarantine.
 type Event interface {
 	event()
 }
 
-// Tick tells that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
-// Ask wants to run a content; Call names it in the answer, Allow or Refuse.
+// RunRequested requests to run a content. Call identifies the request in the answer,
+// Allow or Refuse.
 type RunRequested struct {
 	Call        uint64
 	Fingerprint Fingerprint
 }
 
-// Cancel takes back an Ask that was not answered yet.
+// Cancel withdraws a RunRequested that has not been answered.
 type Cancel struct {
 	Call uint64
 }
 
-// Began tells that a run is about to be dispatched to a replica. Turn is
-// Allow.Turn.
+// RunStarted reports that a run is about to be dispatched to a replica. Lock is
+// Allow.Lock.
 type RunStarted struct {
 	Run         RunID
 	Fingerprint Fingerprint
@@ -38,45 +39,45 @@
 	Lock        uint64
 }
 
-// How is how a run ended.
+// RunResult tells how a run ended.
 type RunResult uint8
 
-// The values of How.
+// The values of RunResult.
 const (
-	// RunCompleted: the answer was whole.
+	// RunCompleted: the answer was complete.
 	RunCompleted RunResult = iota + 1
-	// RunStopped: it ended without a whole answer, on a replica that lives.
+	// RunStopped: the run ended without a complete answer, on a replica that is alive.
 	RunStopped
-	// RunLost: it can't be told what became of it or of the replica.
+	// RunLost: the result of the run, or the state of the replica, is unknown.
 	RunLost
 )
 
-// Ended tells that a run is over. For a turn that never began a run, Run is 0
-// and Turn is set.
+// RunEnded reports that a run is over. For a lock under which no run was started, Run
+// is 0 and Lock is set.
 type RunEnded struct {
 	Run    RunID
 	Lock   uint64
 	Result RunResult
 }
 
-// Died tells that a backend server of a replica died.
+// BackendDied reports that a backend server of a replica died.
 type BackendDied struct {
 	Replica state.ReplicaID
 	Domain  state.FailureDomain
 }
 
-// Members is the membership view.
+// ViewChanged carries the membership view.
 type ViewChanged struct {
 	Live []state.Member
 }
 
-// Received is a message of another daemon.
+// Received is a message from another daemon.
 type Received struct {
 	From state.Member
 	Msg  Message
 }
 
-// Stored answers an action Store.
+// StoreResult answers the action CallStore.
 type StoreResult struct {
 	Result store.Result
 }
@@ -91,45 +92,46 @@
 func (Received) event()     {}
 func (StoreResult) event()  {}
 
-// Action is what the caller is to do.
+// Action is an instruction of a Quarantine to its caller.
 type Action interface {
 	action()
 }
 
-// Allow permits one run. Alone demands a replica that runs nothing else until
-// the run has ended; the run is to begin and end before Until.
+// Allow permits one run. Exclusive requires a replica that runs nothing else until the
+// run has ended. The run must start and end before Until.
 type Allow struct {
 	Call      uint64
 	Exclusive bool
-	Lock      uint64 // 0 unless Alone
+	Lock      uint64 // 0 unless Exclusive
 	Until     time.Time
 }
 
-// Refuse says that the content is quarantined.
+// Refuse reports that the content is quarantined.
 type Refuse struct {
 	Call  uint64
-	Until time.Time // of the conviction
+	Until time.Time // when the quarantine entry expires
 }
 
-// Spread says that the other daemons know of what this one saw die, or that
-// Config.SpreadWait has passed. Answers that fail because of it wait for this.
+// DeathPropagated reports that the other daemons know of the death that this daemon
+// observed, or that Config.PropagationTimeout has passed. Answers that fail because of
+// the death must wait for this action.
 type DeathPropagated struct {
 	Replica state.ReplicaID
 }
 
-// Convicted reports a new conviction by this daemon.
+// Quarantined reports a new quarantine entry at this daemon.
 type Quarantined struct {
 	Fingerprint Fingerprint
 	Confirmed   bool
 }
 
-// Send carries a message to another daemon; it may be lost.
+// Send sends a message to another daemon. The message may be lost.
 type Send struct {
 	To  state.DaemonID
 	Msg Message
 }
 
-// Store is one call to the table service.
+// CallStore is one call to the table service.
 type CallStore struct {
 	Call store.Call
 }
--- a/coordination/quarantine/machine.go
+++ b/coordination/quarantine/machine.go
@@ -11,221 +11,226 @@
 )
 
 const (
-	// sweepRows bounds the rows that one sweep deletes.
-	sweepRows = 16
-	// maxEarly bounds the requests that wait for the first facts.
-	maxEarly = 1024
+	// maxSweepRows bounds the rows that one sweep deletes.
+	maxSweepRows = 16
+	// maxDeferred bounds the requests that wait for the first facts.
+	maxDeferred = 1024
 )
 
-// Quarantine is one daemon's part. Not safe for use by several goroutines.
+// Quarantine is one daemon's state machine. It is not safe for concurrent use.
 type Quarantine struct {
-	cfg   Config
-	rng   *rand.Rand
-	facts *facts
-	live  []state.Member // others
+	cfg       Config
+	rng       *rand.Rand
+	facts     *facts
+	livePeers []state.Member // other daemons
 
-	runs     map[RunID]run
-	turns    map[Fingerprint]*turn
-	byNo     map[uint64]*turn
-	lastTurn uint64
+	runs       map[RunID]run
+	locks      map[Fingerprint]*lock
+	locksByID  map[uint64]*lock
+	lastLockID uint64
 
-	calls    map[store.CallID]*turn
+	calls    map[store.CallID]*lock
 	lastCall store.CallID
-	scanning store.CallID
+	scanCall store.CallID
 
-	spreading map[uint64]*spreading // by Tell.Seq
-	lastSeq   uint64
+	propagations map[uint64]*propagation // by FactUpdate.Seq
+	lastSeq      uint64
 
-	// Until some other daemon's facts came, or syncBy, requests wait: a daemon
-	// that was just started would run what all others know to crash.
-	synced bool
-	syncBy time.Time
-	early  []RunRequested
+	// Until the facts of another daemon arrive, or until syncDeadline, requests are
+	// deferred: a daemon that was just started would run contents that all others know
+	// to crash.
+	synced       bool
+	syncDeadline time.Time
+	deferred     []RunRequested
 
 	nextScan time.Time
 	nextSync time.Time
-	out      []Action
+	actions  []Action
 }
 
-// New returns a Quarantine that begins with a scan of the convictions.
+// New returns a Quarantine that starts with a scan of the quarantine entries.
 func New(cfg Config, start time.Time, rng *rand.Rand) *Quarantine {
 	m := &Quarantine{
-		cfg:       cfg.withDefaults(),
-		rng:       rng,
-		runs:      make(map[RunID]run),
-		turns:     make(map[Fingerprint]*turn),
-		byNo:      make(map[uint64]*turn),
-		calls:     make(map[store.CallID]*turn),
-		spreading: make(map[uint64]*spreading),
-		syncBy:    start.Add(cfg.withDefaults().PropagationTimeout),
-		nextScan:  start,
-		nextSync:  start,
+		cfg:          cfg.withDefaults(),
+		rng:          rng,
+		runs:         make(map[RunID]run),
+		locks:        make(map[Fingerprint]*lock),
+		locksByID:    make(map[uint64]*lock),
+		calls:        make(map[store.CallID]*lock),
+		propagations: make(map[uint64]*propagation),
+		syncDeadline: start.Add(cfg.withDefaults().PropagationTimeout),
+		nextScan:     start,
+		nextSync:     start,
 	}
 	m.facts = newFacts(&m.cfg)
 	return m
 }
 
-// Step takes one event at now.
+// Step processes one event at now and returns the actions to carry out.
 func (m *Quarantine) Step(now time.Time, ev Event) []Action {
-	m.out = nil
+	m.actions = nil
 	switch ev := ev.(type) {
 	case Tick:
 		m.tick(now)
 	case RunRequested:
-		m.ask(now, ev)
+		m.admit(now, ev)
 	case Cancel:
 		m.cancel(ev.Call)
 	case RunStarted:
-		m.began(ev)
+		m.runStarted(ev)
 	case RunEnded:
-		m.ended(now, ev)
+		m.runEnded(now, ev)
 	case BackendDied:
-		m.died(now, ev)
+		m.backendDied(now, ev)
 	case ViewChanged:
-		m.members(now, ev.Live)
+		m.setView(now, ev.Live)
 	case Received:
 		m.receive(now, ev.From, ev.Msg)
 	case StoreResult:
-		m.answered(now, ev.Result)
+		m.storeAnswered(now, ev.Result)
 	}
-	return m.out
+	return m.actions
 }
 
-// NextTick is when the Quarantine next wants a Tick.
+// NextTick returns when the Quarantine next needs a Tick.
 func (m *Quarantine) NextTick() time.Time {
 	next := m.nextSync
 	if m.nextScan.Before(next) {
 		next = m.nextScan
 	}
-	if !m.synced && m.syncBy.Before(next) {
-		next = m.syncBy
+	if !m.synced && m.syncDeadline.Before(next) {
+		next = m.syncDeadline
 	}
-	for _, t := range m.turns {
-		if !t.wakeAt.IsZero() && t.wakeAt.Before(next) {
-			next = t.wakeAt
+	for _, lk := range m.locks {
+		if !lk.wakeAt.IsZero() && lk.wakeAt.Before(next) {
+			next = lk.wakeAt
 		}
 	}
-	for _, s := range m.spreading {
-		if s.again.Before(next) {
-			next = s.again
+	for _, s := range m.propagations {
+		if s.resendAt.Before(next) {
+			next = s.resendAt
 		}
 	}
 	return next
 }
 
-// Suspected reports whether fp is to run alone, for views that answer without a
-// Step. It may be asked of several daemons: each that suspects fp is right.
+// Suspected reports whether fp must run exclusively, for views that are answered
+// without a Step. It may be asked of several daemons: any daemon that suspects fp is
+// right.
 func (m *Quarantine) Suspected(fp Fingerprint) bool {
 	return m.facts.suspected(fp)
 }
 
-func (m *Quarantine) ask(now time.Time, ev RunRequested) {
-	if !m.synced && len(m.early) < maxEarly {
-		m.early = append(m.early, ev)
+func (m *Quarantine) admit(now time.Time, ev RunRequested) {
+	if !m.synced && len(m.deferred) < maxDeferred {
+		m.deferred = append(m.deferred, ev)
 		return
 	}
-	if until, convicted := m.facts.convicted[ev.Fingerprint]; convicted && until.After(now) {
-		m.out = append(m.out, Refuse{Call: ev.Call, Until: until})
+	if until, refused := m.facts.quarantined[ev.Fingerprint]; refused && until.After(now) {
+		m.actions = append(m.actions, Refuse{Call: ev.Call, Until: until})
 		return
 	}
-	t := m.turns[ev.Fingerprint]
-	if t == nil && !m.facts.suspected(ev.Fingerprint) {
-		m.out = append(m.out, Allow{Call: ev.Call})
+	lk := m.locks[ev.Fingerprint]
+	if lk == nil && !m.facts.suspected(ev.Fingerprint) {
+		m.actions = append(m.actions, Allow{Call: ev.Call})
 		return
 	}
-	if t == nil {
-		m.lastTurn++
-		t = &turn{no: m.lastTurn, fp: ev.Fingerprint}
-		m.turns[t.fp] = t
-		m.byNo[t.no] = t
-		t.waiting = append(t.waiting, ev.Call)
-		m.seek(t)
+	if lk == nil {
+		m.lastLockID++
+		lk = &lock{id: m.lastLockID, fp: ev.Fingerprint}
+		m.locks[lk.fp] = lk
+		m.locksByID[lk.id] = lk
+		lk.waiting = append(lk.waiting, ev.Call)
+		m.acquire(lk)
 		return
 	}
-	if len(t.waiting) >= m.cfg.MaxWaiting {
-		m.out = append(m.out, Refuse{Call: ev.Call, Until: now.Add(m.cfg.PollInterval)})
+	if len(lk.waiting) >= m.cfg.MaxWaiting {
+		m.actions = append(m.actions, Refuse{Call: ev.Call, Until: now.Add(m.cfg.PollInterval)})
 		return
 	}
-	t.waiting = append(t.waiting, ev.Call)
+	lk.waiting = append(lk.waiting, ev.Call)
 }
 
-// sync answers the requests that waited for other daemons' facts.
-func (m *Quarantine) sync(now time.Time) {
+// finishSync answers the requests that were deferred until other daemons' facts
+// arrived.
+func (m *Quarantine) finishSync(now time.Time) {
 	if m.synced {
 		return
 	}
 	m.synced = true
-	for _, ev := range m.early {
-		m.ask(now, ev)
+	for _, ev := range m.deferred {
+		m.admit(now, ev)
 	}
-	m.early = nil
+	m.deferred = nil
 }
 
 func (m *Quarantine) cancel(call uint64) {
-	m.early = slices.DeleteFunc(m.early, func(ev RunRequested) bool { return ev.Call == call })
-	for _, t := range m.turns {
-		t.waiting = slices.DeleteFunc(t.waiting, func(c uint64) bool { return c == call })
+	m.deferred = slices.DeleteFunc(m.deferred, func(ev RunRequested) bool { return ev.Call == call })
+	for _, lk := range m.locks {
+		lk.waiting = slices.DeleteFunc(lk.waiting, func(c uint64) bool { return c == call })
 	}
 }
 
-// learnConvicted refuses fp until then, here and wherever the word comes.
-func (m *Quarantine) learnConvicted(now time.Time, fp Fingerprint, until time.Time, proved bool) {
-	news := m.facts.merge(now, FactUpdate{Quarantined: []QuarantineEntry{{Fingerprint: fp, Until: until.Unix()}}})
-	if news.empty() {
+// markQuarantined refuses fp until the given time, here and at all daemons that the
+// update reaches.
+func (m *Quarantine) markQuarantined(now time.Time, fp Fingerprint, until time.Time, confirmed bool) {
+	added := m.facts.merge(now, FactUpdate{Quarantined: []Entry{{Fingerprint: fp, Until: until.Unix()}}})
+	if added.empty() {
 		return
 	}
-	m.out = append(m.out, Quarantined{Fingerprint: fp, Confirmed: proved})
-	m.tell(now, news, "")
+	m.actions = append(m.actions, Quarantined{Fingerprint: fp, Confirmed: confirmed})
+	m.broadcast(now, added, "")
 }
 
-// alive reports whether the view has that life; an empty view knows nothing.
-func (m *Quarantine) alive(member state.Member) bool {
-	return member == m.cfg.Self || len(m.live) == 0 || slices.Contains(m.live, member)
+// isLive reports whether the incarnation is in the membership view. An empty view knows
+// nothing, so every member counts as live.
+func (m *Quarantine) isLive(member state.Member) bool {
+	return member == m.cfg.Self || len(m.livePeers) == 0 || slices.Contains(m.livePeers, member)
 }
 
-func (m *Quarantine) store(r store.Request, class store.Class) store.CallID {
+func (m *Quarantine) callStore(r store.Request, class store.Class) store.CallID {
 	m.lastCall++
-	m.out = append(m.out, CallStore{Call: store.Call{ID: m.lastCall, Class: class, Request: r}})
+	m.actions = append(m.actions, CallStore{Call: store.Call{ID: m.lastCall, Class: class, Request: r}})
 	return m.lastCall
 }
 
-func (m *Quarantine) answered(now time.Time, res store.Result) {
-	if res.Call == m.scanning {
-		m.scanning = 0
-		m.scanned(now, res)
+func (m *Quarantine) storeAnswered(now time.Time, res store.Result) {
+	if res.Call == m.scanCall {
+		m.scanCall = 0
+		m.scanDone(now, res)
 		return
 	}
-	t := m.calls[res.Call]
+	lk := m.calls[res.Call]
 	delete(m.calls, res.Call)
-	if t != nil && t.call == res.Call {
-		m.stored(now, t, res)
+	if lk != nil && lk.call == res.Call {
+		m.rowAnswered(now, lk, res)
 	}
 }
 
 func (m *Quarantine) tick(now time.Time) {
 	m.facts.expire(now)
-	if !now.Before(m.syncBy) {
-		m.sync(now)
+	if !now.Before(m.syncDeadline) {
+		m.finishSync(now)
 	}
-	for _, no := range slices.Sorted(maps.Keys(m.byNo)) {
-		t := m.byNo[no]
-		if m.turns[t.fp] != t {
-			delete(m.byNo, no)
+	for _, id := range slices.Sorted(maps.Keys(m.locksByID)) {
+		lk := m.locksByID[id]
+		if m.locks[lk.fp] != lk {
+			delete(m.locksByID, id)
 			continue
 		}
-		m.wake(now, t)
+		m.checkTimer(now, lk)
 	}
-	for _, seq := range slices.Sorted(maps.Keys(m.spreading)) {
-		m.spreadAgain(now, m.spreading[seq])
+	for _, seq := range slices.Sorted(maps.Keys(m.propagations)) {
+		m.resend(now, m.propagations[seq])
 	}
-	if !now.Before(m.nextScan) && m.scanning == 0 {
-		m.scanning = m.store(store.Scan{Table: Table}, store.ClassBackground)
+	if !now.Before(m.nextScan) && m.scanCall == 0 {
+		m.scanCall = m.callStore(store.Scan{Table: Table}, store.ClassBackground)
 	}
 	if !now.Before(m.nextScan) {
 		m.nextScan = now.Add(m.cfg.ScanInterval)
 	}
 	if !now.Before(m.nextSync) {
 		m.nextSync = now.Add(m.cfg.SyncInterval)
-		m.compare(1)
+		m.sendDigest(1)
 	}
 }
--- a/coordination/quarantine/message.go
+++ b/coordination/quarantine/message.go
@@ -2,18 +2,18 @@
 
 import "github.com/hibiscuswick/hibiscuswick/state"
 
-// Message is Tell, Ack or Compare.
+// Message is FactUpdate, Ack or FactDigest.
 type Message interface {
 	message()
 }
 
-// Tell carries facts. All of them may come twice, late and in any order.
+// FactUpdate carries facts. They may be delivered repeatedly, late and in any order.
 type FactUpdate struct {
-	Seq         uint64            `msgpack:"q,omitempty"` // to be answered by an Ack; 0: not to be
-	Deaths      []Death           `msgpack:"d,omitempty"`
-	Implicated  []Implication     `msgpack:"i,omitempty"`
-	Cleared     []Implication     `msgpack:"c,omitempty"`
-	Quarantined []QuarantineEntry `msgpack:"v,omitempty"`
+	Seq         uint64        `msgpack:"q,omitempty"` // an Ack is required unless 0
+	Deaths      []Death       `msgpack:"d,omitempty"`
+	Implicated  []Implication `msgpack:"i,omitempty"`
+	Cleared     []Implication `msgpack:"c,omitempty"`
+	Quarantined []Entry       `msgpack:"v,omitempty"`
 }
 
 // Death is one daemon's observation of a backend server's death.
@@ -24,25 +24,25 @@
 	AgeMillis uint32              `msgpack:"a"`
 }
 
-// Implication says that Fingerprint ran where Death happened.
+// Implication reports that Fingerprint ran where Death happened.
 type Implication struct {
 	Fingerprint Fingerprint `msgpack:"f"`
 	Death       uint64      `msgpack:"d"`
 }
 
-// Conviction says that Fingerprint is refused until then, in seconds since 1970.
-type QuarantineEntry struct {
+// Entry reports that Fingerprint is refused until Until, in seconds since 1970.
+type Entry struct {
 	Fingerprint Fingerprint `msgpack:"f"`
 	Until       int64       `msgpack:"u"`
 }
 
-// Ack says that the facts of the Tell of that Seq are known.
+// Ack acknowledges the FactUpdate with the same Seq.
 type Ack struct {
 	Seq uint64 `msgpack:"q"`
 }
 
-// Compare carries a digest of the sender's facts; a receiver with another
-// digest tells all of its own, one with the same an empty Tell.
+// FactDigest carries a digest of the sender's facts. A receiver with a different digest
+// answers with all of its facts, one with the same digest with an empty FactUpdate.
 type FactDigest struct {
 	Digest uint64 `msgpack:"d"`
 }
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -14,23 +14,23 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// repeat sends content from now on, at any daemon, again as soon as the caller
-// is told that it failed; refused, it tries again two seconds later.
-func (w *world) repeat(content string, crashes bool, count map[string]int) {
-	w.request(w.rng.IntN(len(w.nodes)), content, crashes, func(how string) {
+// sendRepeatedly sends content at random daemons, again as soon as the caller learns
+// that it failed, and two seconds later if it was refused.
+func (w *simulation) sendRepeatedly(content string, crashes bool, count map[string]int) {
+	w.request(w.rng.IntN(len(w.entryDaemons)), content, crashes, func(how string) {
 		count[how]++
 		switch how {
 		case "completed":
 		case "refused":
-			w.at(w.now.Add(2*time.Second), func() { w.repeat(content, crashes, count) })
+			w.schedule(w.now.Add(2*time.Second), func() { w.sendRepeatedly(content, crashes, count) })
 		default:
-			w.repeat(content, crashes, count)
+			w.sendRepeatedly(content, crashes, count)
 		}
 	})
 }
 
-// background keeps n innocent requests running, each of its own content.
-func (w *world) background(n int) *int {
+// background keeps n harmless requests in flight, each with its own content.
+func (w *simulation) background(n int) *int {
 	completed := new(int)
 	serial := 0
 	var next func()
@@ -45,142 +45,143 @@
 				next()
 				return
 			case "refused":
-				w.wronged++
+				w.falseRefusals++
 				next()
 				return
 			}
-			w.request(w.rng.IntN(len(w.nodes)), content, false, again)
+			w.request(w.rng.IntN(len(w.entryDaemons)), content, false, again)
 		}
-		w.request(w.rng.IntN(len(w.nodes)), content, false, again)
+		w.request(w.rng.IntN(len(w.entryDaemons)), content, false, again)
 	}
 	for range n {
-		w.at(w.now, next)
+		w.schedule(w.now, next)
 	}
 	return completed
 }
 
 func TestNoContentCrashesTwiceAlone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), 5, 8, 2, quarantine.Config{})
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), 5, 8, 2, quarantine.Config{})
 		w.loss = rapid.SampledFrom([]float64{0, 0, 0.3}).Draw(t, "loss")
 		callers := rapid.IntRange(1, 3).Draw(t, "callers")
 		w.background(8)
 		count := make(map[string]int)
 		for range callers {
-			w.at(epoch.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "at ms"))*time.Millisecond), func() { w.repeat("bad", true, count) })
+			w.schedule(epoch.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "at ms"))*time.Millisecond), func() { w.sendRepeatedly("bad", true, count) })
 		}
 		kills := rapid.IntRange(0, 2).Draw(t, "kills")
 		for range kills {
 			i := rapid.IntRange(0, 4).Draw(t, "daemon")
-			w.at(epoch.Add(time.Duration(rapid.IntRange(0, 9000).Draw(t, "kill ms"))*time.Millisecond), func() { w.kill(i) })
+			w.schedule(epoch.Add(time.Duration(rapid.IntRange(0, 9000).Draw(t, "kill ms"))*time.Millisecond), func() { w.kill(i) })
 		}
 		pauses := rapid.IntRange(0, 2).Draw(t, "pauses")
 		for range pauses {
 			i := rapid.IntRange(0, 4).Draw(t, "daemon")
 			d := time.Duration(rapid.IntRange(10, 4000).Draw(t, "pause for ms")) * time.Millisecond
-			w.at(epoch.Add(time.Duration(rapid.IntRange(0, 9000).Draw(t, "pause ms"))*time.Millisecond), func() { w.nodes[i].pausedTo = w.now.Add(d) })
+			w.schedule(epoch.Add(time.Duration(rapid.IntRange(0, 9000).Draw(t, "pause ms"))*time.Millisecond), func() { w.entryDaemons[i].pausedUntil = w.now.Add(d) })
 		}
 		if rapid.Bool().Draw(t, "outage") {
 			from := time.Duration(rapid.IntRange(0, 5000).Draw(t, "down ms")) * time.Millisecond
-			w.at(epoch.Add(from), func() { w.storeDown = true })
-			w.at(epoch.Add(from+4*time.Second), func() { w.storeDown = false })
+			w.schedule(epoch.Add(from), func() { w.storeDown = true })
+			w.schedule(epoch.Add(from+4*time.Second), func() { w.storeDown = false })
 		}
 		w.run(40 * time.Second)
-		if w.alone["bad"] > 1 {
-			t.Fatalf("%d crashes alone", w.alone["bad"])
+		if w.exclusiveCrashes["bad"] > 1 {
+			t.Fatalf("%d exclusive crashes", w.exclusiveCrashes["bad"])
 		}
-		if w.aloneBeside > 0 {
-			t.Fatalf("%d runs alone were not", w.aloneBeside)
+		if w.sharedExclusiveRuns > 0 {
+			t.Fatalf("%d exclusive runs shared their replica", w.sharedExclusiveRuns)
 		}
-		// Each caller can have one run begin before its daemon knows, and one more
-		// each time that its daemon dies: it is cut off while the run goes on, and
-		// repeats it. A daemon that is paused may keep one more from knowing.
-		if bound := callers + 1 + count["cut off"] + pauses; w.loss == 0 && w.crashes["bad"] > bound {
+		// Each caller can have one run start before its daemon knows of the crash, and
+		// one more each time that its daemon dies: the caller is disconnected while the
+		// run goes on, and repeats it. A daemon that is paused may keep one more daemon
+		// uninformed.
+		if bound := callers + 1 + count["disconnected"] + pauses; w.loss == 0 && w.crashes["bad"] > bound {
 			t.Fatalf("%d crashes, at most %d expected", w.crashes["bad"], bound)
 		}
 	})
 }
 
 var _ = Describe("A request crashes each replica that runs it", Label("failure:request-crashes-servers"), func() {
-	// A caller's request kills the replica that runs it, and the callers beside
-	// it see their answers break off. The caller sends it again, under another
-	// idempotency key and through another daemon, for a minute.
-	It("is refused everywhere after its second crash, and its neighbours run on", func() {
+	// A caller's request crashes the replica that runs it, and other callers lose their
+	// answers there. The caller repeats it for a minute with other idempotency keys and
+	// through other daemons.
+	It("is refused everywhere after its second crash while other requests continue", func() {
 		worst, stillSuspected := 0, 0
 		for seed := range uint64(8) {
-			w := newWorld(seed, 9, 12, 3, quarantine.Config{})
+			w := newSimulation(seed, 9, 12, 3, quarantine.Config{})
 			completed := w.background(20)
 			count := make(map[string]int)
-			w.repeat("bad", true, count)
+			w.sendRepeatedly("bad", true, count)
 			w.run(time.Minute)
 			worst = max(worst, w.crashes["bad"])
 			Expect(w.crashes["bad"]).To(BeNumerically("<=", 2))
 			Expect(count["refused"]).To(BeNumerically(">", 5))
 			Expect(*completed).To(BeNumerically(">", 2000))
 			for i := range *completed {
-				innocent := fp(fmt.Sprint("innocent ", i))
-				for _, n := range w.nodes {
-					if n.m.Suspected(innocent) {
+				harmless := fp(fmt.Sprint("innocent ", i))
+				for _, n := range w.entryDaemons {
+					if n.machine.Suspected(harmless) {
 						stillSuspected++
 					}
 				}
 			}
 		}
-		AddReportEntry(fmt.Sprintf("8 runs of a minute: at most %d crashes each; innocents still suspected at the end: %d",
+		AddReportEntry(fmt.Sprintf("8 runs of a minute: at most %d crashes each; harmless contents still suspected at the end: %d",
 			worst, stillSuspected), ReportEntryVisibilityAlways)
 		Expect(stillSuspected).To(BeZero())
 	})
 
-	// Five callers send it at the same moment through five daemons. What runs
-	// before anyone knows crashes; after that only one run alone does.
-	It("crashes once more than there were first runs when sent at once by many", func() {
+	// Five callers send the content at the same moment through five daemons. The runs
+	// that start before any daemon knows crash; after that only one exclusive run does.
+	It("crashes at most once more than the number of first runs when many callers send it at once", func() {
 		for seed := range uint64(20) {
-			w := newWorld(seed, 9, 12, 3, quarantine.Config{})
+			w := newSimulation(seed, 9, 12, 3, quarantine.Config{})
 			w.background(10)
 			count := make(map[string]int)
 			for range 5 {
-				w.repeat("bad", true, count)
+				w.sendRepeatedly("bad", true, count)
 			}
 			w.run(30 * time.Second)
-			Expect(w.alone["bad"]).To(BeNumerically("<=", 1))
+			Expect(w.exclusiveCrashes["bad"]).To(BeNumerically("<=", 1))
 			Expect(w.crashes["bad"]).To(BeNumerically("<=", 6))
 		}
 	})
 
-	// The daemon that runs the suspect alone dies with the outcome: nobody can
-	// tell whether the replica crashed.
-	It("is not run again when the daemon that held the turn died", Label("failure:daemon-dies-mid-stream"), func() {
+	// The daemon that runs the suspected content exclusively dies, so the result of the
+	// run is unknown.
+	It("is not run again after the daemon that held the lock died", Label("failure:daemon-dies-mid-stream"), func() {
 		for seed := range uint64(20) {
-			w := newWorld(seed, 5, 12, 3, quarantine.Config{})
+			w := newSimulation(seed, 5, 12, 3, quarantine.Config{})
 			count := make(map[string]int)
-			w.repeat("bad", true, count)
-			for w.crashes["bad"] < 1 || !w.anyAlone() {
+			w.sendRepeatedly("bad", true, count)
+			for w.crashes["bad"] < 1 || !w.anyExclusive() {
 				w.run(10 * time.Millisecond)
 			}
-			for i, n := range w.nodes {
+			for i, n := range w.entryDaemons {
 				for _, r := range w.replicas {
 					for _, j := range r.runs {
-						if r.alone && j.n == n {
+						if r.exclusive && j.daemon == n {
 							w.kill(i)
 						}
 					}
 				}
 			}
 			w.run(40 * time.Second)
-			Expect(w.alone["bad"]).To(BeNumerically("<=", 1))
+			Expect(w.exclusiveCrashes["bad"]).To(BeNumerically("<=", 1))
 			Expect(w.crashes["bad"]).To(BeNumerically("<=", 2))
 			Expect(count["refused"]).To(BeNumerically(">", 0))
 		}
 	})
 
-	// The table service is down when the suspect comes again: no run alone can
-	// be agreed on, so it waits, and all other work goes on.
+	// The table service is down when the suspected content arrives again. Daemons
+	// cannot agree on an exclusive run, so it waits while all other work goes on.
 	It("waits while the store is down", Label("failure:store-down"), func() {
-		w := newWorld(3, 9, 12, 3, quarantine.Config{})
+		w := newSimulation(3, 9, 12, 3, quarantine.Config{})
 		completed := w.background(10)
 		count := make(map[string]int)
 		w.storeDown = true
-		w.repeat("bad", true, count)
+		w.sendRepeatedly("bad", true, count)
 		w.run(20 * time.Second)
 		Expect(w.crashes["bad"]).To(Equal(1))
 		Expect(*completed).To(BeNumerically(">", 200))
@@ -191,14 +192,15 @@
 	})
 })
 
-var _ = Describe("Backend servers die of themselves", Label("failure:request-crashes-servers"), func() {
-	// A replica of twelve dies every five seconds, thousands of times as often as
-	// planned for, with nobody to blame. What ran there comes again and must not
-	// be refused, unless its replica dies once more while it runs alone.
-	It("hardly ever convicts an innocent", func() {
-		deaths, completed, wronged := 0, 0, 0
+var _ = Describe("Backend servers die for reasons of their own", Label("failure:request-crashes-servers"), func() {
+	// One of twelve replicas dies every five seconds, thousands of times as often as
+	// planned for, without any content that causes it. Contents that ran there are
+	// repeated and must not be refused, unless their replica dies once more during the
+	// exclusive run.
+	It("hardly ever quarantines a harmless content", func() {
+		deaths, completed, refused := 0, 0, 0
 		for seed := range uint64(5) {
-			w := newWorld(seed, 9, 12, 3, quarantine.Config{})
+			w := newSimulation(seed, 9, 12, 3, quarantine.Config{})
 			done := w.background(20)
 			for range 24 {
 				w.run(5 * time.Second)
@@ -206,17 +208,17 @@
 				deaths++
 			}
 			completed += *done
-			wronged += w.wronged
+			refused += w.falseRefusals
 		}
-		AddReportEntry(fmt.Sprintf("%d deaths, %d requests completed, %d refused", deaths, completed, wronged),
+		AddReportEntry(fmt.Sprintf("%d deaths, %d requests completed, %d refused", deaths, completed, refused),
 			ReportEntryVisibilityAlways)
-		Expect(wronged).To(BeNumerically("<=", 2))
+		Expect(refused).To(BeNumerically("<=", 2))
 	})
 })
 
-var _ = Describe("The word of a death", func() {
+var _ = Describe("The report of a death", func() {
 	DescribeTable("reaches every daemon within seconds", func(daemons int) {
-		w := newWorld(4, daemons, 4, 1, quarantine.Config{})
+		w := newSimulation(4, daemons, 4, 1, quarantine.Config{})
 		w.run(2 * time.Second)
 		w.request(0, "bad", true, func(string) {})
 		for w.crashes["bad"] == 0 {
@@ -226,8 +228,8 @@
 		from := w.now
 		missing := func() int {
 			n := 0
-			for _, other := range w.nodes {
-				if !other.m.Suspected(fp("bad")) {
+			for _, other := range w.entryDaemons {
+				if !other.machine.Suspected(fp("bad")) {
 					n++
 				}
 			}
@@ -237,21 +239,21 @@
 			w.run(time.Millisecond)
 		}
 		most := w.now.Sub(from)
-		told := w.messages
+		sent := w.messages
 		for missing() > 0 && w.now.Sub(from) < time.Minute {
 			w.run(time.Millisecond)
 		}
-		AddReportEntry(fmt.Sprintf("%d daemons: 99 in 100 after %v and %d messages, all after %v", daemons, most, told, w.now.Sub(from)),
+		AddReportEntry(fmt.Sprintf("%d daemons: 99 in 100 after %v and %d messages, all after %v", daemons, most, sent, w.now.Sub(from)),
 			ReportEntryVisibilityAlways)
 		Expect(missing()).To(BeZero())
 	}, Entry("9", 9), Entry("50", 50), Entry("150", 150), Entry("420", 420))
 })
 
 var _ = Describe("A rack fails", Label("failure:request-crashes-servers"), func() {
-	// Twenty replicas of a failure domain die within a second, each running ten
-	// contents, among them one that runs everywhere. None of them is to blame.
+	// Twenty replicas of a failure domain die within a second. Each ran ten contents,
+	// one of which ran everywhere. No content caused the deaths.
 	DescribeTable("implicates few of what ran there", func(burst, most int) {
-		w := newWorld(8, 9, 40, 2, quarantine.Config{BurstReplicas: burst})
+		w := newSimulation(8, 9, 40, 2, quarantine.Config{BurstReplicas: burst})
 		var contents []string
 		for i, r := range w.replicas {
 			for k := range 10 {
@@ -260,22 +262,22 @@
 					c = "popular"
 				}
 				contents = append(contents, c)
-				n := w.nodes[w.rng.IntN(9)]
+				n := w.entryDaemons[w.rng.IntN(9)]
 				w.seq++
-				j := &job{content: c, n: n, run: quarantine.RunID(w.seq), r: r}
+				j := &job{content: c, daemon: n, run: quarantine.RunID(w.seq), target: r}
 				r.runs[j.run] = j
 				w.step(n, quarantine.RunStarted{Run: j.run, Fingerprint: fp(c), Replica: r.id})
 			}
 		}
 		for _, r := range w.replicas {
 			if r.domain == "d0" {
-				w.at(w.now.Add(w.millis(0, 1000)), func() { w.crash(r) })
+				w.schedule(w.now.Add(w.randomDelay(0, 1000)), func() { w.crash(r) })
 			}
 		}
 		w.run(3 * time.Second)
 		suspected := 0
 		for _, c := range contents {
-			if w.nodes[0].m.Suspected(fp(c)) {
+			if w.entryDaemons[0].machine.Suspected(fp(c)) {
 				suspected++
 			}
 		}
@@ -283,14 +285,14 @@
 			ReportEntryVisibilityAlways)
 		Expect(suspected).To(BeNumerically("<=", most))
 	},
-		Entry("with the discount", 4, 40),
-		Entry("without it", 1000, 220),
+		Entry("with burst detection", 4, 40),
+		Entry("without burst detection", 1000, 220),
 	)
 })
 
-func (w *world) anyAlone() bool {
+func (w *simulation) anyExclusive() bool {
 	for _, r := range w.replicas {
-		if r.alone {
+		if r.exclusive {
 			return true
 		}
 	}
--- a/coordination/quarantine/record.go
+++ b/coordination/quarantine/record.go
@@ -8,47 +8,48 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Table holds a row for each content that was run alone, by Fingerprint.String.
+// Table holds a row for each content that was run exclusively, keyed by
+// Fingerprint.String.
 const Table = "quarantine"
 
-// recordState says what a row stands for.
+// recordState is the state of a row.
 type recordState string
 
 const (
-	stateTaken     recordState = "taken"     // Holder runs the content alone, or may
-	stateFree      recordState = "free"      // nobody does; the last run did not convict it
-	stateConvicted recordState = "convicted" // it is refused until Until
+	stateLocked      recordState = "taken"     // Holder runs the content exclusively, or may do so
+	stateFree        recordState = "free"      // no daemon holds the lock; the last run did not quarantine the content
+	stateQuarantined recordState = "convicted" // the content is refused until Until
 )
 
-// record is a row's value, as JSON.
+// record is the value of a row, encoded as JSON.
 type record struct {
-	State  recordState  `json:"state"`
-	Holder state.Member `json:"holder"`
-	Turn   uint64       `json:"turn"` // of Holder
-	Until  int64        `json:"until,omitempty"`
-	Proved bool         `json:"proved,omitempty"`
-	At     int64        `json:"at"` // seconds since 1970
+	State     recordState  `json:"state"`
+	Holder    state.Member `json:"holder"`
+	Lock      uint64       `json:"turn"` // lock ID at Holder
+	Until     int64        `json:"until,omitempty"`
+	Confirmed bool         `json:"proved,omitempty"`
+	At        int64        `json:"at"` // seconds since 1970
 }
 
-// expired reports whether r is a conviction that no longer holds.
+// expired reports whether r is a quarantine entry that is no longer in force.
 func (r record) expired(now time.Time) bool {
-	return r.State == stateConvicted && !time.Unix(r.Until, 0).After(now)
+	return r.State == stateQuarantined && !time.Unix(r.Until, 0).After(now)
 }
 
 func (r record) encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic("quarantine: a record of plain fields does not encode: " + err.Error())
+		panic("quarantine: encoding a record failed: " + err.Error())
 	}
 	return b
 }
 
-// decodeRecord reads a row. One that can't be read counts as taken by nobody
-// alive: no run is based on it, and it becomes a conviction in time.
+// decodeRecord decodes a row. An undecodable row counts as locked by no live daemon: no
+// run is based on it, and it turns into a quarantine entry in time.
 func decodeRecord(row store.Row) record {
 	var r record
 	if json.Unmarshal(row.Value, &r) != nil {
-		return record{State: stateTaken}
+		return record{State: stateLocked}
 	}
 	return r
 }
--- a/coordination/quarantine/spread.go
+++ b/coordination/quarantine/spread.go
@@ -8,46 +8,48 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// resends is how often a Tell that was not acknowledged is sent in SpreadWait.
-const resends = 4
+// sendsPerPropagation is how often an unacknowledged FactUpdate is sent within
+// PropagationTimeout.
+const sendsPerPropagation = 4
 
-// spreading is a Tell that waits for its Acks.
-type spreading struct {
-	seq     uint64
-	tell    FactUpdate
-	replica state.ReplicaID // empty: nobody waits for Spread
-	missing []state.DaemonID
-	again   time.Time
-	until   time.Time
+// propagation is a FactUpdate that waits for its Acks.
+type propagation struct {
+	seq            uint64
+	update         FactUpdate
+	replica        state.ReplicaID // if empty, no request waits for DeathPropagated
+	unacknowledged []state.DaemonID
+	resendAt       time.Time
+	deadline       time.Time
 }
 
-// tell sends news to the others: to all while they are few, else to Direct of
-// them, who tell them on.
-func (m *Quarantine) tell(now time.Time, news FactUpdate, replica state.ReplicaID) {
-	if news.empty() {
+// broadcast sends facts to the other daemons: to all if they are few, else to
+// DirectFanout of them, which forward them.
+func (m *Quarantine) broadcast(now time.Time, added FactUpdate, replica state.ReplicaID) {
+	if added.empty() {
 		return
 	}
 	m.lastSeq++
-	news.Seq = m.lastSeq
-	s := &spreading{
-		seq:     m.lastSeq,
-		tell:    news,
-		replica: replica,
-		missing: m.some(m.cfg.DirectFanout),
-		again:   now.Add(m.cfg.PropagationTimeout / resends),
-		until:   now.Add(m.cfg.PropagationTimeout),
-	}
-	m.spreading[s.seq] = s
-	for _, to := range s.missing {
-		m.send(to, news)
-	}
-	m.spreadDone(now, s)
+	added.Seq = m.lastSeq
+	s := &propagation{
+		seq:            m.lastSeq,
+		update:         added,
+		replica:        replica,
+		unacknowledged: m.randomPeers(m.cfg.DirectFanout),
+		resendAt:       now.Add(m.cfg.PropagationTimeout / sendsPerPropagation),
+		deadline:       now.Add(m.cfg.PropagationTimeout),
+	}
+	m.propagations[s.seq] = s
+	for _, to := range s.unacknowledged {
+		m.send(to, added)
+	}
+	m.checkPropagated(now, s)
 }
 
-// some picks up to n other daemons at random; all of them if there are no more.
-func (m *Quarantine) some(n int) []state.DaemonID {
+// randomPeers returns up to n other daemons chosen at random, or all of them if there
+// are no more.
+func (m *Quarantine) randomPeers(n int) []state.DaemonID {
 	var ids []state.DaemonID
-	for _, l := range m.live {
+	for _, l := range m.livePeers {
 		ids = append(ids, l.ID)
 	}
 	if len(ids) > n {
@@ -58,87 +60,89 @@
 }
 
 func (m *Quarantine) send(to state.DaemonID, msg Message) {
-	m.out = append(m.out, Send{To: to, Msg: msg})
+	m.actions = append(m.actions, Send{To: to, Msg: msg})
 }
 
-func (m *Quarantine) spreadAgain(now time.Time, s *spreading) {
-	if now.Before(s.again) {
+func (m *Quarantine) resend(now time.Time, s *propagation) {
+	if now.Before(s.resendAt) {
 		return
 	}
-	s.again = now.Add(m.cfg.PropagationTimeout / resends)
-	if now.Before(s.until) {
-		for _, to := range s.missing {
-			m.send(to, s.tell)
+	s.resendAt = now.Add(m.cfg.PropagationTimeout / sendsPerPropagation)
+	if now.Before(s.deadline) {
+		for _, to := range s.unacknowledged {
+			m.send(to, s.update)
 		}
 	}
-	m.spreadDone(now, s)
+	m.checkPropagated(now, s)
 }
 
-func (m *Quarantine) spreadDone(now time.Time, s *spreading) {
-	if len(s.missing) > 0 && now.Before(s.until) {
+func (m *Quarantine) checkPropagated(now time.Time, s *propagation) {
+	if len(s.unacknowledged) > 0 && now.Before(s.deadline) {
 		return
 	}
-	delete(m.spreading, s.seq)
+	delete(m.propagations, s.seq)
 	if s.replica != "" {
-		m.out = append(m.out, DeathPropagated{Replica: s.replica})
+		m.actions = append(m.actions, DeathPropagated{Replica: s.replica})
 	}
 }
 
 func (m *Quarantine) receive(now time.Time, from state.Member, msg Message) {
 	switch msg := msg.(type) {
 	case FactUpdate:
-		m.told(now, from, msg)
+		m.receiveFacts(now, from, msg)
 	case Ack:
-		if s := m.spreading[msg.Seq]; s != nil {
-			s.missing = slices.DeleteFunc(s.missing, func(id state.DaemonID) bool { return id == from.ID })
-			m.spreadDone(now, s)
+		if s := m.propagations[msg.Seq]; s != nil {
+			s.unacknowledged = slices.DeleteFunc(s.unacknowledged, func(id state.DaemonID) bool { return id == from.ID })
+			m.checkPropagated(now, s)
 		}
 	case FactDigest:
 		var t FactUpdate
 		if msg.Digest != m.facts.digest {
-			t = m.facts.all(now)
+			t = m.facts.snapshot(now)
 		}
 		m.send(from.ID, t)
 	}
 }
 
-// told takes in facts and, in a large fleet, tells on what was new. Each daemon
-// does so once for each fact, so that the telling ends.
-func (m *Quarantine) told(now time.Time, from state.Member, t FactUpdate) {
-	news := m.facts.merge(now, t)
+// receiveFacts merges facts and, in a large cluster, forwards those that were new. Each
+// daemon forwards a fact once, so that forwarding terminates.
+func (m *Quarantine) receiveFacts(now time.Time, from state.Member, t FactUpdate) {
+	added := m.facts.merge(now, t)
 	if t.Seq != 0 {
 		m.send(from.ID, Ack{Seq: t.Seq})
 	} else {
-		m.sync(now)
+		m.finishSync(now)
 	}
-	if news.empty() || len(m.live) <= m.cfg.DirectFanout {
+	if added.empty() || len(m.livePeers) <= m.cfg.DirectFanout {
 		return
 	}
-	for _, to := range m.some(m.cfg.ForwardFanout) {
-		m.send(to, news)
+	for _, to := range m.randomPeers(m.cfg.ForwardFanout) {
+		m.send(to, added)
 	}
 }
 
-// members takes a new view; a daemon that sees its first asks for the facts.
-func (m *Quarantine) members(now time.Time, live []state.Member) {
-	first := len(m.live) == 0
-	m.live = slices.DeleteFunc(slices.Clone(live), func(l state.Member) bool {
+// setView applies a membership view. On its first view a daemon asks for the others'
+// facts.
+func (m *Quarantine) setView(now time.Time, live []state.Member) {
+	first := len(m.livePeers) == 0
+	m.livePeers = slices.DeleteFunc(slices.Clone(live), func(l state.Member) bool {
 		return l.ID == m.cfg.Self.ID
 	})
-	for _, s := range m.spreading {
-		s.missing = slices.DeleteFunc(s.missing, func(id state.DaemonID) bool {
-			return !slices.ContainsFunc(m.live, func(l state.Member) bool { return l.ID == id })
+	for _, s := range m.propagations {
+		s.unacknowledged = slices.DeleteFunc(s.unacknowledged, func(id state.DaemonID) bool {
+			return !slices.ContainsFunc(m.livePeers, func(l state.Member) bool { return l.ID == id })
 		})
 	}
 	if first {
-		m.compare(2)
+		m.sendDigest(2)
 		m.nextSync = now.Add(m.cfg.SyncInterval)
 	}
 }
 
-// compare lets n others send what they know and this daemon may not.
-func (m *Quarantine) compare(n int) {
-	for _, to := range m.some(n) {
+// sendDigest makes n other daemons send the facts that they have and this daemon may
+// lack.
+func (m *Quarantine) sendDigest(n int) {
+	for _, to := range m.randomPeers(n) {
 		m.send(to, FactDigest{Digest: m.facts.digest})
 	}
 }
--- a/coordination/quarantine/turn.go
+++ b/coordination/quarantine/turn.go
@@ -7,222 +7,223 @@
 	"github.com/hibiscuswick/hibiscuswick/coordination/store"
 )
 
-// goneAfter is how many polls a turn stands unchanged, its holder not among
-// the live members, until the holder is taken for dead.
-const goneAfter = 20
+// deadHolderPolls is the number of polls for which a lock must remain unchanged, while
+// its holder is not among the live members, until the holder counts as dead.
+const deadHolderPolls = 20
 
-// phase is where a daemon stands with one content's turn.
+// phase is the state of this daemon's use of the lock for one content.
 type phase uint8
 
 const (
-	phaseSeeking phase = iota // reads the row and tries to take it
-	phaseHeld                 // the row is ours; a run alone is permitted
-	phaseJudging              // the run's replica died; waiting to see a burst
-	phaseEnding               // the row is to become target
+	phaseAcquiring     phase = iota // reads the row and tries to lock it
+	phaseHeld                       // this daemon holds the row; an exclusive run is permitted
+	phaseAwaitingBurst              // the run's replica died; waiting for signs of a burst
+	phaseReleasing                  // the row is being set to target
 )
 
-// turn is this daemon's part in the turn for one content. At most one call to
-// the table service is open at any time.
-type turn struct {
-	no      uint64
-	fp      Fingerprint
-	phase   phase
-	waiting []uint64 // calls of Ask
-	call    store.CallID
-	writing bool   // call is a write
-	target  record // what the newest write makes of the row
-	rev     uint64 // of the row when it was last seen
-	wakeAt  time.Time
-
-	seenRev uint64 // of a turn that another holds
-	seenAt  time.Time
-
-	began     bool
+// lock is this daemon's use of the lock for one content. At most one call to the table
+// service is open at any time.
+type lock struct {
+	id          uint64
+	fp          Fingerprint
+	phase       phase
+	waiting     []uint64 // calls of RunRequested
+	call        store.CallID
+	callIsWrite bool
+	target      record // value of the newest write
+	revision    uint64 // of the row when it was last read
+	wakeAt      time.Time
+
+	watchedRevision uint64 // of a lock that another daemon holds
+	watchedSince    time.Time
+
+	runBegan  bool
 	allowedAt time.Time
-	death     uint64 // of the replica of the run alone
+	death     uint64 // of the replica of the exclusive run
 }
 
-// seek starts, or goes on, trying to take the turn.
-func (m *Quarantine) seek(t *turn) {
-	t.phase = phaseSeeking
-	m.read(t)
+// acquire starts, or continues, to try to take the lock.
+func (m *Quarantine) acquire(lk *lock) {
+	lk.phase = phaseAcquiring
+	m.read(lk)
 }
 
-func (m *Quarantine) read(t *turn) {
-	t.writing = false
-	t.wakeAt = time.Time{}
-	t.call = m.store(store.Get{Table: Table, Key: t.fp.String()}, store.ClassClaim)
-	m.calls[t.call] = t
+func (m *Quarantine) read(lk *lock) {
+	lk.callIsWrite = false
+	lk.wakeAt = time.Time{}
+	lk.call = m.callStore(store.Get{Table: Table, Key: lk.fp.String()}, store.ClassClaim)
+	m.calls[lk.call] = lk
 }
 
-// write makes the row into r if nobody changed it since rev. If the answer is
-// lost the write may land later, but only once: it ends the revision that it
-// and its repeats are conditioned on.
-func (m *Quarantine) write(now time.Time, t *turn, r record) {
+// write sets the row to r if it is unchanged since revision. If the answer is lost, the
+// write may take effect later, but only once: it ends the revision that it and its
+// repeats are conditional on.
+func (m *Quarantine) write(now time.Time, lk *lock, r record) {
 	r.Holder = m.cfg.Self
-	r.Turn = t.no
+	r.Lock = lk.id
 	r.At = now.Unix()
-	t.target = r
-	t.writing = true
-	t.call = m.store(commit(t.fp, t.rev, r), store.ClassClaim)
-	m.calls[t.call] = t
+	lk.target = r
+	lk.callIsWrite = true
+	lk.call = m.callStore(commit(lk.fp, lk.revision, r), store.ClassClaim)
+	m.calls[lk.call] = lk
 }
 
-// stored takes the answer to t's open call.
-func (m *Quarantine) stored(now time.Time, t *turn, res store.Result) {
-	t.call = 0
+// rowAnswered handles the answer to the open call of lk.
+func (m *Quarantine) rowAnswered(now time.Time, lk *lock, res store.Result) {
+	lk.call = 0
 	switch {
-	case res.Status == store.Done && t.writing:
-		t.rev = res.Rows[0].Revision
-		m.landed(now, t)
+	case res.Status == store.Done && lk.callIsWrite:
+		lk.revision = res.Rows[0].Revision
+		m.rowWritten(now, lk)
 	case res.Status == store.Done:
-		m.seen(now, t, res)
+		m.rowRead(now, lk, res)
 	case res.Status == store.Conflict:
-		m.read(t)
+		m.read(lk)
 	default:
-		// Not known whether a write took effect: read it back, not at once,
+		// It is unknown whether a write took effect: read the row back, with a delay
 		// since the store seems to be down.
-		t.wakeAt = now.Add(m.cfg.PollInterval)
+		lk.wakeAt = now.Add(m.cfg.PollInterval)
 	}
 }
 
-// landed goes on after the row became target.
-func (m *Quarantine) landed(now time.Time, t *turn) {
+// rowWritten continues after the row was set to target.
+func (m *Quarantine) rowWritten(now time.Time, lk *lock) {
 	switch {
-	case t.phase == phaseSeeking && t.target.State == stateTaken:
-		m.hold(now, t)
-	case t.phase == phaseSeeking:
-		m.learnConvicted(now, t.fp, time.Unix(t.target.Until, 0), false)
-		m.finish(now, t)
+	case lk.phase == phaseAcquiring && lk.target.State == stateLocked:
+		m.allowNext(now, lk)
+	case lk.phase == phaseAcquiring:
+		m.markQuarantined(now, lk.fp, time.Unix(lk.target.Until, 0), false)
+		m.finish(now, lk)
 	default:
-		m.finish(now, t)
+		m.finish(now, lk)
 	}
 }
 
-// seen goes on after the row was read.
-func (m *Quarantine) seen(now time.Time, t *turn, res store.Result) {
+// rowRead continues after the row was read.
+func (m *Quarantine) rowRead(now time.Time, lk *lock, res store.Result) {
 	row, exists := res.Row()
 	rec := record{State: stateFree}
-	t.rev = 0
+	lk.revision = 0
 	if exists {
 		rec = decodeRecord(row)
-		t.rev = row.Revision
+		lk.revision = row.Revision
 	}
-	mine := exists && rec.Holder == m.cfg.Self && rec.Turn == t.no
-	if t.phase == phaseEnding {
-		m.seenEnding(now, t, rec, mine)
+	mine := exists && rec.Holder == m.cfg.Self && rec.Lock == lk.id
+	if lk.phase == phaseReleasing {
+		m.rowReadReleasing(now, lk, rec, mine)
 		return
 	}
 	switch {
-	case mine && rec.State == stateTaken:
-		m.hold(now, t)
-	case rec.State == stateConvicted && !rec.expired(now):
-		m.learnConvicted(now, t.fp, time.Unix(rec.Until, 0), false)
-		m.finish(now, t)
-	case rec.State == stateTaken:
-		m.await(now, t, rec)
-	case len(t.waiting) == 0 && t.target.State == stateTaken:
-		// A write of ours may still land and would stand as a turn that nobody
-		// ends; another write ends the revision that it needs.
-		m.end(now, t, record{State: stateFree})
-	case len(t.waiting) == 0:
-		m.finish(now, t)
+	case mine && rec.State == stateLocked:
+		m.allowNext(now, lk)
+	case rec.State == stateQuarantined && !rec.expired(now):
+		m.markQuarantined(now, lk.fp, time.Unix(rec.Until, 0), false)
+		m.finish(now, lk)
+	case rec.State == stateLocked:
+		m.awaitHolder(now, lk, rec)
+	case len(lk.waiting) == 0 && lk.target.State == stateLocked:
+		// An earlier write of this daemon may still take effect and would leave a lock
+		// that nobody releases. Another write ends the revision that it needs.
+		m.release(now, lk, record{State: stateFree})
+	case len(lk.waiting) == 0:
+		m.finish(now, lk)
 	default:
-		m.write(now, t, record{State: stateTaken})
+		m.write(now, lk, record{State: stateLocked})
 	}
 }
 
-// seenEnding settles a lost or refused write that was to end our turn. Others
-// may have given the turn up for lost meanwhile; what we know is better.
-func (m *Quarantine) seenEnding(now time.Time, t *turn, rec record, mine bool) {
+// rowReadReleasing resolves a lost or rejected write that was to release the lock.
+// Another daemon may have declared the lock lost in the meantime; the result known here
+// is more reliable.
+func (m *Quarantine) rowReadReleasing(now time.Time, lk *lock, rec record, mine bool) {
 	switch {
-	case mine && rec == t.target:
-		m.finish(now, t)
-	case mine || rec.State == stateConvicted && !rec.Proved:
-		m.write(now, t, t.target)
+	case mine && rec == lk.target:
+		m.finish(now, lk)
+	case mine || rec.State == stateQuarantined && !rec.Confirmed:
+		m.write(now, lk, lk.target)
 	default:
-		m.finish(now, t)
+		m.finish(now, lk)
 	}
 }
 
-// await looks on while another daemon holds the turn. A turn that stands too
-// long, or whose holder died, ended in a way that nobody knows: perhaps with a
-// crash. One more run could be the third crash, so it counts as convicted, for
-// a shorter time than a proved one.
-func (m *Quarantine) await(now time.Time, t *turn, rec record) {
-	if t.rev != t.seenRev {
-		t.seenRev = t.rev
-		t.seenAt = now
+// awaitHolder waits while another daemon holds the lock. A lock that stands too long,
+// or whose holder died, has ended with an unknown result, possibly a crash. One more
+// run could cause the third crash, so the content counts as quarantined, for a shorter
+// time than after a confirmed crash.
+func (m *Quarantine) awaitHolder(now time.Time, lk *lock, rec record) {
+	if lk.revision != lk.watchedRevision {
+		lk.watchedRevision = lk.revision
+		lk.watchedSince = now
 	}
-	stood := now.Sub(t.seenAt)
-	gone := !m.alive(rec.Holder) && stood >= goneAfter*m.cfg.PollInterval
-	if stood >= m.cfg.LockTTL || gone {
-		m.write(now, t, record{State: stateConvicted, Until: now.Add(m.cfg.UnconfirmedTTL).Unix()})
+	unchangedFor := now.Sub(lk.watchedSince)
+	holderDead := !m.isLive(rec.Holder) && unchangedFor >= deadHolderPolls*m.cfg.PollInterval
+	if unchangedFor >= m.cfg.LockTTL || holderDead {
+		m.write(now, lk, record{State: stateQuarantined, Until: now.Add(m.cfg.UnconfirmedTTL).Unix()})
 		return
 	}
-	t.wakeAt = now.Add(m.cfg.PollInterval)
+	lk.wakeAt = now.Add(m.cfg.PollInterval)
 }
 
-// hold lets the first waiting request run alone.
-func (m *Quarantine) hold(now time.Time, t *turn) {
-	if len(t.waiting) == 0 {
-		m.end(now, t, record{State: stateFree})
+// allowNext lets the first waiting request run exclusively.
+func (m *Quarantine) allowNext(now time.Time, lk *lock) {
+	if len(lk.waiting) == 0 {
+		m.release(now, lk, record{State: stateFree})
 		return
 	}
-	t.phase = phaseHeld
-	t.allowedAt = now
-	t.wakeAt = now.Add(m.cfg.LockTTL / 2)
-	m.out = append(m.out, Allow{Call: t.waiting[0], Exclusive: true, Lock: t.no, Until: t.wakeAt})
-	t.waiting = slices.Delete(t.waiting, 0, 1)
+	lk.phase = phaseHeld
+	lk.allowedAt = now
+	lk.wakeAt = now.Add(m.cfg.LockTTL / 2)
+	m.actions = append(m.actions, Allow{Call: lk.waiting[0], Exclusive: true, Lock: lk.id, Until: lk.wakeAt})
+	lk.waiting = slices.Delete(lk.waiting, 0, 1)
 }
 
-// end makes the row into r, whatever it takes.
-func (m *Quarantine) end(now time.Time, t *turn, r record) {
-	t.phase = phaseEnding
-	t.wakeAt = time.Time{}
-	m.write(now, t, r)
+// release sets the row to r and repeats this until it succeeds.
+func (m *Quarantine) release(now time.Time, lk *lock, r record) {
+	lk.phase = phaseReleasing
+	lk.wakeAt = time.Time{}
+	m.write(now, lk, r)
 }
 
-// finish forgets the turn and answers those who still wait anew.
-func (m *Quarantine) finish(now time.Time, t *turn) {
-	delete(m.turns, t.fp)
-	for _, call := range t.waiting {
-		m.ask(now, RunRequested{Call: call, Fingerprint: t.fp})
+// finish drops the lock and handles the requests that still wait anew.
+func (m *Quarantine) finish(now time.Time, lk *lock) {
+	delete(m.locks, lk.fp)
+	for _, call := range lk.waiting {
+		m.admit(now, RunRequested{Call: call, Fingerprint: lk.fp})
 	}
 }
 
-// wake does what is due by time.
-func (m *Quarantine) wake(now time.Time, t *turn) {
-	if t.call != 0 || t.wakeAt.IsZero() || now.Before(t.wakeAt) {
+// checkTimer performs what is due at now.
+func (m *Quarantine) checkTimer(now time.Time, lk *lock) {
+	if lk.call != 0 || lk.wakeAt.IsZero() || now.Before(lk.wakeAt) {
 		return
 	}
-	switch t.phase {
-	case phaseSeeking, phaseEnding:
-		m.read(t)
+	switch lk.phase {
+	case phaseAcquiring, phaseReleasing:
+		m.read(lk)
 	case phaseHeld:
-		t.wakeAt = time.Time{}
-		if !t.began {
-			m.end(now, t, record{State: stateFree})
+		lk.wakeAt = time.Time{}
+		if !lk.runBegan {
+			m.release(now, lk, record{State: stateFree})
 		}
-	case phaseJudging:
-		m.decide(now, t)
+	case phaseAwaitingBurst:
+		m.resolveCrash(now, lk)
 	}
 }
 
-// decide settles on a crash alone once a failure of the whole failure domain
-// would have shown. Until then the row stays taken.
-func (m *Quarantine) decide(now time.Time, t *turn) {
-	if d, known := m.facts.deaths[t.death]; known && m.facts.burst(t.fp, d) {
-		m.end(now, t, record{State: stateFree})
+// resolveCrash decides about an exclusive crash, once a failure of the whole failure
+// domain would have been detected. Until then the row remains locked.
+func (m *Quarantine) resolveCrash(now time.Time, lk *lock) {
+	if d, known := m.facts.deaths[lk.death]; known && m.facts.inBurst(lk.fp, d) {
+		m.release(now, lk, record{State: stateFree})
 		return
 	}
-	m.convict(now, t, m.cfg.QuarantineTTL, true)
+	m.quarantineContent(now, lk, m.cfg.QuarantineTTL, true)
 }
 
-// convict refuses the content from now on, here at once and elsewhere as fast
-// as the word and the row spread.
-func (m *Quarantine) convict(now time.Time, t *turn, life time.Duration, proved bool) {
-	until := now.Add(life)
-	m.learnConvicted(now, t.fp, until, proved)
-	m.end(now, t, record{State: stateConvicted, Until: until.Unix(), Proved: proved})
+// quarantineContent refuses the content from now on, here at once and at other daemons
+// as soon as the update or the row reaches them.
+func (m *Quarantine) quarantineContent(now time.Time, lk *lock, ttl time.Duration, confirmed bool) {
+	until := now.Add(ttl)
+	m.markQuarantined(now, lk.fp, until, confirmed)
+	m.release(now, lk, record{State: stateQuarantined, Until: until.Unix(), Confirmed: confirmed})
 }
--- a/coordination/quarantine/world_test.go
+++ b/coordination/quarantine/world_test.go
@@ -13,61 +13,61 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// world runs daemons, replicas and a table service in virtual time. It counts
-// the crashes of each content by itself.
-type world struct {
+// simulation runs daemons, replicas and a table service in virtual time. It counts the
+// crashes of each content itself.
+type simulation struct {
 	now   time.Time
 	queue events
 	seq   int
 	rng   *rand.Rand
 
-	nodes    []*node
-	replicas []*replica
-	rows     map[string]store.Row
+	entryDaemons []*entryDaemon
+	replicas     []*replica
+	rows         map[string]store.Row
 
 	loss      float64
 	storeDown bool
 	cfg       quarantine.Config
 
-	crashes, alone map[string]int // by content
-	aloneBeside    int            // runs alone that were not
-	wronged        int            // innocents that were refused
-	messages       int
+	crashes, exclusiveCrashes map[string]int // by content
+	sharedExclusiveRuns       int            // exclusive runs beside which another run was present
+	falseRefusals             int            // requests refused although their content does not crash
+	messages                  int
 }
 
-type node struct {
-	member   state.Member
-	m        *quarantine.Quarantine
-	dead     bool
-	pausedTo time.Time
-	wake     time.Time
-	asks     map[uint64]*job
-	waiting  []*job // for Spread
+type entryDaemon struct {
+	member      state.Member
+	machine     *quarantine.Quarantine
+	dead        bool
+	pausedUntil time.Time
+	nextTick    time.Time
+	requests    map[uint64]*job
+	waiting     []*job // for DeathPropagated
 }
 
 type replica struct {
-	id     state.ReplicaID
-	domain state.FailureDomain
-	upAt   time.Time
-	runs   map[quarantine.RunID]*job
-	alone  bool
+	id        state.ReplicaID
+	domain    state.FailureDomain
+	upAgainAt time.Time
+	runs      map[quarantine.RunID]*job
+	exclusive bool
 }
 
-// job is one request of a caller; done is called once, with how it ended.
+// job is one request of a caller. done is called once, with the outcome.
 type job struct {
 	content string
 	crashes bool
-	n       *node
+	daemon  *entryDaemon
 	run     quarantine.RunID
-	r       *replica
-	turn    uint64
+	target  *replica
+	lock    uint64
 	done    func(outcome string)
 }
 
 type event struct {
 	at  time.Time
 	seq int
-	do  func()
+	f   func()
 }
 
 type events []event
@@ -84,10 +84,10 @@
 	return last
 }
 
-func newWorld(seed uint64, daemons, replicas, domains int, cfg quarantine.Config) *world {
-	w := &world{
+func newSimulation(seed uint64, daemons, replicas, domains int, cfg quarantine.Config) *simulation {
+	w := &simulation{
 		now: epoch, rng: rand.New(rand.NewPCG(seed, 5)), rows: make(map[string]store.Row), cfg: cfg,
-		crashes: make(map[string]int), alone: make(map[string]int),
+		crashes: make(map[string]int), exclusiveCrashes: make(map[string]int),
 	}
 	for i := range replicas {
 		w.replicas = append(w.replicas, &replica{
@@ -97,41 +97,41 @@
 		})
 	}
 	for i := range daemons {
-		w.nodes = append(w.nodes, &node{})
-		w.boot(i, 1)
+		w.entryDaemons = append(w.entryDaemons, &entryDaemon{})
+		w.startDaemon(i, 1)
 	}
-	w.tellMembers()
+	w.sendView()
 	return w
 }
 
-func (w *world) boot(i int, life state.Incarnation) {
-	n := &node{member: state.Member{ID: state.DaemonID(fmt.Sprint("entry-", i)), Incarnation: life}, asks: make(map[uint64]*job)}
+func (w *simulation) startDaemon(i int, incarnation state.Incarnation) {
+	n := &entryDaemon{member: state.Member{ID: state.DaemonID(fmt.Sprint("entry-", i)), Incarnation: incarnation}, requests: make(map[uint64]*job)}
 	cfg := w.cfg
 	cfg.Self = n.member
-	n.m = quarantine.New(cfg, w.now, rand.New(rand.NewPCG(w.rng.Uint64(), 9)))
-	w.nodes[i] = n
+	n.machine = quarantine.New(cfg, w.now, rand.New(rand.NewPCG(w.rng.Uint64(), 9)))
+	w.entryDaemons[i] = n
 	w.step(n, quarantine.Tick{})
 }
 
-// kill ends a daemon; what it runs goes on. Its callers are cut off.
-func (w *world) kill(i int) {
-	n := w.nodes[i]
+// kill stops a daemon. Its runs go on, and its callers are disconnected.
+func (w *simulation) kill(i int) {
+	n := w.entryDaemons[i]
 	n.dead = true
 	jobs := n.waiting
 	for _, r := range w.replicas {
 		for _, j := range r.runs {
-			if j.n == n {
+			if j.daemon == n {
 				jobs = append(jobs, j)
 			}
 		}
 	}
-	for _, j := range n.asks {
+	for _, j := range n.requests {
 		jobs = append(jobs, j)
 	}
-	w.boot(i, n.member.Incarnation+1)
-	w.tellMembers()
+	w.startDaemon(i, n.member.Incarnation+1)
+	w.sendView()
 	for _, j := range jobs {
-		j.finish("cut off")
+		j.finish("disconnected")
 	}
 }
 
@@ -142,65 +142,65 @@
 	}
 }
 
-func (w *world) tellMembers() {
+func (w *simulation) sendView() {
 	var live []state.Member
-	for _, n := range w.nodes {
+	for _, n := range w.entryDaemons {
 		live = append(live, n.member)
 	}
-	for _, n := range w.nodes {
-		w.on(w.now, n, func() { w.step(n, quarantine.ViewChanged{Live: live}) })
+	for _, n := range w.entryDaemons {
+		w.scheduleOn(w.now, n, func() { w.step(n, quarantine.ViewChanged{Live: live}) })
 	}
 }
 
-func (w *world) at(t time.Time, do func()) {
+func (w *simulation) schedule(t time.Time, do func()) {
 	w.seq++
 	if t.Before(w.now) {
 		t = w.now
 	}
-	heap.Push(&w.queue, event{at: t, seq: w.seq, do: do})
+	heap.Push(&w.queue, event{at: t, seq: w.seq, f: do})
 }
 
-func (w *world) on(t time.Time, n *node, do func()) {
-	w.at(t, func() {
+func (w *simulation) scheduleOn(t time.Time, n *entryDaemon, do func()) {
+	w.schedule(t, func() {
 		switch {
 		case n.dead:
-		case n.pausedTo.After(w.now):
-			w.on(n.pausedTo, n, do)
+		case n.pausedUntil.After(w.now):
+			w.scheduleOn(n.pausedUntil, n, do)
 		default:
 			do()
 		}
 	})
 }
 
-func (w *world) run(d time.Duration) {
+func (w *simulation) run(d time.Duration) {
 	until := w.now.Add(d)
 	for len(w.queue) > 0 && !w.queue[0].at.After(until) {
 		ev := heap.Pop(&w.queue).(event)
 		w.now = ev.at
-		ev.do()
+		ev.f()
 	}
 	w.now = until
 }
 
-func (w *world) millis(low, high int) time.Duration {
+func (w *simulation) randomDelay(low, high int) time.Duration {
 	return time.Duration(low+w.rng.IntN(high-low)) * time.Millisecond
 }
 
-func (w *world) step(n *node, ev quarantine.Event) {
-	for _, a := range n.m.Step(w.now, ev) {
+func (w *simulation) step(n *entryDaemon, ev quarantine.Event) {
+	for _, a := range n.machine.Step(w.now, ev) {
 		switch a := a.(type) {
 		case quarantine.Send:
 			w.send(n, a)
 		case quarantine.CallStore:
 			w.store(n, a.Call)
 		case quarantine.Allow:
-			j := n.asks[a.Call]
-			delete(n.asks, a.Call)
-			j.turn = a.Lock
+			j := n.requests[a.Call]
+			delete(n.requests, a.Call)
+			j.lock = a.Lock
 			w.dispatch(j, a.Exclusive)
 		case quarantine.Refuse:
-			j := n.asks[a.Call]
-			delete(n.asks, a.Call)
+			j := n.requests[a.Call]
+			delete(n.requests, a.Call)
 			j.finish("refused")
 		case quarantine.DeathPropagated:
 			jobs := n.waiting
@@ -210,49 +210,49 @@
 			}
 		}
 	}
-	if next := n.m.NextTick(); !next.Equal(n.wake) {
-		n.wake = next
-		w.on(next, n, func() {
-			if n.wake.Equal(next) {
-				n.wake = time.Time{}
+	if next := n.machine.NextTick(); !next.Equal(n.nextTick) {
+		n.nextTick = next
+		w.scheduleOn(next, n, func() {
+			if n.nextTick.Equal(next) {
+				n.nextTick = time.Time{}
 				w.step(n, quarantine.Tick{})
 			}
 		})
 	}
 }
 
-func (w *world) send(from *node, a quarantine.Send) {
+func (w *simulation) send(from *entryDaemon, a quarantine.Send) {
 	w.messages++
 	if w.rng.Float64() < w.loss {
 		return
 	}
-	for _, to := range w.nodes {
+	for _, to := range w.entryDaemons {
 		if to.member.ID == a.To {
-			w.on(w.now.Add(w.millis(1, 5)), to, func() {
+			w.scheduleOn(w.now.Add(w.randomDelay(1, 5)), to, func() {
 				w.step(to, quarantine.Received{From: from.member, Msg: a.Msg})
 			})
 		}
 	}
 }
 
-// store answers in a few milliseconds. While it is down no call is answered,
-// and half of the writes land all the same, up to 3 s late.
-func (w *world) store(n *node, c store.Call) {
+// store answers within a few milliseconds. While the store is down no call is answered,
+// but half of the writes still take effect, up to 3 s late.
+func (w *simulation) store(n *entryDaemon, c store.Call) {
 	answer := func(after time.Duration, res store.Result) {
 		res.Call = c.ID
-		w.on(w.now.Add(after), n, func() { w.step(n, quarantine.StoreResult{Result: res}) })
+		w.scheduleOn(w.now.Add(after), n, func() { w.step(n, quarantine.StoreResult{Result: res}) })
 	}
 	if w.storeDown {
 		if w.rng.IntN(2) == 0 {
-			w.at(w.now.Add(w.millis(1, 3000)), func() { w.apply(c) })
+			w.schedule(w.now.Add(w.randomDelay(1, 3000)), func() { w.apply(c) })
 		}
 		answer(200*time.Millisecond, store.Result{})
 		return
 	}
-	w.at(w.now.Add(w.millis(1, 4)), func() { answer(w.millis(1, 4), w.apply(c)) })
+	w.schedule(w.now.Add(w.randomDelay(1, 4)), func() { answer(w.randomDelay(1, 4), w.apply(c)) })
 }
 
-func (w *world) apply(c store.Call) store.Result {
+func (w *simulation) apply(c store.Call) store.Result {
 	res := store.Result{Status: store.Done}
 	switch r := c.Request.(type) {
 	case store.Get:
@@ -282,76 +282,76 @@
 	return quarantine.FingerprintOf("s", "m", "v", content)
 }
 
-// request sends a content to node i.
-func (w *world) request(i int, content string, crashes bool, done func(string)) {
-	n := w.nodes[i]
+// request sends a content to daemon i.
+func (w *simulation) request(i int, content string, crashes bool, done func(string)) {
+	n := w.entryDaemons[i]
 	w.seq++
-	j := &job{content: content, crashes: crashes, n: n, run: quarantine.RunID(w.seq), done: done}
-	n.asks[uint64(w.seq)] = j
+	j := &job{content: content, crashes: crashes, daemon: n, run: quarantine.RunID(w.seq), done: done}
+	n.requests[uint64(w.seq)] = j
 	call := uint64(w.seq)
-	w.on(w.now, n, func() { w.step(n, quarantine.RunRequested{Call: call, Fingerprint: fp(content)}) })
+	w.scheduleOn(w.now, n, func() { w.step(n, quarantine.RunRequested{Call: call, Fingerprint: fp(content)}) })
 }
 
-// dispatch runs j on a replica that is up, empty if alone.
-func (w *world) dispatch(j *job, alone bool) {
+// dispatch runs j on a replica that is up, and idle if the run is exclusive.
+func (w *simulation) dispatch(j *job, exclusive bool) {
 	var free []*replica
 	for _, r := range w.replicas {
-		if !r.upAt.After(w.now) && !r.alone && (!alone || len(r.runs) == 0) {
+		if !r.upAgainAt.After(w.now) && !r.exclusive && (!exclusive || len(r.runs) == 0) {
 			free = append(free, r)
 		}
 	}
 	if len(free) == 0 {
-		w.on(w.now.Add(20*time.Millisecond), j.n, func() { w.dispatch(j, alone) })
+		w.scheduleOn(w.now.Add(20*time.Millisecond), j.daemon, func() { w.dispatch(j, exclusive) })
 		return
 	}
-	j.r = free[w.rng.IntN(len(free))]
-	j.r.alone = alone
-	j.r.runs[j.run] = j
-	w.step(j.n, quarantine.RunStarted{Run: j.run, Fingerprint: fp(j.content), Replica: j.r.id, Lock: j.turn})
-	w.at(w.now.Add(w.millis(50, 500)), func() { w.ran(j, alone) })
+	j.target = free[w.rng.IntN(len(free))]
+	j.target.exclusive = exclusive
+	j.target.runs[j.run] = j
+	w.step(j.daemon, quarantine.RunStarted{Run: j.run, Fingerprint: fp(j.content), Replica: j.target.id, Lock: j.lock})
+	w.schedule(w.now.Add(w.randomDelay(50, 500)), func() { w.finishRun(j, exclusive) })
 }
 
-// ran ends a run: with a crash of its replica or a whole answer.
-func (w *world) ran(j *job, alone bool) {
-	if j.r.runs[j.run] != j {
+// finishRun ends a run with a crash of its replica or with a complete answer.
+func (w *simulation) finishRun(j *job, exclusive bool) {
+	if j.target.runs[j.run] != j {
 		return
 	}
-	if alone && len(j.r.runs) > 1 {
-		w.aloneBeside++
+	if exclusive && len(j.target.runs) > 1 {
+		w.sharedExclusiveRuns++
 	}
 	if j.crashes {
 		w.crashes[j.content]++
-		if alone {
-			w.alone[j.content]++
+		if exclusive {
+			w.exclusiveCrashes[j.content]++
 		}
-		w.crash(j.r)
+		w.crash(j.target)
 		return
 	}
-	delete(j.r.runs, j.run)
-	j.r.alone = false
-	w.on(w.now, j.n, func() {
-		w.step(j.n, quarantine.RunEnded{Run: j.run, Result: quarantine.RunCompleted})
+	delete(j.target.runs, j.run)
+	j.target.exclusive = false
+	w.scheduleOn(w.now, j.daemon, func() {
+		w.step(j.daemon, quarantine.RunEnded{Run: j.run, Result: quarantine.RunCompleted})
 		j.finish("completed")
 	})
 }
 
-// crash ends a replica for 2 s. Every daemon with a run there sees it.
-func (w *world) crash(r *replica) {
+// crash stops a replica for 2 s. Every daemon with a run there detects it.
+func (w *simulation) crash(r *replica) {
 	runs := r.runs
 	r.runs = make(map[quarantine.RunID]*job)
-	r.alone = false
-	r.upAt = w.now.Add(2 * time.Second)
-	for _, n := range w.nodes {
+	r.exclusive = false
+	r.upAgainAt = w.now.Add(2 * time.Second)
+	for _, n := range w.entryDaemons {
 		var mine []*job
 		for _, j := range runs {
-			if j.n == n {
+			if j.daemon == n {
 				mine = append(mine, j)
 			}
 		}
 		if len(mine) == 0 {
 			continue
 		}
-		w.on(w.now.Add(time.Millisecond), n, func() {
+		w.scheduleOn(w.now.Add(time.Millisecond), n, func() {
 			n.waiting = append(n.waiting, mine...)
 			w.step(n, quarantine.BackendDied{Replica: r.id, Domain: r.domain})
 			for _, j := range mine {
