--- a/coordination/home/choose_test.go
+++ b/coordination/home/choose_test.go
@@ -193,8 +193,8 @@
 		}
 		w.request(entry1, "check", 0)
 		w.request(entry1, "check", 0)
-		soon := func(budget, lead time.Duration) func(*home.SlotRequest) {
-			return func(m *home.SlotRequest) { m.Budget, m.FirstTokenLatency = budget, lead }
+		soon := func(budget, latency time.Duration) func(*home.SlotRequest) {
+			return func(m *home.SlotRequest) { m.Budget, m.FirstTokenLatency = budget, latency }
 		}
 		for _, late := range []home.SlotRequestID{
 			w.request(entry1, "check", 0, soon(400*time.Millisecond, 0)),           // 1 ahead of it, 2 slots released per second
