--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -192,7 +192,7 @@
 	})
 })
 
-var _ = Describe("Backend servers die for reasons of their own", Label("failure:request-crashes-servers"), func() {
+var _ = Describe("Backend servers die independently of requests", Label("failure:request-crashes-servers"), func() {
 	// One of twelve replicas dies every five seconds, thousands of times as often as
 	// planned for, without any content that causes it. Contents that ran there are
 	// repeated and must not be refused, unless their replica dies once more during the
