--- a/coordination/route/asks.go
+++ b/coordination/route/asks.go
@@ -17,25 +17,25 @@
 		r.actions = append(r.actions, Refused{ID: w.ID, Reason: state.ReasonNoReplica, RetryAfter: 1})
 		return
 	}
-	a := &slotRequest{acquire: w}
-	r.requests[w.ID] = a
+	req := &slotRequest{acquire: w}
+	r.requests[w.ID] = req
 	r.startTimer(w.Deadline.Add(r.cfg.RefusalGrace), w.ID, false)
-	r.enterPool(now, a, r.poolPicker.pick(now, s, a))
+	r.enterPool(now, req, r.poolPicker.pick(now, s, req))
 }
 
 // enterPool sends the request to a pool that it has not tried before.
-func (r *Router) enterPool(now time.Time, a *slotRequest, p *poolInfo) {
-	a.triedPools = append(a.triedPools, p.spec.ID)
-	a.pool, a.notHomeCount = p.spec.ID, 0
-	p.usage.addWaiting(a.acquire.ID)
-	r.sendRequest(now, a, p)
+func (r *Router) enterPool(now time.Time, req *slotRequest, p *poolInfo) {
+	req.triedPools = append(req.triedPools, p.spec.ID)
+	req.pool, req.notHomeCount = p.spec.ID, 0
+	p.usage.addWaiting(req.acquire.ID)
+	r.sendRequest(now, req, p)
 }
 
 // sendRequest sends the request to the pool's home, with the remaining budget.
-func (r *Router) sendRequest(now time.Time, a *slotRequest, p *poolInfo) {
-	a.home = p.home
+func (r *Router) sendRequest(now time.Time, req *slotRequest, p *poolInfo) {
+	req.home = p.home
 	p.load.sentSince++
-	w := a.acquire
+	w := req.acquire
 	r.send(p.home, home.SlotRequest{
 		ID: w.ID, Pool: p.spec.ID, Class: w.Class, Customer: w.Customer,
 		Budget: max(w.Deadline.Sub(now)-r.cfg.TransitMargin, 0), FirstTokenLatency: w.FirstTokenLatency, Cost: w.Cost, Prefixes: w.Prefixes,
@@ -45,93 +45,93 @@
 
 // resend repeats a request at its pool's current home, or at another pool if no home of
 // that pool can be found.
-func (r *Router) resend(now time.Time, a *slotRequest) {
-	p := r.layout.pools[a.pool]
-	if p == nil || a.notHomeCount > maxNotHomePerPool && r.hasOtherPool(now, a) {
-		r.tryOtherPool(now, a, state.ReasonNoReplica, 1)
+func (r *Router) resend(now time.Time, req *slotRequest) {
+	p := r.layout.pools[req.pool]
+	if p == nil || req.notHomeCount > maxNotHomePerPool && r.hasOtherPool(now, req) {
+		r.tryOtherPool(now, req, state.ReasonNoReplica, 1)
 		return
 	}
-	r.sendRequest(now, a, p)
+	r.sendRequest(now, req, p)
 }
 
-func (r *Router) hasOtherPool(now time.Time, a *slotRequest) bool {
-	s := r.layout.services[a.acquire.Service]
-	return s != nil && len(a.triedPools) < r.cfg.MaxPools && r.poolPicker.pick(now, s, a) != nil
+func (r *Router) hasOtherPool(now time.Time, req *slotRequest) bool {
+	s := r.layout.services[req.acquire.Service]
+	return s != nil && len(req.triedPools) < r.cfg.MaxPools && r.poolPicker.pick(now, s, req) != nil
 }
 
 // tryOtherPool moves a request that its pool cannot serve to another pool that seems to
 // have capacity in time, or ends it with the reason.
-func (r *Router) tryOtherPool(now time.Time, a *slotRequest, reason state.Reason, after state.RetryAfter) {
-	s := r.layout.services[a.acquire.Service]
-	if s == nil || len(a.triedPools) >= r.cfg.MaxPools {
-		r.refuse(a, reason, after)
+func (r *Router) tryOtherPool(now time.Time, req *slotRequest, reason state.Reason, after state.RetryAfter) {
+	s := r.layout.services[req.acquire.Service]
+	if s == nil || len(req.triedPools) >= r.cfg.MaxPools {
+		r.refuse(req, reason, after)
 		return
 	}
-	p := r.poolPicker.pick(now, s, a)
+	p := r.poolPicker.pick(now, s, req)
 	if p == nil {
-		r.refuse(a, reason, after)
+		r.refuse(req, reason, after)
 		return
 	}
 	wait := time.Duration((p.load.score(now, r.cfg.SummaryTTL) - 1) * float64(time.Second))
-	if now.Add(wait).After(a.acquire.Deadline) {
-		r.refuse(a, reason, after)
+	if now.Add(wait).After(req.acquire.Deadline) {
+		r.refuse(req, reason, after)
 		return
 	}
-	r.leavePool(a)
-	r.enterPool(now, a, p)
+	r.leavePool(req)
+	r.enterPool(now, req, p)
 }
 
 // leavePool removes a waiting request from its pool's counters.
-func (r *Router) leavePool(a *slotRequest) {
-	if p := r.layout.pools[a.pool]; p != nil {
-		p.usage.removeWaiting(a.acquire.ID)
+func (r *Router) leavePool(req *slotRequest) {
+	if p := r.layout.pools[req.pool]; p != nil {
+		p.usage.removeWaiting(req.acquire.ID)
 	}
 }
 
 // refuse ends a waiting request with a refusal.
-func (r *Router) refuse(a *slotRequest, reason state.Reason, after state.RetryAfter) {
-	r.leavePool(a)
-	delete(r.requests, a.acquire.ID)
-	r.actions = append(r.actions, Refused{ID: a.acquire.ID, Reason: reason, RetryAfter: after})
+func (r *Router) refuse(req *slotRequest, reason state.Reason, after state.RetryAfter) {
+	r.leavePool(req)
+	delete(r.requests, req.acquire.ID)
+	r.actions = append(r.actions, Refused{ID: req.acquire.ID, Reason: reason, RetryAfter: after})
 }
 
 func (r *Router) cancel(k home.SlotRequestID) {
-	a := r.requests[k]
-	if a == nil || a.held {
+	req := r.requests[k]
+	if req == nil || req.held {
 		return
 	}
-	r.leavePool(a)
+	r.leavePool(req)
 	delete(r.requests, k)
-	r.send(a.home, home.CancelSlotRequest{ID: k, Pool: a.pool})
+	r.send(req.home, home.CancelSlotRequest{ID: k, Pool: req.pool})
 }
 
 // release releases a grant at the pool's current home and, if a different home granted
 // it, at that one too.
 func (r *Router) release(e ReleaseSlot) {
-	a := r.requests[e.ID]
-	if a == nil || !a.held {
+	req := r.requests[e.ID]
+	if req == nil || !req.held {
 		return
 	}
 	delete(r.requests, e.ID)
 	m := home.SlotRelease{
-		ID: e.ID, Pool: a.pool, Replica: a.replica,
+		ID: e.ID, Pool: req.pool, Replica: req.replica,
 		Outcome: e.Outcome, Tokens: e.Tokens, DecodeTime: e.DecodeTime,
 	}
-	p := r.layout.pools[a.pool]
+	p := r.layout.pools[req.pool]
 	if p != nil {
 		p.usage.removeHeld(e.ID)
 		r.send(p.home, m)
 	}
-	if (p == nil || p.home != a.home) && r.isLive(a.home) {
-		r.send(a.home, m)
+	if (p == nil || p.home != req.home) && r.isLive(req.home) {
+		r.send(req.home, m)
 	}
 }
 
 // endExclusive notifies the home. A lost message only delays other staggered requests
 // until the release of the grant, which has the same effect.
 func (r *Router) endExclusive(requestID home.SlotRequestID) {
-	if a := r.requests[requestID]; a != nil && a.held {
-		r.send(a.home, home.ExclusiveEnded{ID: requestID, Pool: a.pool})
+	if req := r.requests[requestID]; req != nil && req.held {
+		r.send(req.home, home.ExclusiveEnded{ID: requestID, Pool: req.pool})
 	}
 }
 
@@ -146,13 +146,13 @@
 		r.granted(now, from, m)
 	case home.SlotRefusal:
 		r.recordSummary(now, m.Pool, m.Summary)
-		if a := r.requests[m.ID]; a != nil && !a.held && a.home == from.ID && a.pool == m.Pool {
-			r.refused(now, a, m)
+		if req := r.requests[m.ID]; req != nil && !req.held && req.home == from.ID && req.pool == m.Pool {
+			r.refused(now, req, m)
 		}
 	case home.NotHome:
 		for _, k := range m.IDs {
-			if a := r.requests[k]; a != nil && !a.held && a.home == from.ID && a.pool == m.Pool {
-				r.handleNotHome(now, a)
+			if req := r.requests[k]; req != nil && !req.held && req.home == from.ID && req.pool == m.Pool {
+				r.handleNotHome(now, req)
 			}
 		}
 	case home.ReportQuery:
@@ -170,53 +170,53 @@
 
 // granted accepts a grant if it is still needed; otherwise it is returned unused.
 func (r *Router) granted(now time.Time, from state.Member, m home.SlotGrant) {
-	a := r.requests[m.ID]
+	req := r.requests[m.ID]
 	release := home.SlotRelease{ID: m.ID, Pool: m.Pool, Replica: m.Replica, Outcome: home.OutcomeUnused}
 	switch {
-	case a == nil:
+	case req == nil:
 		r.send(from.ID, release)
-	case a.held && a.replica == m.Replica:
+	case req.held && req.replica == m.Replica:
 		// Repeated by the home, or granted by two homes that learned of the request.
-	case a.held || a.pool != m.Pool:
+	case req.held || req.pool != m.Pool:
 		r.send(from.ID, release)
 	case r.leaving[m.Replica]:
 		release.Outcome = home.OutcomeLeaving
 		r.send(from.ID, release)
-		a.acquire.Exclude = append(slices.Clone(a.acquire.Exclude), m.Replica)
-		r.resend(now, a)
+		req.acquire.Exclude = append(slices.Clone(req.acquire.Exclude), m.Replica)
+		r.resend(now, req)
 	default:
-		if from.ID != a.home {
+		if from.ID != req.home {
 			// The request was resent to the next home while this grant was in flight.
-			r.send(a.home, home.CancelSlotRequest{ID: m.ID, Pool: m.Pool})
+			r.send(req.home, home.CancelSlotRequest{ID: m.ID, Pool: m.Pool})
 		}
-		p := r.layout.pools[a.pool]
+		p := r.layout.pools[req.pool]
 		p.usage.removeWaiting(m.ID)
 		p.usage.addHeld(m.ID)
-		a.held, a.replica, a.home = true, m.Replica, from.ID
+		req.held, req.replica, req.home = true, m.Replica, from.ID
 		r.actions = append(r.actions, Granted{ID: m.ID, Replica: m.Replica})
 	}
 }
 
 // refused tries another pool if that may help: a full queue, a missing replica and a
 // long wait concern one pool only.
-func (r *Router) refused(now time.Time, a *slotRequest, m home.SlotRefusal) {
+func (r *Router) refused(now time.Time, req *slotRequest, m home.SlotRefusal) {
 	switch m.Reason {
 	case state.ReasonQueueFull, state.ReasonNoReplica, state.ReasonDeadline:
-		r.tryOtherPool(now, a, m.Reason, m.RetryAfter)
+		r.tryOtherPool(now, req, m.Reason, m.RetryAfter)
 	default:
-		r.refuse(a, m.Reason, m.RetryAfter)
+		r.refuse(req, m.Reason, m.RetryAfter)
 	}
 }
 
 // handleNotHome handles a request whose receiver is not the pool's home, because this
 // daemon's view or the receiver's is outdated. The request is sent again, at once if
 // the view has changed in the meantime.
-func (r *Router) handleNotHome(now time.Time, a *slotRequest) {
-	a.notHomeCount++
-	p := r.layout.pools[a.pool]
-	if p != nil && p.home != a.home {
-		r.resend(now, a)
+func (r *Router) handleNotHome(now time.Time, req *slotRequest) {
+	req.notHomeCount++
+	p := r.layout.pools[req.pool]
+	if p != nil && p.home != req.home {
+		r.resend(now, req)
 		return
 	}
-	r.startTimer(now.Add(r.cfg.NotHomeRetryDelay), a.acquire.ID, true)
+	r.startTimer(now.Add(r.cfg.NotHomeRetryDelay), req.acquire.ID, true)
 }
--- a/coordination/route/books.go
+++ b/coordination/route/books.go
@@ -69,14 +69,14 @@
 // wait.
 func (r *Router) report(to state.DaemonID, pool home.PoolID) {
 	m := home.GrantReport{Pool: pool}
-	for _, a := range r.requestsInOrder() {
-		if a.pool != pool {
+	for _, req := range r.requestsInOrder() {
+		if req.pool != pool {
 			continue
 		}
-		if a.held {
-			m.Held = append(m.Held, home.HeldGrant{ID: a.acquire.ID, Replica: a.replica, Class: a.acquire.Class})
-		} else if a.home == to {
-			m.Waiting = append(m.Waiting, a.acquire.ID)
+		if req.held {
+			m.Held = append(m.Held, home.HeldGrant{ID: req.acquire.ID, Replica: req.replica, Class: req.acquire.Class})
+		} else if req.home == to {
+			m.Waiting = append(m.Waiting, req.acquire.ID)
 		}
 	}
 	r.send(to, m)
--- a/coordination/route/pick.go
+++ b/coordination/route/pick.go
@@ -57,12 +57,12 @@
 
 // pick returns the pool to try next, or nil if all have been tried. Pools of the
 // daemon's own region come first, and those of other regions if it has no free slot.
-func (k picker) pick(now time.Time, s *serviceInfo, a *slotRequest) *poolInfo {
-	inRegion := k.pickFrom(now, s.pools[:s.local], a)
+func (k picker) pick(now time.Time, s *serviceInfo, req *slotRequest) *poolInfo {
+	inRegion := k.pickFrom(now, s.pools[:s.local], req)
 	if inRegion != nil && inRegion.load.score(now, k.maxAge) < 1 {
 		return inRegion
 	}
-	outOfRegion := k.pickFrom(now, s.pools[s.local:], a)
+	outOfRegion := k.pickFrom(now, s.pools[s.local:], req)
 	if inRegion == nil || outOfRegion == nil {
 		if inRegion == nil {
 			return outOfRegion
@@ -78,13 +78,13 @@
 // pickFrom returns the better of two pools that the request has not tried. For a
 // request with prefixes the first candidate is always the same pool, so that requests
 // with one prefix meet where it is cached, and the second has to be clearly better.
-func (k picker) pickFrom(now time.Time, pools []*poolInfo, a *slotRequest) *poolInfo {
-	first := k.preferredByPrefix(pools, a)
+func (k picker) pickFrom(now time.Time, pools []*poolInfo, req *slotRequest) *poolInfo {
+	first := k.preferredByPrefix(pools, req)
 	bonus := prefixBonus
 	if first == nil {
-		first, bonus = k.random(pools, a, nil), 0
+		first, bonus = k.random(pools, req, nil), 0
 	}
-	second := k.random(pools, a, first)
+	second := k.random(pools, req, first)
 	if second == nil {
 		return first
 	}
@@ -96,18 +96,18 @@
 
 // preferredByPrefix returns the pool of the request's longest prefix, unless it was
 // tried.
-func (k picker) preferredByPrefix(pools []*poolInfo, a *slotRequest) *poolInfo {
-	if len(a.acquire.Prefixes) == 0 || len(pools) == 0 {
+func (k picker) preferredByPrefix(pools []*poolInfo, req *slotRequest) *poolInfo {
+	if len(req.acquire.Prefixes) == 0 || len(pools) == 0 {
 		return nil
 	}
 	var best *poolInfo
 	var top uint64
 	for _, p := range pools {
-		if w := rendezvous.Weight(string(p.spec.ID), "") ^ a.acquire.Prefixes[0]*prefixMultiplier; best == nil || w > top {
+		if w := rendezvous.Weight(string(p.spec.ID), "") ^ req.acquire.Prefixes[0]*prefixMultiplier; best == nil || w > top {
 			best, top = p, w
 		}
 	}
-	if slices.Contains(a.triedPools, best.spec.ID) {
+	if slices.Contains(req.triedPools, best.spec.ID) {
 		return nil
 	}
 	return best
@@ -117,11 +117,11 @@
 const prefixMultiplier = 0x9e3779b97f4a7c15
 
 // random returns a random pool, other than except, that has not been tried, or nil.
-func (k picker) random(pools []*poolInfo, a *slotRequest, except *poolInfo) *poolInfo {
+func (k picker) random(pools []*poolInfo, req *slotRequest, except *poolInfo) *poolInfo {
 	var chosen *poolInfo
 	seen := 0
 	for _, p := range pools {
-		if p == except || slices.Contains(a.triedPools, p.spec.ID) {
+		if p == except || slices.Contains(req.triedPools, p.spec.ID) {
 			continue
 		}
 		seen++
--- a/coordination/route/router.go
+++ b/coordination/route/router.go
@@ -106,16 +106,16 @@
 func (r *Router) tick(now time.Time) {
 	for len(r.timers) > 0 && !r.timers[0].at.After(now) {
 		t := heap.Pop(&r.timers).(timer)
-		a := r.requests[t.requestID]
+		req := r.requests[t.requestID]
 		switch {
-		case a == nil || a.held:
+		case req == nil || req.held:
 		case t.retry:
-			r.resend(now, a)
+			r.resend(now, req)
 		default:
 			// The home has not answered by the deadline. It may still grant the slot,
 			// which is then returned unused.
-			r.send(a.home, home.CancelSlotRequest{ID: t.requestID, Pool: a.pool})
-			r.refuse(a, state.ReasonDeadline, 0)
+			r.send(req.home, home.CancelSlotRequest{ID: t.requestID, Pool: req.pool})
+			r.refuse(req, state.ReasonDeadline, 0)
 		}
 	}
 	if !now.Before(r.renewAt) {
@@ -161,14 +161,14 @@
 	for _, p := range r.layout.pools {
 		p.usage = poolUsage{}
 	}
-	for k, a := range r.requests {
-		if pool, ok := r.layout.poolOf[a.replica]; ok && a.held {
-			a.pool = pool
+	for k, req := range r.requests {
+		if pool, ok := r.layout.poolOf[req.replica]; ok && req.held {
+			req.pool = pool
 		}
-		p := r.layout.pools[a.pool]
+		p := r.layout.pools[req.pool]
 		switch {
 		case p == nil:
-		case a.held:
+		case req.held:
 			p.usage.addHeld(k)
 		default:
 			p.usage.addWaiting(k)
@@ -179,18 +179,18 @@
 // reassignHomes recomputes the homes and resends requests whose home has changed.
 func (r *Router) reassignHomes(now time.Time) {
 	r.layout.assignHomes(r.livePeers)
-	for _, a := range r.requestsInOrder() {
-		if a.held {
+	for _, req := range r.requestsInOrder() {
+		if req.held {
 			continue
 		}
-		p := r.layout.pools[a.pool]
+		p := r.layout.pools[req.pool]
 		if p == nil {
-			r.tryOtherPool(now, a, state.ReasonNoReplica, 1)
+			r.tryOtherPool(now, req, state.ReasonNoReplica, 1)
 			continue
 		}
-		if p.home != a.home {
+		if p.home != req.home {
 			p.load = poolLoad{}
-			r.sendRequest(now, a, p)
+			r.sendRequest(now, req, p)
 		}
 	}
 	own := r.layout.poolsOf(r.cfg.Self.ID)
@@ -210,9 +210,9 @@
 // resendTo resends the requests that wait at a peer, since messages to or from it were
 // lost with a connection. Homes recognize a request that they already have.
 func (r *Router) resendTo(now time.Time, peer state.DaemonID) {
-	for _, a := range r.requestsInOrder() {
-		if !a.held && a.home == peer {
-			r.resend(now, a)
+	for _, req := range r.requestsInOrder() {
+		if !req.held && req.home == peer {
+			r.resend(now, req)
 		}
 	}
 }
