--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -17,9 +17,9 @@
 // sendRepeatedly sends content at random daemons, again as soon as the caller learns
 // that it failed, and two seconds later if it was refused.
 func (w *simulation) sendRepeatedly(content string, crashes bool, count map[string]int) {
-	w.request(w.rng.IntN(len(w.entryDaemons)), content, crashes, func(how string) {
-		count[how]++
-		switch how {
+	w.request(w.rng.IntN(len(w.entryDaemons)), content, crashes, func(outcome string) {
+		count[outcome]++
+		switch outcome {
 		case "completed":
 		case "refused":
 			w.schedule(w.now.Add(2*time.Second), func() { w.sendRepeatedly(content, crashes, count) })
@@ -38,8 +38,8 @@
 		serial++
 		content := fmt.Sprint("innocent ", serial)
 		var again func(string)
-		again = func(how string) {
-			switch how {
+		again = func(outcome string) {
+			switch outcome {
 			case "completed":
 				*completed++
 				next()
--- a/coordination/quarantine/world_test.go
+++ b/coordination/quarantine/world_test.go
@@ -135,10 +135,10 @@
 	}
 }
 
-func (j *job) finish(how string) {
+func (j *job) finish(outcome string) {
 	if done := j.done; done != nil {
 		j.done = nil
-		done(how)
+		done(outcome)
 	}
 }
 
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -177,7 +177,7 @@
 })
 
 var _ = Describe("A request that may run only once", func() {
-	It("is retried only if no attempt ran", func() {
+	It("is retried if and only if no attempt ran", func() {
 		b := newBudgets(retry.Config{})
 		f := retry.Failure{Service: "s", Customer: "c", Attempts: 1, Cause: state.RetryUnstarted, Execution: state.ExecutionNotRun}
 		Expect(b.Decide(epoch, f)).To(BeAssignableToTypeOf(retry.Allow{}))
