--- a/gateway/addresses.go
+++ b/gateway/addresses.go
@@ -7,17 +7,17 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// addressesValid is how long callers are told to keep an answer: a daemon that
-// stops as planned serves on until the longest kept ones have run out.
-const addressesValid = 2 * time.Second
+// maxAddressTTL limits how long callers may cache an address answer: a daemon in a planned
+// stop keeps serving until the longest cached answers have expired.
+const maxAddressTTL = 2 * time.Second
 
-// maxAddresses is how many addresses callers take of one answer.
+// maxAddresses is how many addresses callers use of one answer.
 const maxAddresses = 64
 
-// Addresses returns where a caller of a domain may connect, and for how long it
-// may keep the answer.
+// Addresses returns where a caller of a domain may connect, and for how long it may cache
+// the answer.
 func (g *Gateway) Addresses(_ state.FailureDomain) ([]string, time.Duration) {
-	v := g.current.Load()
+	v := g.currentView.Load()
 	var out []string
 	for _, i := range v.members.Members {
 		if i.State != membership.Alive || i.Draining || i.Meta.CallerAddress == "" {
@@ -26,10 +26,10 @@
 		out = append(out, i.Meta.CallerAddress)
 	}
 	if len(out) == 0 {
-		out = append(out, g.set().CallerAddress)
+		out = append(out, g.currentSettings().CallerAddress)
 	}
 	if len(out) > maxAddresses {
 		out = out[:maxAddresses]
 	}
-	return out, min(addressesValid, g.set().AddressTTL)
+	return out, min(maxAddressTTL, g.currentSettings().AddressTTL)
 }
--- a/gateway/book.go
+++ b/gateway/book.go
@@ -14,35 +14,35 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// book is what traffic goroutines share. Each method holds its mutex for
+// sharedState is the state that traffic goroutines share. Each method holds its mutex for
 // microseconds.
-type book struct {
-	mu       sync.Mutex
-	loads    map[state.Life]*pathing.Load // own requests by server
-	suspects *suspect.Tracker
-	buried   map[string]bool // addresses of servers that answer no probe
-	doubted  map[string]bool // addresses of servers whose refusal is looked into
-	budget   *retrybudget.Budget
-	streams  map[*stream]struct{}
-	pipes    pipes
-	waits    map[state.ServiceID]*waits
-	crashes  *crashes.Tracker
-	permits  *permits.Limiter
-	states   []pathing.ServerState // of the roster's cards in a choice; kept for the next one
+type sharedState struct {
+	mu            sync.Mutex
+	loads         map[state.Life]*pathing.Load // this daemon's own requests by server
+	suspects      *suspect.Tracker
+	dead          map[string]bool // addresses of servers that answer no probe
+	refusalChecks map[string]bool // addresses of servers with a pending refusal check
+	budget        *retrybudget.Budget
+	streams       map[*stream]struct{}
+	linkBacklogs  linkBacklogs
+	latencies     map[state.ServiceID]*serviceLatency
+	crashes       *crashes.Tracker
+	permits       *permits.Limiter
+	serverStates  []pathing.ServerState // scratch space of choosePath, by index in the roster
 }
 
-func newBook(set Settings) *book {
-	return &book{
-		loads:    make(map[state.Life]*pathing.Load),
-		suspects: suspect.NewTracker(),
-		buried:   make(map[string]bool),
-		doubted:  make(map[string]bool),
-		streams:  make(map[*stream]struct{}),
-		pipes:    make(pipes),
-		waits:    make(map[state.ServiceID]*waits),
-		crashes:  crashes.NewTracker(),
-		permits:  permits.New(),
-		budget:   retrybudget.New(budgetConfig(set), time.Now()),
+func newSharedState(set Settings) *sharedState {
+	return &sharedState{
+		loads:         make(map[state.Life]*pathing.Load),
+		suspects:      suspect.NewTracker(),
+		dead:          make(map[string]bool),
+		refusalChecks: make(map[string]bool),
+		streams:       make(map[*stream]struct{}),
+		linkBacklogs:  make(linkBacklogs),
+		latencies:     make(map[state.ServiceID]*serviceLatency),
+		crashes:       crashes.NewTracker(),
+		permits:       permits.New(),
+		budget:        retrybudget.New(budgetConfig(set), time.Now()),
 	}
 }
 
@@ -50,96 +50,97 @@
 	return retrybudget.Config{Ratio: set.BudgetRatio, Window: set.BudgetWindow, Slack: set.BudgetSlack}
 }
 
-// rebudget puts changed settings of the retry budget into force.
-func (b *book) rebudget(set Settings) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.budget.Configure(budgetConfig(set))
+// setBudget activates changed settings of the retry budget.
+func (s *sharedState) setBudget(set Settings) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.budget.Configure(budgetConfig(set))
 }
 
-// load is what this daemon runs on a server.
-func (b *book) load(server state.Life) pathing.Load {
-	if l, ok := b.loads[server]; ok {
+// loadOn returns the load that this daemon puts on a server.
+func (s *sharedState) loadOn(server state.Life) pathing.Load {
+	if l, ok := s.loads[server]; ok {
 		return *l
 	}
 	return pathing.Load{}
 }
 
-// add changes the load of a server. One without requests is forgotten: servers come
-// and go.
-func (b *book) add(server state.Life, requests, first, tokens float64) {
-	l, ok := b.loads[server]
+// addLoad changes the load of a server. The entry of a server without requests is deleted,
+// since servers come and go.
+func (s *sharedState) addLoad(server state.Life, requests, first, tokens float64) {
+	l, ok := s.loads[server]
 	if !ok {
 		l = &pathing.Load{}
-		b.loads[server] = l
+		s.loads[server] = l
 	}
 	l.Requests += requests
 	l.FirstHopRequests += first
 	l.Tokens += tokens
 	if l.Requests <= 0 {
-		delete(b.loads, server)
+		delete(s.loads, server)
 	}
 }
 
-// count adds a request's load to each server of its path, or takes it off.
-func (b *book) count(path fleet.Path, tokens, by float64) {
-	first := by
+// addPathLoad adds a request's load to each server of its path, or subtracts it if sign is
+// -1.
+func (s *sharedState) addPathLoad(path fleet.Path, tokens, sign float64) {
+	first := sign
 	for _, h := range path {
-		b.add(h.Server, by, first, by*tokens)
+		s.addLoad(h.Server, sign, first, sign*tokens)
 		first = 0
 	}
 }
 
-func (b *book) release(path fleet.Path, tokens float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.count(path, tokens, -1)
+func (s *sharedState) releasePath(path fleet.Path, tokens float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.addPathLoad(path, tokens, -1)
 }
 
-// pick takes a plain server for a request: the one with the fewest of our requests
-// among those not to be avoided. One for which the request has no permit is left, if the
-// request goes elsewhere, for the next one.
-func (b *book) pick(now time.Time, v *view, svc state.ServiceID, domain state.FailureDomain, avoid map[string]bool, permit *permitRequest) (fleet.Server, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var over []state.Life // servers that the request is not sent to for want of a permit
-	s, ok := b.fewest(now, v.servers[svc], domain, avoid, over)
-	for ok && b.needsPermit(now, s.Life(), permit) {
-		if !permit.elsewhere(now, s.Life(), b.permits) {
+// pickServer picks a plain server for a request: the one with the fewest of this daemon's
+// requests among those not to be avoided. A server for which the request has no permit is
+// passed over if the request skips it.
+func (s *sharedState) pickServer(now time.Time, v *view, svc state.ServiceID, domain state.FailureDomain, avoid map[string]bool, permit *permitRequest) (fleet.Server, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var limited []state.Life // servers passed over for lack of a permit
+	best, ok := s.leastLoaded(now, v.servers[svc], domain, avoid, limited)
+	for ok && s.needsPermit(now, best.Life(), permit) {
+		if !permit.skips(now, best.Life(), s.permits) {
 			return fleet.Server{}, false
 		}
-		over = append(over, s.Life())
+		limited = append(limited, best.Life())
 		if permit.full() {
-			b.permits.EachUnavailable(now, func(server state.Life) { over = append(over, server) })
+			s.permits.EachUnavailable(now, func(server state.Life) { limited = append(limited, server) })
 		}
-		s, ok = b.fewest(now, v.servers[svc], domain, avoid, over)
-		permit.stuck = !ok
+		best, ok = s.leastLoaded(now, v.servers[svc], domain, avoid, limited)
+		permit.blocked = !ok
 	}
 	if ok {
-		b.spendPermit(now, s.Life(), permit)
-		b.add(s.Life(), 1, 0, 0)
+		s.spendPermit(now, best.Life(), permit)
+		s.addLoad(best.Life(), 1, 0, 0)
 	}
-	return s, ok
+	return best, ok
 }
 
-// fewest is the server with the fewest of our requests among those that may be used, but for
-// some.
-func (b *book) fewest(now time.Time, servers []fleet.Server, domain state.FailureDomain, avoid map[string]bool, but []state.Life) (fleet.Server, bool) {
-	suspects := b.suspects.Avoided(now)
+// leastLoaded returns the server with the fewest of this daemon's requests among the usable
+// ones, except some.
+func (s *sharedState) leastLoaded(now time.Time, servers []fleet.Server, domain state.FailureDomain, avoid map[string]bool, except []state.Life) (fleet.Server, bool) {
+	suspects := s.suspects.Avoided(now)
 	best, bestCost := -1, 0.0
 	for i := range servers {
-		s := &servers[i]
-		if s.Draining || avoid[s.Address] || b.buried[s.Address] || b.suspects.IsOutdated(now, s) {
+		candidate := &servers[i]
+		if candidate.Draining || avoid[candidate.Address] || s.dead[candidate.Address] || s.suspects.IsOutdated(now, candidate) {
 			continue
 		}
-		if slices.Contains(but, s.Life()) {
+		if slices.Contains(except, candidate.Life()) {
 			continue
 		}
-		cost := b.load(s.Life()).Requests
-		if s.Domain != domain {
-			cost += crossCost
+		cost := s.loadOn(candidate.Life()).Requests
+		if candidate.Domain != domain {
+			cost += crossDomainCost
 		}
-		if suspects[s.Address] {
+		if suspects[candidate.Address] {
 			cost += suspectCost
 		}
 		if best < 0 || cost < bestCost {
@@ -153,111 +154,111 @@
 }
 
 const (
-	// crossCost prefers a server of the same failure domain among equally loaded
+	// crossDomainCost prefers a server of the same failure domain among equally loaded
 	// ones.
-	crossCost = 0.5
-	// suspectCost puts suspects last.
+	crossDomainCost = 0.5
+	// suspectCost orders suspected servers last.
 	suspectCost = 1000
 )
 
-func (b *book) releaseServer(server state.Life) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.add(server, -1, 0, 0)
+func (s *sharedState) releaseServer(server state.Life) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.addLoad(server, -1, 0, 0)
 }
 
-func (b *book) failed(now time.Time, address string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.suspects.RecordFailure(now, address)
+func (s *sharedState) recordFailure(now time.Time, address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.suspects.RecordFailure(now, address)
 }
 
-func (b *book) answered(now time.Time, address string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.suspects.RecordAnswer(now, address)
+func (s *sharedState) recordAnswer(now time.Time, address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.suspects.RecordAnswer(now, address)
 }
 
-func (b *book) request(now time.Time, svc state.ServiceID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.budget.Request(now, svc)
-	w := b.waitsOf(svc)
-	w.early = min(w.early+earlyShare, earlyMost)
+func (s *sharedState) recordRequest(now time.Time, svc state.ServiceID) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.budget.Request(now, svc)
+	latency := s.latencyOf(svc)
+	latency.abandonBudget = min(latency.abandonBudget+abandonShare, maxAbandons)
 }
 
-func (b *book) spend(now time.Time, svc state.ServiceID, by retrybudget.SlackShare) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.budget.Spend(now, svc, by)
+func (s *sharedState) spendRetry(now time.Time, svc state.ServiceID, share retrybudget.SlackShare) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.budget.Spend(now, svc, share)
 }
 
-func (b *book) follow(now time.Time, path fleet.Path) *suspect.Stream {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.suspects.TrackStream(now, path)
+func (s *sharedState) trackStream(now time.Time, path fleet.Path) *suspect.Stream {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.suspects.TrackStream(now, path)
 }
 
-func (b *book) progress(now time.Time, s *stream) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.suspects.RecordProgress(now, s.watch)
+func (s *sharedState) recordProgress(now time.Time, str *stream) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.suspects.RecordProgress(now, str.tracked)
 }
 
-// silent returns the hops of a stream that nothing has shown alive of late.
-func (b *book) silent(now time.Time, s *suspect.Stream, least, most time.Duration) []fleet.Hop {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.suspects.SilentHops(now, s, least, most)
+// silentHops returns the hops of a stream that have shown no recent sign of life.
+func (s *sharedState) silentHops(now time.Time, str *suspect.Stream, minSilence, maxSilence time.Duration) []fleet.Hop {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.suspects.SilentHops(now, str, minSilence, maxSilence)
 }
 
-// join lists a stream among those to be told of a dead server; leave takes it off.
-func (b *book) join(s *stream) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.streams[s] = struct{}{}
+// addStream registers a stream to be informed of dead servers; removeStream removes it.
+func (s *sharedState) addStream(str *stream) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.streams[str] = struct{}{}
 }
 
-func (b *book) leave(s *stream) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.streams, s)
+func (s *sharedState) removeStream(str *stream) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.streams, str)
 }
 
-// crossing lists the streams whose path has a server.
-func (b *book) crossing(address string) []*stream {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// streamsThrough returns the streams whose path contains a server.
+func (s *sharedState) streamsThrough(address string) []*stream {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []*stream
-	for s := range b.streams {
-		if slices.ContainsFunc(s.path, func(h fleet.Hop) bool { return h.Address == address }) {
-			out = append(out, s)
+	for str := range s.streams {
+		if slices.ContainsFunc(str.path, func(h fleet.Hop) bool { return h.Address == address }) {
+			out = append(out, str)
 		}
 	}
 	return out
 }
 
-// bury notes that a server answers no probe. It returns false if that was known.
-func (b *book) bury(address string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.buried[address] {
+// markDead records that a server answers no probe. It returns false if that was known.
+func (s *sharedState) markDead(address string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.dead[address] {
 		return false
 	}
-	b.buried[address] = true
+	s.dead[address] = true
 	return true
 }
 
-// raise takes back bury.
-func (b *book) raise(address string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.buried, address)
+// clearDead reverts markDead.
+func (s *sharedState) clearDead(address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.dead, address)
 }
 
-// sizes counts the open streams and the dead servers.
-func (b *book) sizes() (streams, dead int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.streams), len(b.buried)
+// counts returns the numbers of open streams and of dead servers.
+func (s *sharedState) counts() (streams, dead int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.streams), len(s.dead)
 }
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -8,14 +8,16 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// tickInterval is how often timers of the control state run at the latest.
+// tickInterval is the unit of the control state's timer: it fires at least every 10
+// intervals, and every interval while the server list is still populating. Close waits one
+// interval for its announcement.
 const tickInterval = 100 * time.Millisecond
 
-// leastTick keeps a timer that is overdue from taking the whole processor, of which
-// an instance has a part only: streams would stand still.
-const leastTick = 2 * time.Millisecond
+// minTickInterval prevents an overdue timer from using the processor continuously. The
+// daemon has only a part of its instance's processor, and streams would stall.
+const minTickInterval = 2 * time.Millisecond
 
-// control owns the control state. Its fields belong to run's goroutine.
+// control owns the control state. Its fields belong to the goroutine of run.
 type control struct {
 	g     *Gateway
 	inbox chan func()
@@ -24,31 +26,31 @@
 	view    view // the next one to be published
 	changed bool
 
-	members *membersPart
-	listing *listingPart
-	configs *feedPart[*fleet.Config]
-	entries *feedPart[fleet.Server]
-	duty    *dutyPart
-	permits *permitsPart
-	gauges  gauges
+	members    *membersState
+	listing    *listingState
+	configFeed *feedTracker[*fleet.Config]
+	serverFeed *feedTracker[fleet.Server]
+	assignment *assignmentState
+	permits    *permitsState
+	gauges     gauges
 }
 
 func newControl(g *Gateway) *control {
 	c := &control{g: g, inbox: make(chan func(), 256), now: time.Now()}
-	c.members = newMembersPart(c)
-	c.listing = newListingPart(c)
-	c.configs = newFeedPart(c, "configuration", g.site.Configs, c.listing.configured, c.listing.answeredAgain)
-	c.entries = newFeedPart(c, "servers", g.site.Servers, c.listing.listed, c.listing.answeredAgain)
-	c.duty = newDutyPart(c)
-	c.permits = &permitsPart{c: c}
+	c.members = newMembersState(c)
+	c.listing = newListingState(c)
+	c.configFeed = newFeedTracker(c, "configuration", g.site.Configs, c.listing.applyConfig, c.listing.recordRecovery)
+	c.serverFeed = newFeedTracker(c, "servers", g.site.Servers, c.listing.applyServers, c.listing.recordRecovery)
+	c.assignment = newAssignmentState(c)
+	c.permits = &permitsState{c: c}
 	c.gauges.c = c
 	return c
 }
 
-// post has f run by the control goroutine. It is lost once the gateway has ended.
-func (c *control) post(f func()) {
+// post queues fn for the control goroutine. fn is dropped once the gateway is closed.
+func (c *control) post(fn func()) {
 	select {
-	case c.inbox <- f:
+	case c.inbox <- fn:
 	case <-c.g.done:
 	}
 }
@@ -59,9 +61,9 @@
 	defer timer.Stop()
 	for {
 		select {
-		case f := <-c.inbox:
+		case fn := <-c.inbox:
 			c.now = time.Now()
-			f()
+			fn()
 			c.drainInbox()
 		case <-timer.C:
 		case <-c.g.done:
@@ -69,64 +71,65 @@
 		}
 		c.now = time.Now()
 		c.tick()
-		timer.Reset(max(time.Until(c.nextTick()), leastTick))
+		timer.Reset(max(time.Until(c.nextTick()), minTickInterval))
 	}
 }
 
-// tick runs the timers that are due, and publishes what has changed.
+// tick runs the timers that are due, and publishes a changed view.
 func (c *control) tick() {
 	c.members.tick()
 	c.listing.tick()
-	c.configs.tick()
-	c.entries.tick()
-	c.duty.tick()
+	c.configFeed.tick()
+	c.serverFeed.tick()
+	c.assignment.tick()
 	c.permits.tick()
 	c.gauges.tick()
 	c.publish()
 }
 
-// drainInbox runs what else has come meanwhile, so that its effects are worked out once.
+// drainInbox runs the functions that are already queued, so that their combined effects are
+// processed once.
 func (c *control) drainInbox() {
 	for range cap(c.inbox) {
 		select {
-		case f := <-c.inbox:
+		case fn := <-c.inbox:
 			c.now = time.Now()
-			f()
+			fn()
 		default:
 			return
 		}
 	}
 }
 
-// nextTick is when the first timer is due.
+// nextTick returns when the next timer is due.
 func (c *control) nextTick() time.Time {
 	next := c.now.Add(10 * tickInterval)
 	for _, t := range []time.Time{
-		c.members.m.NextTick(), c.duty.nextTick(), c.configs.m.NextTick(c.now), c.entries.m.NextTick(c.now),
+		c.members.machine.NextTick(), c.assignment.nextTick(), c.configFeed.machine.NextTick(c.now), c.serverFeed.machine.NextTick(c.now),
 		c.listing.nextTick(), c.permits.nextTick(),
 	} {
 		if !t.IsZero() {
 			next = earlier(next, t)
 		}
 	}
-	if c.view.filling {
+	if c.view.populating {
 		next = earlier(next, c.now.Add(tickInterval))
 	}
 	return next
 }
 
-// publish makes the present state the one that traffic goes by.
+// publish makes the current control state visible to traffic.
 func (c *control) publish() {
 	if !c.changed {
 		return
 	}
 	c.changed = false
 	v := c.view
-	c.g.current.Store(&v)
+	c.g.currentView.Store(&v)
 }
 
-// membersChanged takes up who takes part.
-func (c *control) membersChanged() {
+// updateMembers passes the live daemons to the feeds.
+func (c *control) updateMembers() {
 	var daemons []following.Daemon
 	for _, i := range c.view.members.Members {
 		if i.Live() {
@@ -135,16 +138,16 @@
 			})
 		}
 	}
-	c.configs.m.SetMembers(daemons)
-	c.entries.m.SetMembers(daemons)
+	c.configFeed.machine.SetMembers(daemons)
+	c.serverFeed.machine.SetMembers(daemons)
 }
 
-// heard takes what a daemon tells of a feed that it follows for others.
-func (c *control) heard(t following.Announcement) {
-	switch t.Feed {
-	case c.configs.name:
-		c.configs.heard(t)
-	case c.entries.name:
-		c.entries.heard(t)
+// handleAnnouncement handles the announcement of a daemon that follows a feed for others.
+func (c *control) handleAnnouncement(ann following.Announcement) {
+	switch ann.Feed {
+	case c.configFeed.name:
+		c.configFeed.handleAnnouncement(ann)
+	case c.serverFeed.name:
+		c.serverFeed.handleAnnouncement(ann)
 	}
 }
--- a/gateway/control_bench_internal_test.go
+++ b/gateway/control_bench_internal_test.go
@@ -11,14 +11,14 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// BenchmarkControlStart is a start of a site: servers list themselves within 3 s, 200
-// batches each, then their layers within 6 s, while 100 other messages a second come.
+// BenchmarkControlStart simulates the start of a site: servers list themselves within 3 s,
+// and then their layers within 6 s, in up to 100 batches per second.
 func BenchmarkControlStart(b *testing.B) {
 	for _, servers := range []int{300, 1000, 3000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				c := startedControl(b)
+				c := newTestControl(b)
 				benchStart(c, servers)
 			}
 		})
@@ -27,7 +27,7 @@
 
 func benchStart(c *control, servers int) {
 	const (
-		pass    = 10 * time.Millisecond
+		step    = 10 * time.Millisecond
 		listing = 3 * time.Second
 		loading = 6 * time.Second
 	)
@@ -43,57 +43,58 @@
 			b.Items = append(b.Items, site.Item[fleet.Server]{Key: string(s.ID), Revision: revision, Value: s})
 		}
 		b.Revision = revision
-		c.entries.answered(b, arrival{whole: from == 0 && !layers})
+		c.serverFeed.applyStoreAnswer(b, batchInfo{complete: from == 0 && !layers})
 	}
-	passes := 0
+	steps := 0
 	spread := func(over time.Duration, layers bool) {
-		n := int(over / pass)
+		n := int(over / step)
 		at := 0
 		for i := range n {
-			c.now = c.now.Add(pass)
+			c.now = c.now.Add(step)
 			if to := servers * (i + 1) / n; to > at {
 				list(at, to, layers)
 				at = to
 			}
 			c.tick()
-			passes++
+			steps++
 		}
 	}
 	spread(listing, false)
-	for range int(2 * time.Second / pass) {
-		c.now = c.now.Add(pass)
+	for range int(2 * time.Second / step) {
+		c.now = c.now.Add(step)
 		c.tick()
 	}
 	spread(loading, true)
 }
 
-// BenchmarkChoose is the choice of a path at a daemon of 300 that has 60 streams under way.
+// BenchmarkChoose measures the choice of a path at one of 300 daemons, with 60 streams in
+// flight.
 func BenchmarkChoose(b *testing.B) {
 	for _, servers := range []int{100, 1000, 3000, 12000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			c := startedControl(b)
+			c := newTestControl(b)
 			benchList(c, servers)
-			v, book := c.g.current.Load(), c.g.book
+			v, shared := c.g.currentView.Load(), c.g.shared
 			svc := v.config.Services["llm"]
-			want := pathing.Request{Domain: "a", PromptTokens: 760, MaxTokens: 600}
+			req := pathing.Request{Domain: "a", PromptTokens: 760, MaxTokens: 600}
 			now := time.Now()
 			for range 60 {
-				path, ok := book.choose(now, v, &svc, want, nil, &permitRequest{})
+				path, ok := shared.choosePath(now, v, &svc, req, nil, &permitRequest{})
 				if !ok {
 					b.Fatal("no path")
 				}
-				book.began(now, path, 100*time.Millisecond)
+				shared.recordAnswerStart(now, path, 100*time.Millisecond)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				path, _ := book.choose(now, v, &svc, want, nil, &permitRequest{})
-				book.release(path, want.ExpectedTokens())
+				path, _ := shared.choosePath(now, v, &svc, req, nil, &permitRequest{})
+				shared.releasePath(path, req.ExpectedTokens())
 			}
 		})
 	}
 }
 
-// benchList lists servers with the layers of a layout.
+// benchList lists servers with an assignment of layers.
 func benchList(c *control, servers int) {
 	var batch site.Batch[fleet.Server]
 	var all []fleet.Server
@@ -106,6 +107,6 @@
 		batch.Items = append(batch.Items, site.Item[fleet.Server]{Key: string(s.ID), Revision: uint64(i + 1), Value: s})
 	}
 	batch.Revision = uint64(servers + 1)
-	c.entries.answered(batch, arrival{whole: true})
+	c.serverFeed.applyStoreAnswer(batch, batchInfo{complete: true})
 	c.tick()
 }
--- a/gateway/control_internal_test.go
+++ b/gateway/control_internal_test.go
@@ -14,25 +14,24 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-var errAway = errors.New("away")
+var errDown = errors.New("store is unavailable")
 
-// awayFeed and awayTable are a store that does not answer: a benchmark hands rows in
-// itself.
-type awayFeed[T any] struct{}
+// downFeed and downTable are a store that does not answer: the tests pass rows in directly.
+type downFeed[T any] struct{}
 
-func (awayFeed[T]) Read(context.Context) (site.Batch[T], error) { return site.Batch[T]{}, errAway }
+func (downFeed[T]) Read(context.Context) (site.Batch[T], error) { return site.Batch[T]{}, errDown }
 
-func (awayFeed[T]) Follow(context.Context, uint64, time.Duration) (site.Batch[T], error) {
-	return site.Batch[T]{}, errAway
+func (downFeed[T]) Follow(context.Context, uint64, time.Duration) (site.Batch[T], error) {
+	return site.Batch[T]{}, errDown
 }
 
-type awayTable struct{}
+type downTable struct{}
 
-func (awayTable) Read(context.Context) (site.Rows, error) { return site.Rows{}, errAway }
+func (downTable) Read(context.Context) (site.Rows, error) { return site.Rows{}, errDown }
 
-func (awayTable) Commit(context.Context, site.Change) (uint64, error) { return 0, errAway }
+func (downTable) Commit(context.Context, site.Change) (uint64, error) { return 0, errDown }
 
-// benchEngine is a model of 80 layers on three kinds of cards.
+// benchEngine is a model of 80 layers on three accelerator kinds.
 func benchEngine() *fleet.Engine {
 	return &fleet.Engine{
 		Layers: 80, LayerMB: 1750, KVTokens: 100000, TokenKB: 459, StepMS: 1, LoadTime: 14 * time.Second,
@@ -50,26 +49,27 @@
 	}
 }
 
-// startedControl is the control state of a daemon whose goroutine does not run.
-func startedControl(t testing.TB) *control {
+// newTestControl returns the control state of a daemon whose control goroutine is not
+// running.
+func newTestControl(t testing.TB) *control {
 	address, err := freeport.Address()
 	if err != nil {
 		t.Fatal(err)
 	}
 	g, err := New(Settings{ID: "d1", Domain: "a", CallerAddress: "f", PeerAddress: address, BudgetWindow: 10 * time.Second}, Site{
-		Configs: awayFeed[*fleet.Config]{}, Servers: awayFeed[fleet.Server]{}, Members: awayTable{}, Leases: awayTable{},
+		Configs: downFeed[*fleet.Config]{}, Servers: downFeed[fleet.Server]{}, Members: downTable{}, Leases: downTable{},
 	}, nil, telemetry.Discard(), telemetry.NewMetrics())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { g.node.Close() })
 	c := g.control
-	c.members.announce, c.members.lastSeed, c.members.reading = true, c.now, true
-	c.configs.answered(configWith(1, "app"), arrival{whole: true})
+	c.members.rowWritten, c.members.lastSeed, c.members.reading = true, c.now, true
+	c.configFeed.applyStoreAnswer(configWith(1, "app"), batchInfo{complete: true})
 	return c
 }
 
-// configWith is a configuration with the engines' service and plain ones.
+// configWith returns a configuration with the engines' service and plain services.
 func configWith(version uint64, plain ...state.ServiceID) site.Batch[*fleet.Config] {
 	services := map[state.ServiceID]fleet.Service{"llm": {ID: "llm", Engine: benchEngine()}}
 	for _, id := range plain {
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -10,53 +10,55 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// fingerprint names the content of a request.
-func (r *run) fingerprint() crashes.Fingerprint {
+// fingerprint identifies the content of a request.
+func (r *requestHandler) fingerprint() crashes.Fingerprint {
 	h := xxhash.New()
 	for _, part := range []string{r.req.Method, r.req.Target, string(r.customer.ID)} {
-		_, _ = h.WriteString(part) // a hash takes everything
+		_, _ = h.WriteString(part) // writing to a hash never fails
 		_, _ = h.Write([]byte{0})
 	}
 	_, _ = h.Write(r.req.Body)
 	return crashes.Fingerprint(h.Sum64())
 }
 
-// implicate asks whether a server died under a request whose answer had not begun,
-// and if so tells all daemons.
-func (r *run) implicate(server state.Life, address string) {
-	if r.headed || r.g.prober.alive(server, address) {
+// implicate checks whether a server died while it ran this request, before the answer had
+// begun, and if so notifies all daemons.
+func (r *requestHandler) implicate(server state.Life, address string) {
+	if r.headSent || r.g.prober.alive(server, address) {
 		return
 	}
-	told, news := r.g.book.implicate(time.Now(), r.fingerprint(), server)
-	if !news {
+	implication, isNew := r.g.shared.implicate(time.Now(), r.fingerprint(), server)
+	if !isNew {
 		return
 	}
 	r.g.log.Emit(telemetry.EventRequestImplicated, telemetry.Request(r.req.ID), telemetry.Backend(server.ID))
-	r.g.tell(told)
+	r.g.broadcast(implication)
 }
 
-// cleared notes that an answer has begun: its content crashes no server.
-func (r *run) cleared() {
-	r.g.book.clear(r.fingerprint)
+// clearImplication records that an answer has begun: the request's content crashes no
+// server.
+func (r *requestHandler) clearImplication() {
+	r.g.shared.clearImplication(r.fingerprint)
 }
 
-func (b *book) implicate(now time.Time, fp crashes.Fingerprint, servers ...state.Life) (crashes.Implication, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.crashes.Implicate(now, fp, servers...)
+func (s *sharedState) implicate(now time.Time, fp crashes.Fingerprint, servers ...state.Life) (crashes.Implication, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.crashes.Implicate(now, fp, servers...)
 }
 
-func (b *book) convicted(now time.Time, fingerprint func() crashes.Fingerprint) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return !b.crashes.Empty() && b.crashes.IsBlocked(now, fingerprint())
+func (s *sharedState) isBlocked(now time.Time, fingerprint func() crashes.Fingerprint) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return !s.crashes.Empty() && s.crashes.IsBlocked(now, fingerprint())
 }
 
-// clear forgets a content. Its fingerprint is worked out only where any is known.
-func (b *book) clear(fingerprint func() crashes.Fingerprint) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.crashes.Empty() {
-		b.crashes.Clear(fingerprint())
+// clearImplication removes a content's implications. The fingerprint is computed only if
+// there are any.
+func (s *sharedState) clearImplication(fingerprint func() crashes.Fingerprint) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.crashes.Empty() {
+		s.crashes.Clear(fingerprint())
 	}
 }
--- a/gateway/entries.go
+++ b/gateway/entries.go
@@ -6,10 +6,10 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// usable reports whether an entry names a server to be used: one of a service that the
-// configuration knows and, of an engine, on a kind of card that it knows, with layers
-// that the model has. Whoever wrote another one, nothing could be planned with it.
-func usable(c *fleet.Config, s *fleet.Server) bool {
+// isUsable reports whether an entry describes a usable server: its service is in the
+// configuration, and for an engine its accelerator kind is too and the model has its
+// layers. Any other entry, whoever wrote it, can't be used for planning.
+func isUsable(c *fleet.Config, s *fleet.Server) bool {
 	if c == nil {
 		return true // nothing is served yet
 	}
@@ -24,12 +24,12 @@
 	return known && s.Layers.To <= svc.Engine.Layers
 }
 
-// unreadable takes up an entry that can't be read: it names no server to use, also
-// where a readable one of its name stood before.
-func (p *listingPart) unreadable(id state.BackendID, revision uint64, cause error) {
-	if p.bad[id] != revision {
-		p.c.g.log.Emit(telemetry.EventBackendUnreadable, telemetry.Backend(id), telemetry.Cause(cause))
+// handleUnreadable handles an entry that can't be decoded: it describes no server, even if
+// a readable entry of the same name preceded it.
+func (l *listingState) handleUnreadable(id state.BackendID, revision uint64, cause error) {
+	if l.unreadable[id] != revision {
+		l.c.g.log.Emit(telemetry.EventBackendUnreadable, telemetry.Backend(id), telemetry.Cause(cause))
 	}
-	p.bad[id] = revision
-	p.gone(id)
+	l.unreadable[id] = revision
+	l.removeServer(id)
 }
--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -17,58 +17,58 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// page is where gateways write their lines.
-type page struct {
+// logBuffer collects the log lines of gateways.
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (p *page) Write(b []byte) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.b.Write(b)
+func (l *logBuffer) Write(b []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.b.Write(b)
 }
 
-// story reads what was written so far, and nothing else.
-func (p *page) story(request string) explain.Story {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// storyOf returns the story of a request from the collected lines alone.
+func (l *logBuffer) storyOf(request string) explain.Story {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var log explain.Log
-	Expect(log.Read(bytes.NewReader(p.b.Bytes()))).To(Succeed())
+	Expect(log.Read(bytes.NewReader(l.b.Bytes()))).To(Succeed())
 	Expect(log.Other).To(BeZero())
 	s, err := log.Find(request)
 	Expect(err).NotTo(HaveOccurred())
 	return s
 }
 
-var _ = Describe("The logs alone explain", func() {
+var _ = Describe("The logs alone explain the cause of", func() {
 	var (
-		r    *rig
-		logs *page
+		h    *harness
+		logs *logBuffer
 	)
 
 	BeforeEach(func() {
-		logs = &page{}
-		r = newRigLogging(20*time.Second, telemetry.NewLog(telemetry.LogConfig{Output: logs}))
+		logs = &logBuffer{}
+		h = newHarnessWithLog(20*time.Second, telemetry.NewLog(telemetry.LogConfig{Output: logs}))
 	})
 
-	// A caller's stream ends in its middle. Cause: a server of its path went dark, and
-	// where it went on the answer broke off again.
-	It("a stream that was cut midway by a dark hop", func() {
-		r.fill()
-		r.servers.stream = func(c backend.Call, out *io.PipeWriter) {
+	// A caller's stream ends midway: a server of its path becomes unreachable, and on the
+	// engine that resumes the stream the answer breaks off again.
+	It("a stream truncated midway by an unreachable hop", func() {
+		h.populate()
+		h.servers.stream = func(c backend.Call, out *io.PipeWriter) {
 			if c.After == "" {
-				_, _ = io.WriteString(out, whole(2))
-				r.servers.kill(c.Path[1].Address)
+				_, _ = io.WriteString(out, eventText(2))
+				h.servers.markDead(c.Path[1].Address)
 				return
 			}
 			_ = out.CloseWithError(backend.ErrBroken)
 		}
-		_, res := r.serve("/stream/x")
+		_, res := h.serve("/stream/x")
 		Expect(res.Outcome).To(Equal(gateway.Truncated))
-		hop := r.servers.sent()[0].Path[1]
-		s := logs.story("r1")
+		hop := h.servers.sent()[0].Path[1]
+		s := logs.storyOf("r1")
 		Expect(s.Daemon).To(Equal("g1"))
 		Expect(s.Cause.Kind).To(Equal(explain.KindHopDied))
 		Expect(s.Cause.Summary).To(ContainSubstring(string(hop.Server.ID)))
@@ -76,28 +76,27 @@
 		Expect(s.Steps[0].Beliefs).To(ContainElement(HaveField("About", "server "+hop.Address)))
 	})
 
-	// A caller gets 502 for a request that may run once. Cause: its answer was lost.
-	It("a request that may run once and whose answer was lost", func() {
-		r.fill()
-		r.servers.plain = func(backend.Call) (*backend.Answer, error) { return nil, backend.ErrBroken }
-		_, res := r.serve("/once/x")
+	// A caller gets 502 for a request that may run only once, because its answer was lost.
+	It("the failure of a request that may run only once and whose answer was lost", func() {
+		h.populate()
+		h.servers.plain = func(backend.Call) (*backend.Answer, error) { return nil, backend.ErrBroken }
+		_, res := h.serve("/once/x")
 		Expect(res.Outcome).To(Equal(gateway.Failed))
-		s := logs.story("r1")
+		s := logs.storyOf("r1")
 		Expect(s.Cause.Kind).To(Equal(explain.KindAnswerLost))
-		Expect(s.Cause.Summary).To(ContainSubstring(r.servers.sent()[0].Address))
+		Expect(s.Cause.Summary).To(ContainSubstring(h.servers.sent()[0].Address))
 	})
 
-	// A caller gets 503. Cause: the store does not answer a daemon that has just
-	// started.
-	It("a refusal while the store was away", func() {
-		configs, servers := &door[*fleet.Config]{feed: r.configs}, &door[fleet.Server]{feed: r.listed}
-		configs.shut.Store(true)
-		servers.shut.Store(true)
-		late := r.startAt("g2", configs, servers)
-		Eventually(func() int64 { return configs.calls.Load() }).WithTimeout(patience).Should(BeNumerically(">", 1))
-		res := late.Serve(context.Background(), request("/again/x"), &reply{})
+	// A caller gets 503, because the store does not answer a daemon that has just started.
+	It("a refusal while the store was unavailable", func() {
+		configs, servers := &gatedFeed[*fleet.Config]{feed: h.configs}, &gatedFeed[fleet.Server]{feed: h.serverFeed}
+		configs.refusing.Store(true)
+		servers.refusing.Store(true)
+		late := h.startAt("g2", configs, servers)
+		Eventually(func() int64 { return configs.calls.Load() }).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", 1))
+		res := late.Serve(context.Background(), request("/again/x"), &fakeReply{})
 		Expect(res.Outcome).To(Equal(gateway.Refused))
-		s := logs.story("r1")
+		s := logs.storyOf("r1")
 		Expect(s.Daemon).To(Equal("g2"))
 		Expect(s.Cause.Kind).To(Equal(explain.KindStoreAway))
 		Expect(s.Cause.Summary).To(ContainSubstring("after its start"))
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -23,29 +23,29 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// servers is a fake of all backend servers.
-type servers struct {
-	mu     sync.Mutex
-	calls  []backend.Call
-	orders []backend.Order
-	dead   map[string]bool            // by address
-	used   int64                      // of 100, what every server's report says
-	refuse map[string]bool            // by address: they run no request along a path
-	born   map[string]int64           // of servers that are another life than listed, by address
-	asked  map[string]int             // reports that were asked for, by address
-	limits map[string]fleet.RateLimit // that servers name, by address
-	sentAt map[string][]time.Time     // when servers got requests, by address
+// fakeServers fakes all backend servers.
+type fakeServers struct {
+	mu          sync.Mutex
+	calls       []backend.Call
+	orders      []backend.Order
+	dead        map[string]bool            // by address
+	used        int64                      // of a capacity of 100, in the reports of all servers
+	refusing    map[string]bool            // by address: engines that refuse all requests along a path
+	startTimes  map[string]int64           // of servers that are another incarnation than listed, by address
+	reportCalls map[string]int             // number of report requests, by address
+	limits      map[string]fleet.RateLimit // limits that servers name, by address
+	requestsAt  map[string][]time.Time     // when servers received requests, by address
 	// plain and stream answer calls; a stream writes events with increasing ids.
-	plain  func(c backend.Call) (*backend.Answer, error)
-	stream func(c backend.Call, out *io.PipeWriter)
-	listed *feed[fleet.Server]
+	plain      func(c backend.Call) (*backend.Answer, error)
+	stream     func(c backend.Call, out *io.PipeWriter)
+	serverFeed *fakeFeed[fleet.Server]
 }
 
 // Send implements backend.Client.
-func (s *servers) Send(ctx context.Context, c backend.Call) (*backend.Answer, error) {
+func (s *fakeServers) Send(ctx context.Context, c backend.Call) (*backend.Answer, error) {
 	s.mu.Lock()
 	s.calls = append(s.calls, c)
-	s.sentAt[c.Address] = append(s.sentAt[c.Address], time.Now())
+	s.requestsAt[c.Address] = append(s.requestsAt[c.Address], time.Now())
 	dead, limit := s.dead[c.Address], s.limits[c.Address]
 	s.mu.Unlock()
 	if dead {
@@ -58,8 +58,8 @@
 		}
 		return a, err
 	}
-	if culprit, ok := s.refuses(c.Path); ok {
-		a := answer(http.StatusServiceUnavailable, "")
+	if culprit, ok := s.refusingHop(c.Path); ok {
+		a := signedAnswer(http.StatusServiceUnavailable, "")
 		a.NotRun, a.Culprit = true, culprit
 		return a, nil
 	}
@@ -69,45 +69,45 @@
 	return &backend.Answer{Status: http.StatusOK, Header: http.Header{}, Body: r, Signed: true, Limit: limit}, nil
 }
 
-// limit has a server name a limit of requests a second in its answers.
-func (s *servers) limit(address string, perSecond float64) {
+// setLimit makes a server name a limit of requests per second in its answers.
+func (s *fakeServers) setLimit(address string, perSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits[address] = fleet.RateLimit{Named: true, PerSecond: perSecond}
 }
 
-// unlimit has a server name no limit any more.
-func (s *servers) unlimit(address string) {
+// clearLimit makes a server name no limit.
+func (s *fakeServers) clearLimit(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.limits, address)
 }
 
-// gotAt is when a server got requests.
-func (s *servers) gotAt(address string) []time.Time {
+// requestTimes returns when a server received requests.
+func (s *fakeServers) requestTimes(address string) []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]time.Time(nil), s.sentAt[address]...)
+	return append([]time.Time(nil), s.requestsAt[address]...)
 }
 
 // Order implements backend.Client: the engine lists its layers at once.
-func (s *servers) Order(_ context.Context, o backend.Order) (backend.OrderAnswer, error) {
+func (s *fakeServers) Order(_ context.Context, o backend.Order) (backend.OrderAnswer, error) {
 	s.mu.Lock()
 	s.orders = append(s.orders, o)
 	s.mu.Unlock()
-	s.listed.mu.Lock()
-	srv := s.listed.rows[string(o.Server)]
-	s.listed.mu.Unlock()
+	s.serverFeed.mu.Lock()
+	srv := s.serverFeed.rows[string(o.Server)]
+	s.serverFeed.mu.Unlock()
 	srv.Layers = o.Layers
-	s.listed.set(string(o.Server), srv)
+	s.serverFeed.set(string(o.Server), srv)
 	return backend.OrderAnswer{Result: backend.OrderBegun}, nil
 }
 
 // Report implements backend.Client.
-func (s *servers) Report(ctx context.Context, address string) (backend.Report, error) {
+func (s *fakeServers) Report(ctx context.Context, address string) (backend.Report, error) {
 	s.mu.Lock()
 	dead := s.dead[address]
-	s.asked[address]++
+	s.reportCalls[address]++
 	s.mu.Unlock()
 	if dead {
 		<-ctx.Done()
@@ -115,63 +115,63 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return backend.Report{Born: s.born[address], Room: 100, Used: s.used}, nil
+	return backend.Report{Born: s.startTimes[address], Room: 100, Used: s.used}, nil
 }
 
-// refuses finds a hop of a path that runs no request.
-func (s *servers) refuses(path fleet.Path) (string, bool) {
+// refusingHop returns a hop of a path that refuses requests.
+func (s *fakeServers) refusingHop(path fleet.Path) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range path {
-		if s.refuse[h.Address] {
+		if s.refusing[h.Address] {
 			return h.Address, true
 		}
 	}
 	return "", false
 }
 
-// refuseAll has all engines run no request along a path, or run them again.
-func (s *servers) refuseAll(refuse bool) {
+// refuseAll makes all engines refuse requests along a path, or accept them again.
+func (s *fakeServers) refuseAll(refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range 4 {
-		s.refuse[fmt.Sprintf("e%d", i)] = refuse
+		s.refusing[fmt.Sprintf("e%d", i)] = refuse
 	}
 }
 
-// reborn has a server say that it is another life.
-func (s *servers) reborn(address string, born int64) {
+// setStartTime makes a server report another start time, as another incarnation does.
+func (s *fakeServers) setStartTime(address string, startTime int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.born[address] = born
+	s.startTimes[address] = startTime
 }
 
-// reported counts the reports that a server was asked for.
-func (s *servers) reported(address string) int {
+// reportCount returns how often a server's report was requested.
+func (s *fakeServers) reportCount(address string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked[address]
+	return s.reportCalls[address]
 }
 
-func (s *servers) kill(address string) {
+func (s *fakeServers) markDead(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dead[address] = true
 }
 
-func (s *servers) sent() []backend.Call {
+func (s *fakeServers) sent() []backend.Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]backend.Call(nil), s.calls...)
 }
 
-// answer is a whole signed answer.
-func answer(status int, body string) *backend.Answer {
+// signedAnswer returns a complete signed answer.
+func signedAnswer(status int, body string) *backend.Answer {
 	return &backend.Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(bytes.NewBufferString(body)), Signed: true}
 }
 
-// events writes events after the given one up to last, and ends the answer.
-func events(out *io.PipeWriter, after string, last int) {
+// writeEvents writes the events after the given one up to last, and ends the answer.
+func writeEvents(out *io.PipeWriter, after string, last int) {
 	from, _ := strconv.Atoi(after)
 	for id := from + 1; id <= last; id++ {
 		if _, err := fmt.Fprintf(out, "id: %d\ndata: %d\n\n", id, id); err != nil {
@@ -181,66 +181,67 @@
 	_ = out.Close()
 }
 
-// reply collects what a caller gets.
-type reply struct {
-	status int
-	body   bytes.Buffer
-	cut    bool
+// fakeReply records what a caller receives.
+type fakeReply struct {
+	status  int
+	body    bytes.Buffer
+	aborted bool
 }
 
-// Head implements gateway.Reply.
-func (r *reply) WriteHeader(status int, _ http.Header) { r.status = status }
+// WriteHeader implements gateway.Reply.
+func (r *fakeReply) WriteHeader(status int, _ http.Header) { r.status = status }
 
 // Write implements gateway.Reply.
-func (r *reply) Write(b []byte) error { _, err := r.body.Write(b); return err }
-
-// Cut implements gateway.Reply.
-func (r *reply) Abort() { r.cut = true }
-
-// rig is a site with one gateway.
-type rig struct {
-	configs *feed[*fleet.Config]
-	listed  *feed[fleet.Server]
-	servers *servers
-	members *table
-	leases  *table
-	gateway *gateway.Gateway
-	grace   time.Duration
-	log     *telemetry.Log
+func (r *fakeReply) Write(b []byte) error { _, err := r.body.Write(b); return err }
+
+// Abort implements gateway.Reply.
+func (r *fakeReply) Abort() { r.aborted = true }
+
+// harness is a fake site with one gateway.
+type harness struct {
+	configs    *fakeFeed[*fleet.Config]
+	serverFeed *fakeFeed[fleet.Server]
+	servers    *fakeServers
+	members    *memTable
+	leases     *memTable
+	gateway    *gateway.Gateway
+	grace      time.Duration
+	log        *telemetry.Log
 }
 
-const patience = 20 * time.Second
+const eventuallyTimeout = 20 * time.Second
 
-func newRig() *rig { return newRigWith(20 * time.Second) }
+func newHarness() *harness { return newHarnessWithGrace(20 * time.Second) }
 
-// newRigWith has gateways whose planned stops take grace at most.
-func newRigWith(grace time.Duration) *rig {
-	return newRigLogging(grace, telemetry.Discard())
+// newHarnessWithGrace returns a harness whose gateways take at most grace for a planned
+// stop.
+func newHarnessWithGrace(grace time.Duration) *harness {
+	return newHarnessWithLog(grace, telemetry.Discard())
 }
 
-// newRigLogging has gateways that write to a log.
-func newRigLogging(grace time.Duration, log *telemetry.Log) *rig {
-	r := &rig{log: log, grace: grace, configs: newFeed[*fleet.Config](), listed: newFeed[fleet.Server](), members: newTable(), leases: newTable()}
-	r.servers = &servers{dead: make(map[string]bool), refuse: make(map[string]bool), born: make(map[string]int64), asked: make(map[string]int), listed: r.listed,
-		limits: make(map[string]fleet.RateLimit), sentAt: make(map[string][]time.Time)}
-	r.servers.stream = func(c backend.Call, out *io.PipeWriter) { events(out, c.After, 5) }
-	r.servers.plain = func(backend.Call) (*backend.Answer, error) { return answer(http.StatusOK, "ok"), nil }
-	r.gateway = r.start("g1")
-	return r
+// newHarnessWithLog returns a harness whose gateways write to a log.
+func newHarnessWithLog(grace time.Duration, log *telemetry.Log) *harness {
+	h := &harness{log: log, grace: grace, configs: newFakeFeed[*fleet.Config](), serverFeed: newFakeFeed[fleet.Server](), members: newMemTable(), leases: newMemTable()}
+	h.servers = &fakeServers{dead: make(map[string]bool), refusing: make(map[string]bool), startTimes: make(map[string]int64), reportCalls: make(map[string]int), serverFeed: h.serverFeed,
+		limits: make(map[string]fleet.RateLimit), requestsAt: make(map[string][]time.Time)}
+	h.servers.stream = func(c backend.Call, out *io.PipeWriter) { writeEvents(out, c.After, 5) }
+	h.servers.plain = func(backend.Call) (*backend.Answer, error) { return signedAnswer(http.StatusOK, "ok"), nil }
+	h.gateway = h.start("g1")
+	return h
 }
 
 // start runs one more gateway of the site.
-func (r *rig) start(id state.DaemonID) *gateway.Gateway {
-	return r.startAt(id, r.configs, r.listed)
+func (h *harness) start(id state.DaemonID) *gateway.Gateway {
+	return h.startAt(id, h.configs, h.serverFeed)
 }
 
-// startAt runs a gateway with ways of its own to the site's feeds.
-func (r *rig) startAt(id state.DaemonID, configs site.Feed[*fleet.Config], servers site.Feed[fleet.Server]) *gateway.Gateway {
+// startAt runs a gateway with its own connections to the site's feeds.
+func (h *harness) startAt(id state.DaemonID, configs site.Feed[*fleet.Config], servers site.Feed[fleet.Server]) *gateway.Gateway {
 	g, err := gateway.New(gateway.Settings{
-		ID: id, Domain: "a", CallerAddress: "front-" + string(id), PeerAddress: freeAddress(), DrainTimeout: r.grace,
+		ID: id, Domain: "a", CallerAddress: "front-" + string(id), PeerAddress: freeAddress(), DrainTimeout: h.grace,
 		AddressTTL: 5 * time.Second, BudgetRatio: 0.2, BudgetWindow: 10 * time.Second, BudgetSlack: 100,
-	}, gateway.Site{Configs: configs, Servers: servers, Members: r.members, Leases: r.leases},
-		r.servers, r.log, telemetry.NewMetrics())
+	}, gateway.Site{Configs: configs, Servers: servers, Members: h.members, Leases: h.leases},
+		h.servers, h.log, telemetry.NewMetrics())
 	Expect(err).NotTo(HaveOccurred())
 	g.Run()
 	DeferCleanup(g.Close)
@@ -253,7 +254,7 @@
 	return address
 }
 
-// config has a streaming route to engines of 8 layers, and two to plain servers.
+// config has a streaming route to engines of 8 layers, and two routes to plain servers.
 func config(version uint64) *fleet.Config {
 	return &fleet.Config{
 		Version: version,
@@ -273,22 +274,22 @@
 	}
 }
 
-// fill lists two plain servers and two chains of two engines.
-func (r *rig) fill() {
+// populate lists two plain servers and two chains of two engines.
+func (h *harness) populate() {
 	for i := range 2 {
 		id := fmt.Sprintf("p%d", i)
-		r.listed.set(id, fleet.Server{ID: state.BackendID(id), Service: "app", Address: id, Domain: "a"})
+		h.serverFeed.set(id, fleet.Server{ID: state.BackendID(id), Service: "app", Address: id, Domain: "a"})
 	}
 	for i := range 4 {
 		id := fmt.Sprintf("e%d", i)
 		from := 4 * (i % 2)
-		r.listed.set(id, fleet.Server{
+		h.serverFeed.set(id, fleet.Server{
 			ID: state.BackendID(id), Service: "llm", Address: id, Kind: "card",
 			Domain: state.FailureDomain(fmt.Sprint("ab"[i/2 : i/2+1])), Layers: fleet.Range{From: from, To: from + 4},
 		})
 	}
-	r.configs.set("config", config(1))
-	Eventually(r.gateway.Ready).WithTimeout(patience).Should(BeTrue())
+	h.configs.set("config", config(1))
+	Eventually(h.gateway.Ready).WithTimeout(eventuallyTimeout).Should(BeTrue())
 }
 
 func request(path string) *gateway.Request {
@@ -299,15 +300,15 @@
 }
 
 // serve sends a request through the gateway.
-func (r *rig) serve(path string) (*reply, gateway.Result) {
-	to := &reply{}
-	res := r.gateway.Serve(context.Background(), request(path), to)
-	return to, res
+func (h *harness) serve(path string) (*fakeReply, gateway.Result) {
+	got := &fakeReply{}
+	res := h.gateway.Serve(context.Background(), request(path), got)
+	return got, res
 }
 
-// serveAt sends a request as if it had come some time from now.
-func (r *rig) serveAt(path string, in time.Duration) gateway.Result {
+// serveAt sends a request as if it had arrived some time from now.
+func (h *harness) serveAt(path string, in time.Duration) gateway.Result {
 	req := request(path)
 	req.Arrived = req.Arrived.Add(in)
-	return r.gateway.Serve(context.Background(), req, &reply{})
+	return h.gateway.Serve(context.Background(), req, &fakeReply{})
 }
--- a/gateway/fakestore_test.go
+++ b/gateway/fakestore_test.go
@@ -9,32 +9,32 @@
 	"github.com/hibiscuswick/hibiscuswick/protocol/site"
 )
 
-// feed is a feed whose rows a test sets.
-type feed[T any] struct {
-	mu       sync.Mutex
-	rows     map[string]T
-	revision uint64
-	written  map[string]uint64 // revisions of the rows
-	changed  chan struct{}
-	err      error
-	failures atomic.Int64 // calls that ended with err
-	// behind makes reads answer as of an older revision.
-	behind *site.Batch[T]
-	// bad are rows that can't be read.
-	bad map[string]error
-	// history keeps the changes, nil for a feed that has always lost them.
+// fakeFeed is a feed whose rows are set by a test.
+type fakeFeed[T any] struct {
+	mu        sync.Mutex
+	rows      map[string]T
+	revision  uint64
+	revisions map[string]uint64 // of the rows
+	changed   chan struct{}
+	err       error
+	failures  atomic.Int64 // calls that ended with err
+	// outdated makes reads answer as of an older revision.
+	outdated *site.Batch[T]
+	// unreadable are rows that can't be decoded.
+	unreadable map[string]error
+	// history contains the changes; nil for a feed that has no history at all.
 	history []site.Item[T]
 }
 
-// keep makes the feed tell changes from now on.
-func (f *feed[T]) keep() {
+// keepHistory makes the feed report changes from now on.
+func (f *fakeFeed[T]) keepHistory() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.history = []site.Item[T]{}
 }
 
-// since lists the changes after a revision.
-func (f *feed[T]) since(after uint64) site.Batch[T] {
+// changesAfter returns the changes after a revision.
+func (f *fakeFeed[T]) changesAfter(after uint64) site.Batch[T] {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	b := site.Batch[T]{Revision: f.revision}
@@ -46,47 +46,47 @@
 	return b
 }
 
-func newFeed[T any]() *feed[T] {
-	return &feed[T]{rows: make(map[string]T), written: make(map[string]uint64), bad: make(map[string]error), changed: make(chan struct{})}
+func newFakeFeed[T any]() *fakeFeed[T] {
+	return &fakeFeed[T]{rows: make(map[string]T), revisions: make(map[string]uint64), unreadable: make(map[string]error), changed: make(chan struct{})}
 }
 
-func (f *feed[T]) set(key string, v T) {
+func (f *fakeFeed[T]) set(key string, v T) {
 	f.change(func() {
 		f.rows[key] = v
-		delete(f.bad, key)
-		f.written[key] = f.revision + 1
-		f.log(site.Item[T]{Key: key, Value: v, Revision: f.revision + 1})
+		delete(f.unreadable, key)
+		f.revisions[key] = f.revision + 1
+		f.record(site.Item[T]{Key: key, Value: v, Revision: f.revision + 1})
 	})
 }
 
-// spoil makes a row unreadable.
-func (f *feed[T]) spoil(key string, why error) {
+// setUnreadable makes a row unreadable.
+func (f *fakeFeed[T]) setUnreadable(key string, why error) {
 	f.change(func() {
 		delete(f.rows, key)
-		f.bad[key] = why
-		f.log(site.Item[T]{Key: key, Err: why, Revision: f.revision + 1})
+		f.unreadable[key] = why
+		f.record(site.Item[T]{Key: key, Err: why, Revision: f.revision + 1})
 	})
 }
 
-func (f *feed[T]) remove(key string) {
+func (f *fakeFeed[T]) remove(key string) {
 	f.change(func() {
 		delete(f.rows, key)
-		f.log(site.Item[T]{Key: key, Removed: true, Revision: f.revision + 1})
+		f.record(site.Item[T]{Key: key, Removed: true, Revision: f.revision + 1})
 	})
 }
 
-func (f *feed[T]) log(it site.Item[T]) {
+func (f *fakeFeed[T]) record(it site.Item[T]) {
 	if f.history != nil {
 		f.history = append(f.history, it)
 	}
 }
 
-// fail makes every call end with err, nil for none.
-func (f *feed[T]) fail(err error) {
+// fail makes every call end with err, or succeed if err is nil.
+func (f *fakeFeed[T]) fail(err error) {
 	f.change(func() { f.err = err })
 }
 
-func (f *feed[T]) change(do func()) {
+func (f *fakeFeed[T]) change(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
@@ -96,11 +96,11 @@
 }
 
 // Read implements site.Feed.
-func (f *feed[T]) Read(context.Context) (site.Batch[T], error) {
+func (f *fakeFeed[T]) Read(context.Context) (site.Batch[T], error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.behind != nil {
-		return *f.behind, nil
+	if f.outdated != nil {
+		return *f.outdated, nil
 	}
 	if f.err != nil {
 		f.failures.Add(1)
@@ -108,20 +108,20 @@
 	return f.all(), f.err
 }
 
-func (f *feed[T]) all() site.Batch[T] {
+func (f *fakeFeed[T]) all() site.Batch[T] {
 	b := site.Batch[T]{Revision: f.revision}
 	for k, v := range f.rows {
-		b.Items = append(b.Items, site.Item[T]{Key: k, Value: v, Revision: f.written[k]})
+		b.Items = append(b.Items, site.Item[T]{Key: k, Value: v, Revision: f.revisions[k]})
 	}
-	for k, err := range f.bad {
+	for k, err := range f.unreadable {
 		b.Items = append(b.Items, site.Item[T]{Key: k, Err: err})
 	}
 	return b
 }
 
-// Follow implements site.Feed. Without a history it demands a whole read at each
+// Follow implements site.Feed. Without a history it requires a complete read at each
 // change.
-func (f *feed[T]) Follow(ctx context.Context, after uint64, wait time.Duration) (site.Batch[T], error) {
+func (f *fakeFeed[T]) Follow(ctx context.Context, after uint64, wait time.Duration) (site.Batch[T], error) {
 	f.mu.Lock()
 	changed, revision, err, kept := f.changed, f.revision, f.err, f.history != nil
 	f.mu.Unlock()
@@ -130,11 +130,11 @@
 		return site.Batch[T]{}, err
 	}
 	if revision > after {
-		return f.changes(after, kept)
+		return f.answerAfter(after, kept)
 	}
 	select {
 	case <-changed:
-		return f.changes(after, kept)
+		return f.answerAfter(after, kept)
 	case <-time.After(wait):
 		return site.Batch[T]{Revision: after}, nil
 	case <-ctx.Done():
@@ -142,65 +142,65 @@
 	}
 }
 
-func (f *feed[T]) changes(after uint64, kept bool) (site.Batch[T], error) {
+func (f *fakeFeed[T]) answerAfter(after uint64, kept bool) (site.Batch[T], error) {
 	if !kept {
 		return site.Batch[T]{}, site.ErrHistoryGone
 	}
-	return f.since(after), nil
+	return f.changesAfter(after), nil
 }
 
-// door is one gateway's way to a feed.
-type door[T any] struct {
-	feed  *feed[T]
-	calls atomic.Int64
-	shut  atomic.Bool // every call is refused
-	hangs atomic.Bool // no call is answered
+// gatedFeed is one gateway's connection to a feed.
+type gatedFeed[T any] struct {
+	feed     *fakeFeed[T]
+	calls    atomic.Int64
+	refusing atomic.Bool // every call is refused
+	hanging  atomic.Bool // no call is answered
 }
 
-// pass counts a call, and has it wait or fail as the door stands.
-func (d *door[T]) pass(ctx context.Context) error {
-	d.calls.Add(1)
-	if d.hangs.Load() {
+// gate counts a call, and makes it hang or fail according to the settings.
+func (g *gatedFeed[T]) gate(ctx context.Context) error {
+	g.calls.Add(1)
+	if g.hanging.Load() {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	if d.shut.Load() {
+	if g.refusing.Load() {
 		return site.ErrUnavailable
 	}
 	return nil
 }
 
 // Read implements site.Feed.
-func (d *door[T]) Read(ctx context.Context) (site.Batch[T], error) {
-	if err := d.pass(ctx); err != nil {
+func (g *gatedFeed[T]) Read(ctx context.Context) (site.Batch[T], error) {
+	if err := g.gate(ctx); err != nil {
 		return site.Batch[T]{}, err
 	}
-	return d.feed.Read(ctx)
+	return g.feed.Read(ctx)
 }
 
 // Follow implements site.Feed.
-func (d *door[T]) Follow(ctx context.Context, after uint64, wait time.Duration) (site.Batch[T], error) {
-	if err := d.pass(ctx); err != nil {
+func (g *gatedFeed[T]) Follow(ctx context.Context, after uint64, wait time.Duration) (site.Batch[T], error) {
+	if err := g.gate(ctx); err != nil {
 		return site.Batch[T]{}, err
 	}
-	return d.feed.Follow(ctx, after, wait)
+	return g.feed.Follow(ctx, after, wait)
 }
 
-// table is a table of the site's store.
-type table struct {
+// memTable is an in-memory table of the site's store.
+type memTable struct {
 	mu       sync.Mutex
 	rows     map[string]site.Row
 	revision uint64
-	began    time.Time
+	start    time.Time
 }
 
-func newTable() *table { return &table{rows: make(map[string]site.Row), began: time.Now()} }
+func newMemTable() *memTable { return &memTable{rows: make(map[string]site.Row), start: time.Now()} }
 
 // Read implements site.Table.
-func (t *table) Read(context.Context) (site.Rows, error) {
+func (t *memTable) Read(context.Context) (site.Rows, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := site.Rows{Now: time.Since(t.began)}
+	out := site.Rows{Now: time.Since(t.start)}
 	for _, r := range t.rows {
 		out.Rows = append(out.Rows, r)
 	}
@@ -208,7 +208,7 @@
 }
 
 // Commit implements site.Table.
-func (t *table) Commit(_ context.Context, c site.Change) (uint64, error) {
+func (t *memTable) Commit(_ context.Context, c site.Change) (uint64, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c.Conditional && t.rows[c.Key].Revision != c.Revision {
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// storeTimeout bounds one call to the store that is to be answered at once.
+	// storeTimeout limits a call to the store that is to be answered at once.
 	storeTimeout = 1500 * time.Millisecond
-	// followWait is how long the store holds a call that has nothing to tell: a
-	// connection that has gone silent shows within it and storeTimeout.
-	followWait = time.Second
-	// followFresh is how old the store's last answer to a follower may be: as long as
-	// such a call takes, until the next announcement. It is less than the 2 s within which a
-	// configuration is to be in force, also where the connections of all followers go
-	// silent at once.
-	followFresh = followWait + following.AnnounceInterval + 200*time.Millisecond
-	// followPace is the least time between a change that the store tells and the next call:
-	// at a start thousands of servers list themselves within seconds, and each announcement with
-	// rows is worked on by all daemons.
-	followPace = 50 * time.Millisecond
-	// Waits between calls to a store that does not answer.
+	// longPollWait is how long the store holds a call without news. An unresponsive
+	// connection is detected within longPollWait plus storeTimeout.
+	longPollWait = time.Second
+	// maxStoreAge is how old the store's last answer to a follower may be: the duration of
+	// a long poll and the time until the next announcement. It is below the 2 s within
+	// which a configuration must be active, even if the connections of all followers become
+	// unresponsive at once.
+	maxStoreAge = longPollWait + following.AnnounceInterval + 200*time.Millisecond
+	// changePollDelay is the minimum time between a change from the store and the next
+	// call. During a start thousands of servers list themselves within seconds, and all
+	// daemons process each announcement with rows.
+	changePollDelay = 50 * time.Millisecond
+	// Bounds of the delay between calls to a store that does not answer.
 	backoffMin = 100 * time.Millisecond
 	backoffMax = 300 * time.Millisecond
 )
@@ -38,123 +38,122 @@
 	announcementRepeated = "repeated"
 )
 
-// probeTimeouts bound the calls to a store that does not answer, in turn. A store
-// that is back must be heard well within the bound of a configuration, 2 s; one that
-// is merely slow answers within the longest.
-var probeTimeouts = []time.Duration{500 * time.Millisecond, 700 * time.Millisecond, storeTimeout}
+// storeProbeTimeouts are the timeouts, in rotation, of calls to a store that does not answer.
+// A store that has recovered must be detected well within the 2 s of a configuration
+// change; a store that is only slow answers within the longest timeout.
+var storeProbeTimeouts = []time.Duration{500 * time.Millisecond, 700 * time.Millisecond, storeTimeout}
 
-// arrival says how a batch came.
-type arrival struct {
-	whole     bool // it holds all rows
+// batchInfo describes how a batch was obtained.
+type batchInfo struct {
+	complete  bool // the batch contains all rows
 	recovered bool // the store did not answer before
 }
 
-// feedPart keeps one feed up to date, by the store or by other daemons. All but its
-// run method belongs to the control goroutine.
-type feedPart[T any] struct {
-	c    *control
-	name string
-	feed site.Feed[T]
-	m    *following.Machine
-	take func(b site.Batch[T], how arrival)
-	// recovered takes when the store answered a follower again.
-	recovered func(at time.Time)
-	rows      encodedRows  // that are to go with the next announcement
-	rowsKnown rowsKnown[T] // for other daemons
-	allRows   encodedRows  // all of them, as they were given last
-	// stale is what another daemon gave, and the store has not confirmed. It belongs to
-	// the run method.
-	stale *stale[T]
+// feedTracker keeps one feed up to date, from the store or from other daemons. Everything
+// but its run method belongs to the control goroutine.
+type feedTracker[T any] struct {
+	c       *control
+	name    string
+	feed    site.Feed[T]
+	machine *following.Machine
+	apply   func(b site.Batch[T], info batchInfo)
+	// onRecovery is called with the time at which the store answered a follower again.
+	onRecovery  func(at time.Time)
+	pendingRows encodedRows // for the next announcement
+	cache       rowCache[T] // rows for other daemons
+	allRows     encodedRows // all rows as last encoded
+	// unconfirmed are rows from another daemon that the store has not confirmed. The field
+	// belongs to the run method.
+	unconfirmed *unconfirmedRows[T]
 
-	mode     atomic.Int32  // a following.Mode
-	overdue  atomic.Uint64 // the revision that is overdue; 0 for none
-	follows  atomic.Bool   // this daemon follows the feed for others
-	revision atomic.Uint64 // up to which the feed is known
-	seldom   atomic.Int64  // the time between two calls in the mode BySeldom, in ns
-	wake     chan struct{}
+	mode            atomic.Int32  // a following.Mode
+	overdue         atomic.Uint64 // the revision that is overdue; 0 for none
+	announces       atomic.Bool   // this daemon follows the feed for others
+	revision        atomic.Uint64 // up to which the feed is known
+	reducedInterval atomic.Int64  // time between calls in ModeStoreReduced, in ns
+	wake            chan struct{}
 }
 
-func newFeedPart[T any](c *control, name string, feed site.Feed[T], take func(site.Batch[T], arrival), recovered func(time.Time)) *feedPart[T] {
-	return &feedPart[T]{
-		c: c, name: name, feed: feed, take: take, recovered: recovered,
-		m:         following.New(c.g.self, name, followFresh, c.now),
-		rowsKnown: newRowsKnown[T](),
-		wake:      make(chan struct{}, 1),
+func newFeedTracker[T any](c *control, name string, feed site.Feed[T], apply func(site.Batch[T], batchInfo), onRecovery func(time.Time)) *feedTracker[T] {
+	return &feedTracker[T]{
+		c: c, name: name, feed: feed, apply: apply, onRecovery: onRecovery,
+		machine: following.New(c.g.self, name, maxStoreAge, c.now),
+		cache:   newRowCache[T](),
+		wake:    make(chan struct{}, 1),
 	}
 }
 
-// run asks the store as long as no other daemon does, until ctx ends.
-func (p *feedPart[T]) run(ctx context.Context) {
+// run polls the store while no other daemon does that for this one, until ctx ends.
+func (f *feedTracker[T]) run(ctx context.Context) {
 	var (
 		revision uint64
 		known    bool
 		failures int
 		wait     = backoffMin
-		log      = p.c.g.log
+		log      = f.c.g.log
 	)
 	for ctx.Err() == nil {
-		if p.told() {
+		if f.skipsStore() {
 			failures, wait = 0, backoffMin
-			p.await(ctx)
+			f.awaitWake(ctx)
 			continue
 		}
-		if !p.mayAsk(ctx) {
+		if !f.awaitPollTurn(ctx) {
 			continue
 		}
-		revision = max(revision, p.revision.Load())
-		if p.spareStore(ctx, known, revision) {
+		revision = max(revision, f.revision.Load())
+		if f.syncFromPeers(ctx, known, revision) {
 			known = true
 			continue
 		}
-		batch, whole, err := next(ctx, p.feed, revision, known, failures)
+		batch, complete, err := readFeed(ctx, f.feed, revision, known, failures)
 		if errors.Is(err, site.ErrHistoryGone) {
 			known = false
 			continue
 		}
 		if err == nil && batch.Revision < revision {
-			// A replica of the store that is behind would take us back.
+			// A lagging replica of the store would revert the feed to an older state.
 			err = errStaleRead
 		}
 		if ctx.Err() != nil {
-			return // the gateway has ended; that is no fault of the store
+			return // the gateway has ended; that is no failure of the store
 		}
 		if err != nil {
 			failures++
 			if failures == 1 {
-				log.Emit(telemetry.EventStoreUnavailable, telemetry.Detail(p.name), telemetry.Cause(err))
-				p.c.post(func() { p.m.StoreFailed(p.c.now) })
+				log.Emit(telemetry.EventStoreUnavailable, telemetry.Detail(f.name), telemetry.Cause(err))
+				f.c.post(func() { f.machine.StoreFailed(f.c.now) })
 			}
-			if p.stale != nil && !known {
+			if f.unconfirmed != nil && !known {
 				known = true
-				p.takeStale(ctx)
+				f.applyUnconfirmed(ctx)
 			}
-			p.c.g.unanswered.Store(!known)
-			p.backOff(ctx, wait)
+			f.c.g.storeUnanswered.Store(!known)
+			f.backOff(ctx, wait)
 			wait = min(2*wait, backoffMax)
 			continue
 		}
-		how := arrival{whole: whole, recovered: failures > 0}
+		info := batchInfo{complete: complete, recovered: failures > 0}
 		if failures > 0 {
 			failures = 0
-			log.Emit(telemetry.EventStoreRecovered, telemetry.Detail(p.name))
+			log.Emit(telemetry.EventStoreRecovered, telemetry.Detail(f.name))
 		}
 		wait = backoffMin
 		known, revision = true, batch.Revision
-		p.c.g.unanswered.Store(false)
-		p.post(ctx, func() { p.answered(batch, how) })
+		f.c.g.storeUnanswered.Store(false)
+		f.post(ctx, func() { f.applyStoreAnswer(batch, info) })
 		if len(batch.Items) > 0 {
-			pause(ctx, followPace)
+			sleep(ctx, changePollDelay)
 		}
 	}
 }
 
-// post has f run by the control goroutine, and waits until the mode that follows from
-// it is in force.
-func (p *feedPart[T]) post(ctx context.Context, f func()) {
+// post runs fn on the control goroutine, and waits until the resulting mode is set.
+func (f *feedTracker[T]) post(ctx context.Context, fn func()) {
 	done := make(chan struct{})
-	p.c.post(func() {
-		f()
-		p.tick()
+	f.c.post(func() {
+		fn()
+		f.tick()
 		close(done)
 	})
 	select {
@@ -163,81 +162,81 @@
 	}
 }
 
-// told reports whether the store need not be asked now.
-func (p *feedPart[T]) told() bool {
-	mode := following.Mode(p.mode.Load())
+// skipsStore reports whether the store need not be polled now.
+func (f *feedTracker[T]) skipsStore() bool {
+	mode := following.Mode(f.mode.Load())
 	return mode == following.ModePeers || mode == following.ModeCooldown
 }
 
-// spareStore asks other daemons instead of the store, where this one follows it for
-// nobody. It returns false where the store is to be asked.
-func (p *feedPart[T]) spareStore(ctx context.Context, known bool, revision uint64) bool {
+// syncFromPeers queries other daemons instead of the store if this daemon follows the feed
+// for nobody. It returns false if the store has to be called.
+func (f *feedTracker[T]) syncFromPeers(ctx context.Context, known bool, revision uint64) bool {
 	switch {
 	case !known && revision == 0:
-		return p.startFromPeers(ctx)
-	case !known: // the store has forgotten the changes since then
-		return p.fromPeers(ctx, rowsAsked{Least: revision + 1}) == taken
-	case p.follows.Load() || following.Mode(p.mode.Load()) == following.ModeStoreReduced:
+		return f.loadFromPeers(ctx)
+	case !known: // the store no longer has the changes since revision
+		return f.queryPeers(ctx, rowsRequest{MinRevision: revision + 1}) == queryApplied
+	case f.announces.Load() || following.Mode(f.mode.Load()) == following.ModeStoreReduced:
 		return false
 	}
-	ask := rowsAsked{Least: max(p.overdue.Swap(0), revision), Has: revision}
-	for range overdueRounds {
-		if p.fromPeers(ctx, ask) == taken {
+	req := rowsRequest{MinRevision: max(f.overdue.Swap(0), revision), HasRevision: revision}
+	for range maxOverdueRounds {
+		if f.queryPeers(ctx, req) == queryApplied {
 			return true
 		}
-		if ask.Least == revision {
-			break // nothing is known to be overdue: these know no more
+		if req.MinRevision == revision {
+			break // no overdue revision is known, so further peers know no more
 		}
-		pause(ctx, giveStep)
+		sleep(ctx, peerQueryInterval)
 	}
 	return false
 }
 
-// takeStale goes by what another daemon gave, since the store does not answer.
-func (p *feedPart[T]) takeStale(ctx context.Context) {
-	old := p.stale
-	p.stale = nil
-	p.post(ctx, func() { p.given(old.batch, p.c.now.Sub(old.at), true) })
+// applyUnconfirmed applies rows from another daemon because the store does not answer.
+func (f *feedTracker[T]) applyUnconfirmed(ctx context.Context) {
+	old := f.unconfirmed
+	f.unconfirmed = nil
+	f.post(ctx, func() { f.applyPeerRows(old.batch, f.c.now.Sub(old.confirmedAt), true) })
 }
 
-// await returns once the store is to be asked.
-func (p *feedPart[T]) await(ctx context.Context) {
+// awaitWake waits until the store has to be polled.
+func (f *feedTracker[T]) awaitWake(ctx context.Context) {
 	select {
-	case <-p.wake:
+	case <-f.wake:
 	case <-ctx.Done():
 	}
 }
 
 // backOff waits between two calls to a store that does not answer.
-func (p *feedPart[T]) backOff(ctx context.Context, wait time.Duration) {
-	pause(ctx, wait/2+rand.N(wait/2))
+func (f *feedTracker[T]) backOff(ctx context.Context, wait time.Duration) {
+	sleep(ctx, wait/2+rand.N(wait/2))
 }
 
-// mayAsk waits, where the store does not answer those that follow it for all, for this
-// daemon's turn to find out whether it refuses just those. It returns false where the
-// mode has changed meanwhile. Daemons wait a random time from 0 on: were each to ask as
-// soon as it hears of the failure, 195 would ask at one moment, each time.
-func (p *feedPart[T]) mayAsk(ctx context.Context) bool {
-	if following.Mode(p.mode.Load()) != following.ModeStoreReduced {
+// awaitPollTurn is used when the store does not answer the followers. It waits for this
+// daemon's turn to check whether the store refuses only them, and returns false if the mode
+// has changed meanwhile. The wait is random, from 0 on: if each daemon called as soon as it
+// learned of the failure, 195 daemons would call at the same moment, each time.
+func (f *feedTracker[T]) awaitPollTurn(ctx context.Context) bool {
+	if following.Mode(f.mode.Load()) != following.ModeStoreReduced {
 		return true
 	}
-	t := time.NewTimer(rand.N(time.Duration(p.seldom.Load()) + 1))
+	t := time.NewTimer(rand.N(time.Duration(f.reducedInterval.Load()) + 1))
 	defer t.Stop()
 	select {
 	case <-t.C:
-		return following.Mode(p.mode.Load()) == following.ModeStoreReduced
-	case <-p.wake:
+		return following.Mode(f.mode.Load()) == following.ModeStoreReduced
+	case <-f.wake:
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// next reads a feed whole, or what changed in it after revision. After failures it
-// does not let the store wait for a change, so that its return is noticed at once.
-func next[T any](ctx context.Context, f site.Feed[T], revision uint64, known bool, failures int) (site.Batch[T], bool, error) {
-	wait, timeout := followWait, followWait+storeTimeout
+// readFeed reads a feed completely, or its changes after revision. After failures it does
+// not use a long poll, so that the store's recovery is noticed at once.
+func readFeed[T any](ctx context.Context, f site.Feed[T], revision uint64, known bool, failures int) (site.Batch[T], bool, error) {
+	wait, timeout := longPollWait, longPollWait+storeTimeout
 	if failures > 0 {
-		wait, timeout = 0, probeTimeouts[(failures-1)%len(probeTimeouts)]
+		wait, timeout = 0, storeProbeTimeouts[(failures-1)%len(storeProbeTimeouts)]
 	}
 	if !known {
 		timeout = min(timeout, storeTimeout)
@@ -252,7 +251,7 @@
 	return b, false, err
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -261,33 +260,33 @@
 	}
 }
 
-// answered takes an answer of the store. Other daemons may have told of a part of it
-// meanwhile.
-func (p *feedPart[T]) answered(b site.Batch[T], how arrival) {
-	before, known := p.m.Revision()
+// applyStoreAnswer applies an answer of the store. Other daemons may have announced a part
+// of it meanwhile.
+func (f *feedTracker[T]) applyStoreAnswer(b site.Batch[T], info batchInfo) {
+	before, known := f.machine.Revision()
 	if known && b.Revision < before {
-		p.m.StoreAnswered(p.c.now, before, false)
+		f.machine.StoreAnswered(f.c.now, before, false)
 		return
 	}
-	if !how.whole {
-		b.Items = since(b.Items, before)
+	if !info.complete {
+		b.Items = itemsAfter(b.Items, before)
 	}
-	changed := how.whole || len(b.Items) > 0
-	if changed && !how.whole && p.m.SendsRows(p.c.now) {
-		p.rows = p.encode(b.Items, p.m.LastChange(), b.Revision)
+	changed := info.complete || len(b.Items) > 0
+	if changed && !info.complete && f.machine.SendsRows(f.c.now) {
+		f.pendingRows = f.encode(b.Items, f.machine.LastChange(), b.Revision)
 	}
 	if changed {
-		p.rowsKnown.keep(b, how.whole)
+		f.cache.update(b, info.complete)
 	}
-	p.m.StoreAnswered(p.c.now, b.Revision, changed)
-	p.revision.Store(b.Revision)
-	if changed || how.recovered {
-		p.take(b, how)
+	f.machine.StoreAnswered(f.c.now, b.Revision, changed)
+	f.revision.Store(b.Revision)
+	if changed || info.recovered {
+		f.apply(b, info)
 	}
 }
 
-// since returns the items that are newer than a revision.
-func since[T any](items []site.Item[T], revision uint64) []site.Item[T] {
+// itemsAfter returns the items that are newer than a revision.
+func itemsAfter[T any](items []site.Item[T], revision uint64) []site.Item[T] {
 	var out []site.Item[T]
 	for _, it := range items {
 		if it.Revision > revision {
@@ -297,63 +296,63 @@
 	return out
 }
 
-// heard takes another daemon's announcement, and passes it on.
-func (p *feedPart[T]) heard(t following.Announcement) {
+// handleAnnouncement applies another daemon's announcement and forwards it.
+func (f *feedTracker[T]) handleAnnouncement(ann following.Announcement) {
 	reason := announcementRepeated
-	if p.m.IsNew(t) {
+	if f.machine.IsNew(ann) {
 		reason = announcementNew
-		p.send(t)
+		f.forward(ann)
 	}
-	p.c.g.metrics.CountReason(telemetry.GatewayAnnouncementsTotal, reason)
-	if t.RecoveredFor > 0 && !t.StoreFailing {
-		p.recovered(p.c.now.Add(-t.RecoveredFor))
+	f.c.g.metrics.CountReason(telemetry.GatewayAnnouncementsTotal, reason)
+	if ann.RecoveredFor > 0 && !ann.StoreFailing {
+		f.onRecovery(f.c.now.Add(-ann.RecoveredFor))
 	}
-	switch p.m.Receive(p.c.now, t) {
+	switch f.machine.Receive(f.c.now, ann) {
 	case following.ResultApply:
-		items, err := decode[T](t.Rows)
+		items, err := decode[T](ann.Rows)
 		if err != nil {
-			p.c.g.log.Emit(telemetry.EventRowsUnreadable, telemetry.Peer(t.Origin.ID), telemetry.Cause(err))
-			return // the next announcement shows that this one was not taken
+			f.c.g.log.Emit(telemetry.EventRowsUnreadable, telemetry.Peer(ann.Origin.ID), telemetry.Cause(err))
+			return // the next announcement shows that this one was not applied
 		}
-		before, _ := p.m.Revision()
-		p.m.AdvanceTo(t.Revision, true)
-		b := site.Batch[T]{Items: since(items, before), Revision: t.Revision}
-		p.rowsKnown.keep(b, false)
-		p.take(b, arrival{})
+		before, _ := f.machine.Revision()
+		f.machine.AdvanceTo(ann.Revision, true)
+		b := site.Batch[T]{Items: itemsAfter(items, before), Revision: ann.Revision}
+		f.cache.update(b, false)
+		f.apply(b, batchInfo{})
 	case following.ResultAdvance:
-		p.m.AdvanceTo(t.Revision, false)
+		f.machine.AdvanceTo(ann.Revision, false)
 	case following.ResultIgnore:
 	}
-	if revision, known := p.m.Revision(); known {
-		p.revision.Store(revision)
+	if revision, known := f.machine.Revision(); known {
+		f.revision.Store(revision)
 	}
 }
 
-// tick tells other daemons what is due, and the run method who is to be asked.
-func (p *feedPart[T]) tick() {
-	if t, ok := p.m.Announce(p.c.now); ok {
-		p.rows.attach(&t)
-		p.rows = encodedRows{}
-		p.send(t)
+// tick sends the announcement that is due, and updates the source that run uses.
+func (f *feedTracker[T]) tick() {
+	if ann, ok := f.machine.Announce(f.c.now); ok {
+		f.pendingRows.attach(&ann)
+		f.pendingRows = encodedRows{}
+		f.forward(ann)
 	}
-	least, _ := p.m.OverdueRevision(p.c.now)
-	p.overdue.Store(least)
-	p.follows.Store(p.m.IsAnnouncing(p.c.now))
-	p.seldom.Store(int64(p.m.ReducedPollInterval()))
-	p.setMode(p.m.Mode(p.c.now))
+	overdue, _ := f.machine.OverdueRevision(f.c.now)
+	f.overdue.Store(overdue)
+	f.announces.Store(f.machine.IsAnnouncing(f.c.now))
+	f.reducedInterval.Store(int64(f.machine.ReducedPollInterval()))
+	f.setMode(f.machine.Mode(f.c.now))
 }
 
-// setMode has the run method learn of changes in another way.
-func (p *feedPart[T]) setMode(mode following.Mode) {
-	old := following.Mode(p.mode.Swap(int32(mode)))
+// setMode changes the source from which run learns of changes.
+func (f *feedTracker[T]) setMode(mode following.Mode) {
+	old := following.Mode(f.mode.Swap(int32(mode)))
 	if old == mode {
 		return
 	}
-	p.c.g.log.Emit(telemetry.EventFeedSource, telemetry.Detail(p.name+" "+sourceNames[mode]))
+	f.c.g.log.Emit(telemetry.EventFeedSource, telemetry.Detail(f.name+" "+sourceNames[mode]))
 	if old != following.ModeStore {
 		select {
-		case p.wake <- struct{}{}:
-		default: // it has been told and has not looked yet
+		case f.wake <- struct{}{}:
+		default: // a wake-up is already pending
 		}
 	}
 }
@@ -364,11 +363,11 @@
 	following.ModeCooldown: "resting",
 }
 
-// send passes an announcement on. One that is lost is made up for by the next.
-func (p *feedPart[T]) send(t following.Announcement) {
-	for _, id := range p.m.ForwardTargets(t.Origin.ID) {
-		if i, ok := p.c.view.members.Lookup(id); ok {
-			_ = p.c.g.node.Send(i.Meta.PeerAddress, t)
+// forward forwards an announcement. The next one makes up for a lost one.
+func (f *feedTracker[T]) forward(ann following.Announcement) {
+	for _, id := range f.machine.ForwardTargets(ann.Origin.ID) {
+		if i, ok := f.c.view.members.Lookup(id); ok {
+			_ = f.c.g.node.Send(i.Meta.PeerAddress, ann)
 		}
 	}
 }
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -16,67 +16,67 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// posts are gateways of one site, each with its own way to the store. The last two
-// follow the store for all.
-type posts struct {
-	*rig
+// cluster is a set of gateways of one site, each with its own connection to the store. The
+// last two are the followers of the store.
+type cluster struct {
+	*harness
 	gateways []*gateway.Gateway
-	configs  []*door[*fleet.Config]
-	servers  []*door[fleet.Server]
+	configs  []*gatedFeed[*fleet.Config] // connections to the feeds, by gateway
+	servers  []*gatedFeed[fleet.Server]
 }
 
-func newPosts(ids ...state.DaemonID) *posts {
-	p := &posts{rig: newRig()}
-	p.gateway.Close()
-	p.rig.configs.keep()
-	p.listed.keep()
+func newCluster(ids ...state.DaemonID) *cluster {
+	cl := &cluster{harness: newHarness()}
+	cl.gateway.Close()
+	cl.harness.configs.keepHistory()
+	cl.serverFeed.keepHistory()
 	for _, id := range ids {
-		c, s := &door[*fleet.Config]{feed: p.rig.configs}, &door[fleet.Server]{feed: p.listed}
-		p.configs, p.servers = append(p.configs, c), append(p.servers, s)
-		p.gateways = append(p.gateways, p.startAt(id, c, s))
+		c, s := &gatedFeed[*fleet.Config]{feed: cl.harness.configs}, &gatedFeed[fleet.Server]{feed: cl.serverFeed}
+		cl.configs, cl.servers = append(cl.configs, c), append(cl.servers, s)
+		cl.gateways = append(cl.gateways, cl.startAt(id, c, s))
 	}
-	p.gateway = p.gateways[0]
-	p.fill()
+	cl.gateway = cl.gateways[0]
+	cl.populate()
 	Eventually(func(g Gomega) {
-		for _, gw := range p.gateways {
+		for _, gw := range cl.gateways {
 			a, _ := gw.Addresses("a")
 			g.Expect(a).To(HaveLen(len(ids)))
 			g.Expect(gw.Ready()).To(BeTrue())
 		}
-	}).WithTimeout(patience).Should(Succeed())
-	p.settle()
-	return p
+	}).WithTimeout(eventuallyTimeout).Should(Succeed())
+	cl.awaitFollowersOnly()
+	return cl
 }
 
-// settle waits until all but the followers have left the store.
-func (p *posts) settle() {
-	Eventually(func() int { return p.asking() }).WithTimeout(patience).Should(Equal(2))
+// awaitFollowersOnly waits until only the followers poll the store.
+func (cl *cluster) awaitFollowersOnly() {
+	Eventually(func() int { return cl.countPolling() }).WithTimeout(eventuallyTimeout).Should(Equal(2))
 }
 
-// asking counts the gateways that ask the store for the servers now.
-func (p *posts) asking() int {
-	before := make([]int64, len(p.servers))
-	for i, d := range p.servers {
-		before[i] = d.calls.Load()
+// countPolling returns how many gateways currently poll the store for the servers.
+func (cl *cluster) countPolling() int {
+	before := make([]int64, len(cl.servers))
+	for i, gate := range cl.servers {
+		before[i] = gate.calls.Load()
 	}
 	time.Sleep(2300 * time.Millisecond)
 	n := 0
-	for i, d := range p.servers {
-		if d.calls.Load() > before[i] {
+	for i, gate := range cl.servers {
+		if gate.calls.Load() > before[i] {
 			n++
 		}
 	}
 	return n
 }
 
-// outcomeAt asks one gateway for a path.
-func (p *posts) outcomeAt(i int, path string) gateway.Outcome {
-	return p.gateways[i].Serve(context.Background(), request(path), &reply{}).Outcome
+// outcomeAt sends a request for a path to one gateway.
+func (cl *cluster) outcomeAt(i int, path string) gateway.Outcome {
+	return cl.gateways[i].Serve(context.Background(), request(path), &fakeReply{}).Outcome
 }
 
-// outdated reports whether a gateway goes by no entry of a plain server.
-func (p *posts) outdated(i int, server state.BackendID) bool {
-	status, err := p.gateways[i].Status(context.Background())
+// isOutdated reports whether a gateway considers the entry of a plain server outdated.
+func (cl *cluster) isOutdated(i int, server state.BackendID) bool {
+	status, err := cl.gateways[i].Status(context.Background())
 	Expect(err).NotTo(HaveOccurred())
 	for _, svc := range status.Services {
 		for _, s := range svc.Servers {
@@ -88,9 +88,9 @@
 	return false
 }
 
-// domainOf is where a gateway has a server listed.
-func (p *posts) domainOf(i int, server state.BackendID) state.FailureDomain {
-	status, err := p.gateways[i].Status(context.Background())
+// domainOf returns the failure domain that a gateway has for a server.
+func (cl *cluster) domainOf(i int, server state.BackendID) state.FailureDomain {
+	status, err := cl.gateways[i].Status(context.Background())
 	Expect(err).NotTo(HaveOccurred())
 	for _, svc := range status.Services {
 		for _, s := range svc.Servers {
@@ -102,7 +102,7 @@
 	return ""
 }
 
-// withRoute is a configuration with one more route.
+// withRoute returns a configuration with one more route.
 func withRoute(version uint64, prefix string) *fleet.Config {
 	c := config(version)
 	c.Hosts["h"] = append(c.Hosts["h"], fleet.Route{
@@ -112,137 +112,136 @@
 }
 
 var _ = Describe("Gateways of one site", func() {
-	// bound is how late a change may be in force.
+	// bound is how late a change may become active.
 	const bound = 2 * time.Second
 
-	// Guards against a start of thousands of servers at which each change is a call to the store
-	// of its own, and an announcement that all daemons work on.
-	It("take many changes that come within seconds together", Label("failure:announcement-for-each-change"), func() {
-		p := newPosts("g1", "g2", "g3")
-		before := p.servers[2].calls.Load()
+	// Guards against a start of thousands of servers at which each change causes a store
+	// call of its own, and an announcement that all daemons process.
+	It("combine many changes that arrive within seconds", Label("failure:announcement-for-each-change"), func() {
+		cl := newCluster("g1", "g2", "g3")
+		before := cl.servers[2].calls.Load()
 		began := time.Now()
 		for i := range 300 {
 			id := fmt.Sprintf("late%d", i)
-			p.listed.set(id, fleet.Server{ID: state.BackendID(id), Service: "app", Address: id, Domain: "a"})
+			cl.serverFeed.set(id, fleet.Server{ID: state.BackendID(id), Service: "app", Address: id, Domain: "a"})
 			time.Sleep(3 * time.Millisecond)
 		}
-		calls := p.servers[2].calls.Load() - before
+		calls := cl.servers[2].calls.Load() - before
 		Expect(calls).To(BeNumerically("<=", 2+time.Since(began)/(50*time.Millisecond)))
-		for i := range p.gateways {
-			Eventually(func() state.FailureDomain { return p.domainOf(i, "late299") }).WithTimeout(patience).Should(BeEquivalentTo("a"))
+		for i := range cl.gateways {
+			Eventually(func() state.FailureDomain { return cl.domainOf(i, "late299") }).WithTimeout(eventuallyTimeout).Should(BeEquivalentTo("a"))
 		}
 	})
 
-	It("ask the store through two of them, and all learn of changes at once", func() {
-		p := newPosts("g1", "g2", "g3", "g4", "g5")
-		p.rig.configs.set("config", withRoute(2, "/two/"))
-		for i := range p.gateways {
-			Eventually(func() gateway.Outcome { return p.outcomeAt(i, "/two/x") }).
+	It("poll the store through two of them, and all receive changes at once", func() {
+		cl := newCluster("g1", "g2", "g3", "g4", "g5")
+		cl.harness.configs.set("config", withRoute(2, "/two/"))
+		for i := range cl.gateways {
+			Eventually(func() gateway.Outcome { return cl.outcomeAt(i, "/two/x") }).
 				WithTimeout(bound / 4).WithPolling(5 * time.Millisecond).Should(Equal(gateway.Answered))
 		}
-		p.listed.remove("p0")
-		p.listed.remove("p1")
-		for i := range p.gateways {
-			Eventually(func() gateway.Outcome { return p.outcomeAt(i, "/two/x") }).
+		cl.serverFeed.remove("p0")
+		cl.serverFeed.remove("p1")
+		for i := range cl.gateways {
+			Eventually(func() gateway.Outcome { return cl.outcomeAt(i, "/two/x") }).
 				WithTimeout(bound / 4).WithPolling(5 * time.Millisecond).Should(Equal(gateway.Refused))
 		}
-		Expect(p.asking()).To(Equal(2))
+		Expect(cl.countPolling()).To(Equal(2))
 	})
 
-	// The store refuses one daemon and serves the others. Callers of that one see
-	// new routes as fast as all: it learns of them from the daemons that follow.
-	It("learn of changes although the store refuses them", Label("failure:store-refuses-some"), func() {
-		p := newPosts("g1", "g2", "g3")
-		p.configs[0].shut.Store(true)
-		p.rig.configs.set("config", withRoute(2, "/two/"))
-		Eventually(func() gateway.Outcome { return p.outcomeAt(0, "/two/x") }).
+	// The store refuses one daemon and serves the others. That daemon's callers see new
+	// routes as fast as all others, since it receives them from the followers.
+	It("receive changes although the store refuses their calls", Label("failure:store-refuses-some"), func() {
+		cl := newCluster("g1", "g2", "g3")
+		cl.configs[0].refusing.Store(true)
+		cl.harness.configs.set("config", withRoute(2, "/two/"))
+		Eventually(func() gateway.Outcome { return cl.outcomeAt(0, "/two/x") }).
 			WithTimeout(bound).Should(Equal(gateway.Answered))
 	})
 
-	// The store refuses just the daemons that follow it for all. The others see new
-	// routes in time. Cause: they would wait for those.
-	It("ask the store themselves where it refuses those that follow it", Label("failure:followers-refused"), func() {
-		p := newPosts("g1", "g2", "g3")
-		for _, d := range p.configs[1:] {
-			before := d.calls.Load()
-			d.shut.Store(true)
-			Eventually(d.calls.Load).WithTimeout(patience).Should(BeNumerically(">", before), "a call is refused")
+	// The store refuses only the followers. Without calls of their own, the other daemons
+	// would wait for the followers and see new routes too late.
+	It("poll the store themselves if it refuses the followers", Label("failure:followers-refused"), func() {
+		cl := newCluster("g1", "g2", "g3")
+		for _, gate := range cl.configs[1:] {
+			before := gate.calls.Load()
+			gate.refusing.Store(true)
+			Eventually(gate.calls.Load).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", before), "a call is refused")
 		}
-		p.rig.configs.set("config", withRoute(2, "/two/"))
-		Eventually(func() gateway.Outcome { return p.outcomeAt(0, "/two/x") }).
+		cl.harness.configs.set("config", withRoute(2, "/two/"))
+		Eventually(func() gateway.Outcome { return cl.outcomeAt(0, "/two/x") }).
 			WithTimeout(bound).Should(Equal(gateway.Answered))
 	})
 
-	// The connections to the store of both daemons that follow it go silent, and they
-	// tell what they knew. The others see new routes in time.
-	It("ask the store themselves once what they are told is old", Label("failure:follower-stale"), func() {
-		p := newPosts("g1", "g2", "g3")
-		for _, d := range p.configs[1:] {
-			before := d.calls.Load()
-			d.hangs.Store(true)
-			Eventually(d.calls.Load).WithTimeout(patience).Should(BeNumerically(">", before), "a call is silent")
+	// The connections of both followers to the store become unresponsive, and the followers
+	// announce what they knew. The others must still see new routes in time.
+	It("poll the store themselves once the announcements are stale", Label("failure:follower-stale"), func() {
+		cl := newCluster("g1", "g2", "g3")
+		for _, gate := range cl.configs[1:] {
+			before := gate.calls.Load()
+			gate.hanging.Store(true)
+			Eventually(gate.calls.Load).WithTimeout(eventuallyTimeout).Should(BeNumerically(">", before), "a call is unresponsive")
 		}
-		p.rig.configs.set("config", withRoute(2, "/two/"))
-		Eventually(func() gateway.Outcome { return p.outcomeAt(0, "/two/x") }).
+		cl.harness.configs.set("config", withRoute(2, "/two/"))
+		Eventually(func() gateway.Outcome { return cl.outcomeAt(0, "/two/x") }).
 			WithTimeout(bound).Should(Equal(gateway.Answered))
 	})
 
-	// A daemon ends and starts again while the store is away. Callers that are sent to it
-	// are refused until the store is back. Cause: it asked nobody else for what its peers
-	// go by.
-	It("give one that starts what they know while the store does not answer it", Label("failure:start-without-store"), func() {
-		p := newPosts("g1", "g2")
-		c, s := &door[*fleet.Config]{feed: p.rig.configs}, &door[fleet.Server]{feed: p.listed}
-		c.shut.Store(true)
-		s.shut.Store(true)
-		g := p.startAt("g3", c, s)
-		Eventually(g.Ready).WithTimeout(patience).Should(BeTrue())
-		Expect(g.Serve(context.Background(), request("/stream/x"), &reply{}).Outcome).To(Equal(gateway.Answered))
-		p.listed.remove("p0")
-		p.listed.remove("p1")
+	// A daemon restarts while the store is unavailable. If it does not query its peers for
+	// their rows, its callers are refused until the store is back.
+	It("serve their rows to a starting daemon that the store does not answer", Label("failure:start-without-store"), func() {
+		cl := newCluster("g1", "g2")
+		c, s := &gatedFeed[*fleet.Config]{feed: cl.harness.configs}, &gatedFeed[fleet.Server]{feed: cl.serverFeed}
+		c.refusing.Store(true)
+		s.refusing.Store(true)
+		g := cl.startAt("g3", c, s)
+		Eventually(g.Ready).WithTimeout(eventuallyTimeout).Should(BeTrue())
+		Expect(g.Serve(context.Background(), request("/stream/x"), &fakeReply{}).Outcome).To(Equal(gateway.Answered))
+		cl.serverFeed.remove("p0")
+		cl.serverFeed.remove("p1")
 		Eventually(func() gateway.Outcome {
-			return g.Serve(context.Background(), request("/again/x"), &reply{}).Outcome
-		}).WithTimeout(bound).Should(Equal(gateway.Refused), "it learns of changes")
+			return g.Serve(context.Background(), request("/again/x"), &fakeReply{}).Outcome
+		}).WithTimeout(bound).Should(Equal(gateway.Refused), "it receives changes")
 	})
 
-	// Both daemons that follow the store stop. The others see new routes in time.
-	It("follow the store in place of those that stop", func() {
-		p := newPosts("g1", "g2", "g3")
-		p.gateways[1].Close()
-		p.gateways[2].Close()
-		p.rig.configs.set("config", withRoute(2, "/two/"))
-		Eventually(func() gateway.Outcome { return p.outcomeAt(0, "/two/x") }).
+	// Both followers stop. The others must see new routes in time.
+	It("follow the store in place of followers that stop", func() {
+		cl := newCluster("g1", "g2", "g3")
+		cl.gateways[1].Close()
+		cl.gateways[2].Close()
+		cl.harness.configs.set("config", withRoute(2, "/two/"))
+		Eventually(func() gateway.Outcome { return cl.outcomeAt(0, "/two/x") }).
 			WithTimeout(bound).Should(Equal(gateway.Answered))
 	})
 
-	// Engines crash where the store can't be reached, and start again at their
-	// addresses; they stay listed for seconds. Callers wait and are refused. Cause: each
-	// daemon learns of each such engine by refusals of its own, again and again, until
-	// the retry budget is used up.
-	It("tell each other of entries that a server has contradicted", Label("failure:reborn-behind-a-cut"), func() {
-		const reborn = "p0" // which all prefer: the other one is in another domain
-		p := newPosts("g1", "g2")
-		p.listed.set("p1", fleet.Server{ID: "p1", Service: "app", Address: "p1", Domain: "b"})
-		for i := range p.gateways { // else the one in another domain may be taken
-			Eventually(func() state.FailureDomain { return p.domainOf(i, "p1") }).WithTimeout(patience).Should(Equal(state.FailureDomain("b")))
+	// Engines crash while they can't reach the store, and restart at their addresses; their
+	// old entries stay listed for seconds. Without a notice, each daemon discovers each
+	// such engine by refusals of its own, again and again, until the retry budget is used
+	// up and callers are refused.
+	It("notify each other of entries that a server has contradicted", Label("failure:reborn-behind-a-cut"), func() {
+		const restarted = "p0" // preferred by all: the other server is in another domain
+		cl := newCluster("g1", "g2")
+		cl.serverFeed.set("p1", fleet.Server{ID: "p1", Service: "app", Address: "p1", Domain: "b"})
+		for i := range cl.gateways { // otherwise the server in the other domain may be used
+			Eventually(func() state.FailureDomain { return cl.domainOf(i, "p1") }).WithTimeout(eventuallyTimeout).Should(Equal(state.FailureDomain("b")))
 		}
-		p.rig.servers.plain = func(c backend.Call) (*backend.Answer, error) {
-			if c.Address == reborn {
-				a := answer(http.StatusMisdirectedRequest, "")
+		cl.harness.servers.plain = func(c backend.Call) (*backend.Answer, error) {
+			if c.Address == restarted {
+				a := signedAnswer(http.StatusMisdirectedRequest, "")
 				a.NotRun, a.Stale = true, true
 				return a, nil
 			}
-			return answer(http.StatusOK, "ok"), nil
+			return signedAnswer(http.StatusOK, "ok"), nil
 		}
-		sentThere := func() int {
-			return lo.CountBy(p.rig.servers.sent(), func(c backend.Call) bool { return c.Address == reborn })
+		sentCount := func() int {
+			return lo.CountBy(cl.harness.servers.sent(), func(c backend.Call) bool { return c.Address == restarted })
 		}
-		Expect(p.outcomeAt(0, "/once/x")).To(Equal(gateway.Answered))
-		Eventually(func() bool { return p.outdated(1, reborn) }).WithTimeout(patience).Should(BeTrue(), "the message has come")
+		Expect(cl.outcomeAt(0, "/once/x")).To(Equal(gateway.Answered))
+		Eventually(func() bool { return cl.isOutdated(1, restarted) }).WithTimeout(eventuallyTimeout).Should(BeTrue(), "the notice has arrived")
 		for range 20 {
-			Expect(p.outcomeAt(1, "/once/x")).To(Equal(gateway.Answered))
-			Expect(p.outcomeAt(0, "/once/x")).To(Equal(gateway.Answered))
+			Expect(cl.outcomeAt(1, "/once/x")).To(Equal(gateway.Answered))
+			Expect(cl.outcomeAt(0, "/once/x")).To(Equal(gateway.Answered))
 		}
-		Expect(sentThere()).To(Equal(1))
+		Expect(sentCount()).To(Equal(1))
 	})
 })
--- a/gateway/frames.go
+++ b/gateway/frames.go
@@ -5,31 +5,31 @@
 // eventEnd separates events.
 var eventEnd = []byte("\n\n")
 
-// eventID begins the line with an event's id.
+// eventID is the prefix of the line with an event's id.
 var eventID = []byte("id:")
 
-// frames cuts a stream of bytes into whole events. An event is held until its end
-// has come, so that another engine's events can follow the last whole one.
-type frames struct {
-	held []byte
-	done int // of held, whole events that take has returned
+// eventBuffer splits a byte stream into complete events. An incomplete event is held back,
+// so that another engine can continue after the last complete one.
+type eventBuffer struct {
+	buf      []byte
+	returned int // length of the complete events in buf that add has returned
 }
 
-// take adds bytes and returns the events that are whole now, or none. What it
-// returns stands until the next call.
-func (f *frames) take(b []byte) []byte {
-	f.held = append(f.held[:0], f.held[f.done:]...)
-	f.held, f.done = append(f.held, b...), 0
-	if end := bytes.LastIndex(f.held, eventEnd); end >= 0 {
-		f.done = end + len(eventEnd)
+// add appends bytes and returns the events that are complete now, or none. The result is
+// valid until the next call.
+func (e *eventBuffer) add(b []byte) []byte {
+	e.buf = append(e.buf[:0], e.buf[e.returned:]...)
+	e.buf, e.returned = append(e.buf, b...), 0
+	if last := bytes.LastIndex(e.buf, eventEnd); last >= 0 {
+		e.returned = last + len(eventEnd)
 	}
-	return f.held[:f.done]
+	return e.buf[:e.returned]
 }
 
-// open reports whether an event has begun that is not whole.
-func (f *frames) open() bool { return len(f.held) > f.done }
+// hasPartial reports whether an incomplete event is buffered.
+func (e *eventBuffer) hasPartial() bool { return len(e.buf) > e.returned }
 
-// lastID finds the id of the last event that has one.
+// lastID returns the id of the last event that has one.
 func lastID(events []byte) (string, bool) {
 	at := bytes.LastIndex(events, eventID)
 	for at > 0 && events[at-1] != '\n' {
--- a/gateway/frames_test.go
+++ b/gateway/frames_test.go
@@ -6,32 +6,32 @@
 	"testing"
 )
 
-// However an answer's bytes are cut on their way, what is passed on is the same, ends
-// with a whole event, and loses nothing.
+// However an answer's bytes are split in transit, the forwarded bytes are the same, end
+// with a complete event, and nothing is lost.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"), uint8(3))
 	f.Add([]byte("\n\n\n\n"), uint8(1))
 	f.Add([]byte("data: id: 7\n\n"), uint8(2))
 	f.Fuzz(func(t *testing.T, in []byte, step uint8) {
-		var fr frames
+		var fr eventBuffer
 		var out bytes.Buffer
 		n := int(step)%16 + 1
 		for at := 0; at < len(in); at += n {
-			whole := fr.take(in[at:min(at+n, len(in))])
-			if len(whole) > 0 && !bytes.HasSuffix(whole, eventEnd) {
-				t.Fatalf("%q is not whole", whole)
+			complete := fr.add(in[at:min(at+n, len(in))])
+			if len(complete) > 0 && !bytes.HasSuffix(complete, eventEnd) {
+				t.Fatalf("%q is not complete", complete)
 			}
-			out.Write(whole)
-			if id, ok := lastID(whole); ok && strings.ContainsAny(id, "\n") {
+			out.Write(complete)
+			if id, ok := lastID(complete); ok && strings.ContainsAny(id, "\n") {
 				t.Fatalf("id %q", id)
 			}
 		}
-		rest := fr.held[fr.done:]
+		rest := fr.buf[fr.returned:]
 		if !bytes.Equal(append(out.Bytes(), rest...), in) {
-			t.Fatalf("%q and %q held of %q", out.Bytes(), rest, in)
+			t.Fatalf("forwarded %q and buffered %q of %q", out.Bytes(), rest, in)
 		}
-		if bytes.Contains(rest, eventEnd) || fr.open() != (len(rest) > 0) {
-			t.Fatalf("a whole event is held: %q", rest)
+		if bytes.Contains(rest, eventEnd) || fr.hasPartial() != (len(rest) > 0) {
+			t.Fatalf("a complete event is buffered: %q", rest)
 		}
 	})
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,18 +21,17 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/peer"
 )
 
-// Errors of this package.
 var (
-	errStaleRead = errors.New("the answer is older than what is known")
+	errStaleRead = errors.New("store answer is older than the known revision")
 
-	errNeedsRestart = errors.New("name, place and addresses change only with a restart")
+	errNeedsRestart = errors.New("name, placement and addresses can only be changed by a restart")
 )
 
-// Site is what a gateway reaches of its site.
+// Site holds the site's services that a gateway uses.
 type Site struct {
 	Configs site.Feed[*fleet.Config]
 	Servers site.Feed[fleet.Server]
-	Members site.Table // where gateways find each other
+	Members site.Table // where gateways discover each other
 	Leases  site.Table
 }
 
@@ -45,100 +44,101 @@
 	log      *telemetry.Log
 	metrics  *telemetry.Metrics
 
-	messages *wire.Registry // between gateways
-
-	book    *book
-	prober  *prober
-	control *control
-	current atomic.Pointer[view]
-	node    *peer.Node
-	peers   net.Listener
-
-	// unanswered is whether a feed was asked for in vain, of which nothing is known yet.
-	unanswered atomic.Bool
-
-	active    atomic.Int64 // requests under way
-	waiting   atomic.Int64 // of those, for a server or a path
-	born      time.Time    // zero of steady
-	draining  atomic.Int64 // when a planned stop began, in steady ns; 0 for none
-	stopFeeds context.CancelFunc
-	endOnce   sync.Once
-	done      chan struct{}
+	messages *wire.Registry // message types exchanged between gateways
+
+	shared      *sharedState
+	prober      *prober
+	control     *control
+	currentView atomic.Pointer[view]
+	node        *peer.Node
+	peers       net.Listener
+
+	// storeUnanswered is set while a read of a feed has failed and no data of that feed is
+	// known yet.
+	storeUnanswered atomic.Bool
+
+	activeRequests  atomic.Int64 // requests in flight
+	waitingRequests atomic.Int64 // requests in flight that wait for a server or a path
+	startedAt       time.Time    // reference point of sinceStart
+	drainStarted    atomic.Int64 // when a planned stop began, in ns since start; 0 for none
+	stopFeeds       context.CancelFunc
+	closeOnce       sync.Once
+	done            chan struct{}
 }
 
-// New provisions a gateway and opens its port for peers. It does nothing before
-// Run.
+// New creates a gateway and opens its listener for peers. The gateway does nothing else
+// before Run.
 func New(set Settings, s Site, backends backend.Client, log *telemetry.Log, metrics *telemetry.Metrics) (*Gateway, error) {
 	g := &Gateway{
-		self:     state.Member{ID: set.ID, Incarnation: state.Incarnation(time.Now().UnixNano())},
-		site:     s,
-		backends: backends,
-		log:      log.With(telemetry.Daemon(set.ID)),
-		metrics:  metrics,
-		messages: newRegistry(),
-		book:     newBook(set),
-		born:     time.Now(),
-		done:     make(chan struct{}),
+		self:      state.Member{ID: set.ID, Incarnation: state.Incarnation(time.Now().UnixNano())},
+		site:      s,
+		backends:  backends,
+		log:       log.With(telemetry.Daemon(set.ID)),
+		metrics:   metrics,
+		messages:  newRegistry(),
+		shared:    newSharedState(set),
+		startedAt: time.Now(),
+		done:      make(chan struct{}),
 	}
 	g.settings.Store(&set)
 	g.prober = newProber(g)
 	listener, err := net.Listen("tcp", set.PeerAddress)
 	if err != nil {
-		return nil, fmt.Errorf("peers' address %s: %w", set.PeerAddress, err)
+		return nil, fmt.Errorf("listen for peers on %s: %w", set.PeerAddress, err)
 	}
 	g.peers = listener
 	g.node = peer.New(peer.Config{
 		Self:     g.self,
 		Registry: g.messages,
-		Handler:  peer.Handler{Received: g.received, Called: g.called},
+		Handler:  peer.Handler{Received: g.handleMessage, Called: g.handleCall},
 		Lost:     g.connectionLost,
 	})
 	g.control = newControl(g)
-	g.current.Store(&view{members: g.control.view.members, live: 1, near: 1})
+	g.currentView.Store(&view{members: g.control.view.members, live: 1, liveInDomain: 1})
 	return g, nil
 }
 
-// set returns the settings in force.
-func (g *Gateway) set() *Settings { return g.settings.Load() }
+// currentSettings returns the active settings.
+func (g *Gateway) currentSettings() *Settings { return g.settings.Load() }
 
-// Reload puts changed settings into force. The daemon's name, place and addresses
-// can't change while it runs; its error says so, and all stays as it was.
+// Reload activates changed settings. The daemon's name, placement and addresses can't
+// change while it runs: Reload then returns an error and keeps the old settings.
 func (g *Gateway) Reload(set Settings) error {
-	old := *g.set()
+	old := *g.currentSettings()
 	if set == old {
 		return nil
 	}
-	fixed := func(s Settings) [9]string {
+	fixedFields := func(s Settings) [9]string {
 		return [9]string{string(s.ID), string(s.Domain), string(s.Region), s.CallerAddress, s.ReadinessAddress, s.DirectoryAddress, s.PeerAddress, s.StoreAddress, s.MetricsAddress}
 	}
-	if fixed(set) != fixed(old) {
+	if fixedFields(set) != fixedFields(old) {
 		return errNeedsRestart
 	}
 	g.settings.Store(&set)
-	g.book.rebudget(set)
+	g.shared.setBudget(set)
 	g.log.Emit(telemetry.EventSettingsReloaded)
 	return nil
 }
 
-// Run begins to follow the site and to take part among the gateways.
+// Run starts following the site's feeds and joins the other gateways.
 func (g *Gateway) Run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.stopFeeds = cancel
 	g.node.Serve(g.peers)
 	go g.control.run()
-	go g.control.configs.run(ctx)
-	go g.control.entries.run(ctx)
-	g.log.Emit(telemetry.EventDaemonStarted, telemetry.Address(g.set().CallerAddress))
+	go g.control.configFeed.run(ctx)
+	go g.control.serverFeed.run(ctx)
+	g.log.Emit(telemetry.EventDaemonStarted, telemetry.Address(g.currentSettings().CallerAddress))
 }
 
-// steady is the time since this gateway began, by the clock that the time of day does
-// not move: an instance's time of day may jump by seconds.
-func (g *Gateway) steady(now time.Time) time.Duration { return now.Sub(g.born) }
+// sinceStart returns the time since this gateway started, by the monotonic clock: an
+// instance's wall clock may jump by seconds.
+func (g *Gateway) sinceStart(now time.Time) time.Duration { return now.Sub(g.startedAt) }
 
-// Drain begins a planned stop: the gateway leaves the answers to callers at once
-// and serves on. Close ends it.
+// Drain begins a planned stop: the gateway is removed at once from the addresses that
+// callers are given, but keeps serving. Close ends it.
 func (g *Gateway) Drain() {
-	if !g.draining.CompareAndSwap(0, int64(max(g.steady(time.Now()), 1))) {
+	if !g.drainStarted.CompareAndSwap(0, int64(max(g.sinceStart(time.Now()), 1))) {
 		return
 	}
 	g.log.Emit(telemetry.EventDrainStarted)
@@ -149,7 +149,7 @@
 	})
 }
 
-// Close tells the other gateways that this one leaves, and stops.
+// Close announces to the other gateways that this one leaves, and stops it.
 func (g *Gateway) Close() {
 	left := make(chan struct{})
 	g.control.post(func() {
@@ -160,7 +160,7 @@
 	case <-left:
 	case <-time.After(tickInterval):
 	}
-	g.endOnce.Do(func() {
+	g.closeOnce.Do(func() {
 		g.log.Emit(telemetry.EventDaemonStopped)
 		g.stopFeeds()
 		close(g.done)
@@ -168,20 +168,20 @@
 	})
 }
 
-// Ready reports whether requests can be served here.
+// Ready reports whether this gateway can serve requests.
 func (g *Gateway) Ready() bool {
-	return g.current.Load().ready()
+	return g.currentView.Load().ready()
 }
 
-// Limits returns what the configuration in force lets callers send.
+// Limits returns the limits on callers' requests in the active configuration.
 func (g *Gateway) Limits() fleet.Limits {
-	if c := g.current.Load().config; c != nil {
+	if c := g.currentView.Load().config; c != nil {
 		return c.Limits
 	}
 	return fleet.Limits{}
 }
 
-// connectionLost has a daemon probed that no connection reaches.
+// connectionLost triggers a membership probe of the daemon whose connection was lost.
 func (g *Gateway) connectionLost(address string, _ error) {
 	g.control.post(func() {
 		for _, i := range g.control.view.members.Members {
@@ -192,47 +192,47 @@
 	})
 }
 
-// Shares of the time that a planned stop has.
+// Fractions of Settings.DrainTimeout.
 const (
-	// idleShare is when the stop ends at the earliest: where no request is left by
-	// then, callers have gone elsewhere, and a successor can start.
-	idleShare = 0.4
-	// graceShare is when the stop ends at the latest; the rest is for the process's
-	// own end.
-	graceShare = 0.93
+	// minDrainShare is the earliest end of a planned stop: if no request is left by then,
+	// callers have moved to other daemons and a successor can start.
+	minDrainShare = 0.4
+	// maxDrainShare is the latest end of a planned stop; the remainder is for the shutdown
+	// of the process itself.
+	maxDrainShare = 0.93
 )
 
-// takesStreams reports whether a new stream is to be taken, and if not, why its caller is
-// turned away.
-func (g *Gateway) takesStreams(now time.Time) (bool, admission.Refusal) {
-	began := g.draining.Load()
-	if began == 0 {
+// acceptsStream reports whether a new stream is accepted, and if not, why it is refused.
+func (g *Gateway) acceptsStream(now time.Time) (bool, admission.Refusal) {
+	drainStarted := g.drainStarted.Load()
+	if drainStarted == 0 {
 		return true, 0
 	}
-	elsewhere := slices.ContainsFunc(g.current.Load().members.Members, func(i membership.Info) bool {
+	othersAccept := slices.ContainsFunc(g.currentView.Load().members.Members, func(i membership.Info) bool {
 		return i.Member.ID != g.self.ID && i.State == membership.Alive && !i.Draining
 	})
-	stop := admission.Shutdown{Elapsed: g.steady(now) - time.Duration(began), Grace: g.set().DrainTimeout, OthersAccept: elsewhere}
-	return stop.AcceptsStream()
+	shutdown := admission.Shutdown{Elapsed: g.sinceStart(now) - time.Duration(drainStarted), Grace: g.currentSettings().DrainTimeout, OthersAccept: othersAccept}
+	return shutdown.AcceptsStream()
 }
 
-// Closing reports whether callers are to use another connection next time.
-func (g *Gateway) Draining() bool { return g.draining.Load() != 0 }
+// Draining reports whether a planned stop has begun, so that callers should use another
+// connection for their next request.
+func (g *Gateway) Draining() bool { return g.drainStarted.Load() != 0 }
 
-// AwaitDrained returns when a planned stop is over.
+// WaitDrained blocks until a planned stop is complete.
 func (g *Gateway) WaitDrained() {
-	began, grace := time.Duration(g.draining.Load()), float64(g.set().DrainTimeout)
+	drainStarted, grace := time.Duration(g.drainStarted.Load()), float64(g.currentSettings().DrainTimeout)
 	for {
-		stopping := g.steady(time.Now()) - began
-		since := float64(stopping)
-		idle := g.active.Load() == 0
-		if since >= graceShare*grace || idle && since >= idleShare*grace {
-			g.log.Emit(telemetry.EventDrainCompleted, telemetry.Count(int(g.active.Load())), telemetry.Took(stopping))
+		drainTime := g.sinceStart(time.Now()) - drainStarted
+		elapsed := float64(drainTime)
+		idle := g.activeRequests.Load() == 0
+		if elapsed >= maxDrainShare*grace || idle && elapsed >= minDrainShare*grace {
+			g.log.Emit(telemetry.EventDrainCompleted, telemetry.Count(int(g.activeRequests.Load())), telemetry.Took(drainTime))
 			return
 		}
-		time.Sleep(drainLook)
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// drainLook is how often a planned stop looks whether requests are left.
-const drainLook = 20 * time.Millisecond
+// drainPollInterval is how often a planned stop checks whether requests are left.
+const drainPollInterval = 20 * time.Millisecond
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -8,52 +8,52 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// gaugeInterval is how often gauges are set: twice in the time of a scrape.
+// gaugeInterval is how often gauges are updated: twice per scrape interval.
 const gaugeInterval = 2 * time.Second
 
-// gauges sets what operators see of the present state, now and then.
+// gauges periodically updates the gauges of the current state.
 type gauges struct {
 	c    *control
 	next time.Time
 }
 
-func (p *gauges) tick() {
-	if p.c.now.Before(p.next) {
+func (gs *gauges) tick() {
+	if gs.c.now.Before(gs.next) {
 		return
 	}
-	p.next = p.c.now.Add(gaugeInterval)
-	m, v := p.c.g.metrics, &p.c.view
-	streams, dead := p.c.g.book.sizes()
+	gs.next = gs.c.now.Add(gaugeInterval)
+	m, v := gs.c.g.metrics, &gs.c.view
+	streams, dead := gs.c.g.shared.counts()
 	m.Set(telemetry.OpenStreams, float64(streams))
 	m.Set(telemetry.DeadServers, float64(dead))
 	m.Set(telemetry.LiveMembers, float64(v.live))
 	m.SetFlag(telemetry.Draining, v.draining)
-	m.Set(telemetry.ConfigAge, p.c.configs.m.Age(p.c.now).Seconds())
-	m.Set(telemetry.ServersAge, p.c.entries.m.Age(p.c.now).Seconds())
-	m.Set(telemetry.WaitingRequests, float64(p.c.g.waiting.Load()))
+	m.Set(telemetry.ConfigAge, gs.c.configFeed.machine.Age(gs.c.now).Seconds())
+	m.Set(telemetry.ServersAge, gs.c.serverFeed.machine.Age(gs.c.now).Seconds())
+	m.Set(telemetry.WaitingRequests, float64(gs.c.g.waitingRequests.Load()))
 	m.Set(telemetry.ProcessMemory, processMemory())
 	if v.config != nil {
 		m.Set(telemetry.ConfigVersion, float64(v.config.Version))
-		p.services(v)
+		gs.setServices(v)
 	}
 }
 
-// services sets the gauges of each service, and the one over all.
-func (p *gauges) services(v *view) {
-	m, uncovered := p.c.g.metrics, 0
+// setServices sets the gauges of each service, and the total over all services.
+func (gs *gauges) setServices(v *view) {
+	m, uncovered := gs.c.g.metrics, 0
 	for id, svc := range v.config.Services {
-		retries, used := p.c.g.book.usage(p.c.now, v, &svc)
+		retries, used := gs.c.g.shared.usage(gs.c.now, v, &svc)
 		m.SetService(telemetry.RetriesLeft, id, float64(retries))
 		if svc.Engine != nil {
 			m.SetService(telemetry.RoomUsed, id, used)
-			uncovered += cover(svc.Engine, v.servers[id]).Missing()
+			uncovered += layerCoverage(svc.Engine, v.servers[id]).Missing()
 		}
 	}
 	m.Set(telemetry.UncoveredLayers, float64(uncovered))
 }
 
-// cover counts the servers that hold each layer and may be used.
-func cover(e *fleet.Engine, servers []fleet.Server) fleet.Cover {
+// layerCoverage counts the usable servers that hold each layer.
+func layerCoverage(e *fleet.Engine, servers []fleet.Server) fleet.Cover {
 	c := fleet.NewCover(e.Layers)
 	for i := range servers {
 		if !servers[i].Draining {
@@ -63,25 +63,25 @@
 	return c
 }
 
-// usage is how many retries a service's requests have left, and which share of its
-// engines' room is believed to be used by all daemons.
-func (b *book) usage(now time.Time, v *view, svc *fleet.Service) (retries int, used float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	retries = b.budget.Left(now, svc.ID, v.sharers)
+// usage returns the retries that a service's requests have left, and the estimated fraction
+// of its engines' KV-cache capacity that all daemons use.
+func (s *sharedState) usage(now time.Time, v *view, svc *fleet.Service) (retries int, used float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	retries = s.budget.Left(now, svc.ID, v.slackShare)
 	if svc.Engine == nil {
 		return retries, 0
 	}
-	tokens, room := 0.0, 0
+	tokens, capacity := 0.0, 0
 	for i := range v.servers[svc.ID] {
-		s := &v.servers[svc.ID][i]
-		tokens += b.load(s.Life()).Tokens
-		room += svc.Engine.Room(svc.Engine.Kinds[s.Kind], s.Layers.Len())
+		srv := &v.servers[svc.ID][i]
+		tokens += s.loadOn(srv.Life()).Tokens
+		capacity += svc.Engine.Room(svc.Engine.Kinds[srv.Kind], srv.Layers.Len())
 	}
-	return retries, tokens * float64(max(v.live, 1)) / float64(max(room, 1))
+	return retries, tokens * float64(max(v.live, 1)) / float64(max(capacity, 1))
 }
 
-// processMemory is what the process has from the system and has not given back.
+// processMemory is the memory that the process holds from the operating system.
 func processMemory() float64 {
 	samples := []rtmetrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	rtmetrics.Read(samples)
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -15,60 +15,63 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// Daemons give each other the rows of a feed, so that one that starts, or has missed a
-// change, need not read them from the store: its calls are bounded for all daemons
-// together and paid for, and hundreds of daemons start at one moment.
+// Daemons give each other the rows of a feed, so that a daemon that starts or has missed a
+// change need not read them from the store: the store's calls are limited for all daemons
+// together and paid for, and hundreds of daemons may start at the same moment.
 
-// rowsAsked asks a daemon for the rows of a feed.
-type rowsAsked struct {
-	Feed  string `msgpack:"feed"`
-	Least uint64 `msgpack:"least"` // up to where they must be known
-	Has   uint64 `msgpack:"has"`   // up to where the asker knows them; 0 for not
+// rowsRequest requests the rows of a feed from a daemon.
+type rowsRequest struct {
+	Feed        string `msgpack:"feed"`
+	MinRevision uint64 `msgpack:"least"` // least revision that the answer must reach
+	HasRevision uint64 `msgpack:"has"`   // revision that the sender knows; 0 for none
 }
 
-// rowsGiven answers it.
-type rowsGiven struct {
-	Known    bool          `msgpack:"known"` // up to Least at least
-	Revision uint64        `msgpack:"revision"`
-	Age      time.Duration `msgpack:"age"`     // since the store said so
-	Failing  bool          `msgpack:"failing"` // the store is not known to answer anybody
-	// Rows are those that the asker lacks, or all of them where Whole is set.
-	Rows  []byte `msgpack:"rows"`
-	Whole bool   `msgpack:"whole"`
+// rowsResponse answers a rowsRequest.
+type rowsResponse struct {
+	Known        bool          `msgpack:"known"` // the rows are known up to MinRevision at least
+	Revision     uint64        `msgpack:"revision"`
+	StoreAge     time.Duration `msgpack:"age"`     // time since the store confirmed them
+	StoreFailing bool          `msgpack:"failing"` // no daemon is known to get answers from the store
+	// Rows are the rows that the sender of the request lacks, or all rows if Complete is
+	// set.
+	Rows     []byte `msgpack:"rows"`
+	Complete bool   `msgpack:"whole"`
 }
 
 const (
-	// giveTimeout bounds one question: a daemon answers within some ms, one that has
-	// just started knows nothing and says so. A daemon that has heard no announcement for long asks
-	// one other before the store, and is still to know a change within 2 s.
-	giveTimeout = 50 * time.Millisecond
-	// giveStep is the time between two rounds of questions by a daemon that starts.
-	giveStep = 25 * time.Millisecond
-	// overdueRounds is how often a daemon asks others for a change that it has been told
-	// of and lacks: it is on its way to them too.
-	overdueRounds = 3
-	// giveAsked is how many daemons are asked in a round, by one that knows nothing yet.
-	giveAsked = 2
+	// peerQueryTimeout limits one query: a daemon answers within a few ms, and one that has
+	// just started answers that it knows nothing. A daemon that has received no
+	// announcement for long queries one other before the store, and must still learn of a
+	// change within 2 s.
+	peerQueryTimeout = 50 * time.Millisecond
+	// peerQueryInterval is the time between two rounds of queries by a starting daemon.
+	peerQueryInterval = 25 * time.Millisecond
+	// maxOverdueRounds is how often a daemon queries others for a change that was announced
+	// to it and that it lacks: the change is still on its way to them too.
+	maxOverdueRounds = 3
+	// startupQueryPeers is how many daemons are queried in a round by one that knows
+	// nothing yet.
+	startupQueryPeers = 2
 )
 
-// handover says what became of a question for rows.
-type handover int
+// queryResult is the result of querying a peer for rows.
+type queryResult int
 
-// The values of handover, the better one higher.
+// The values of queryResult; higher ones are better.
 const (
-	unanswered handover = iota
-	notKnown            // who was asked knows no more
-	taken
+	queryUnanswered queryResult = iota
+	queryNotKnown               // the peer knows nothing newer
+	queryApplied
 )
 
-// called answers other daemons' calls.
-func (g *Gateway) called(ctx context.Context, _ state.Member, msg any) (any, error) {
-	asked, ok := msg.(rowsAsked)
+// handleCall answers other daemons' calls.
+func (g *Gateway) handleCall(ctx context.Context, _ state.Member, msg any) (any, error) {
+	req, ok := msg.(rowsRequest)
 	if !ok {
 		return nil, errUnknownCall
 	}
-	answer := make(chan rowsGiven, 1)
-	g.control.post(func() { answer <- g.control.give(asked) })
+	answer := make(chan rowsResponse, 1)
+	g.control.post(func() { answer <- g.control.rowsFor(req) })
 	select {
 	case a := <-answer:
 		return a, nil
@@ -79,179 +82,183 @@
 	}
 }
 
-// give answers a question for rows.
-func (c *control) give(asked rowsAsked) rowsGiven {
-	switch asked.Feed {
-	case c.configs.name:
-		return c.configs.give(asked)
-	case c.entries.name:
-		return c.entries.give(asked)
+// rowsFor answers a rowsRequest.
+func (c *control) rowsFor(req rowsRequest) rowsResponse {
+	switch req.Feed {
+	case c.configFeed.name:
+		return c.configFeed.rowsFor(req)
+	case c.serverFeed.name:
+		return c.serverFeed.rowsFor(req)
 	}
-	return rowsGiven{}
+	return rowsResponse{}
 }
 
-// give returns the rows of this feed, if they are known up to a revision.
-func (p *feedPart[T]) give(asked rowsAsked) rowsGiven {
-	revision, known := p.m.Revision()
-	if !known || revision < asked.Least {
-		return rowsGiven{}
+// rowsFor returns the rows of this feed if they are known up to the requested revision.
+func (f *feedTracker[T]) rowsFor(req rowsRequest) rowsResponse {
+	revision, known := f.machine.Revision()
+	if !known || revision < req.MinRevision {
+		return rowsResponse{}
 	}
-	given := rowsGiven{Known: true, Revision: revision, Age: p.m.Age(p.c.now), Failing: p.m.StoreFailing(p.c.now)}
-	if asked.Has >= p.m.LastChange() && asked.Has > 0 {
-		return given
+	resp := rowsResponse{Known: true, Revision: revision, StoreAge: f.machine.Age(f.c.now), StoreFailing: f.machine.StoreFailing(f.c.now)}
+	if req.HasRevision >= f.machine.LastChange() && req.HasRevision > 0 {
+		return resp
 	}
-	rows, whole := p.rowsAfter(asked.Has)
-	given.Rows, given.Whole, given.Known = rows, whole, len(rows) > 0
-	return given
+	rows, complete := f.encodeAfter(req.HasRevision)
+	resp.Rows, resp.Complete, resp.Known = rows, complete, len(rows) > 0
+	return resp
 }
 
-// rowsAfter encodes what changed after a revision, or all rows (true). All rows are kept as
-// they were encoded last: hundreds of daemons that start together ask a few for them.
-func (p *feedPart[T]) rowsAfter(revision uint64) ([]byte, bool) {
-	if p.rowsKnown.forgotten(revision) && len(p.allRows.bytes) > 0 && p.allRows.upTo == p.m.LastChange() {
-		return p.allRows.bytes, true
+// encodeAfter encodes what changed after a revision, or all rows (true). The encoding of
+// all rows is cached, since hundreds of daemons that start together request it from a few.
+func (f *feedTracker[T]) encodeAfter(revision uint64) ([]byte, bool) {
+	if f.cache.forgotten(revision) && len(f.allRows.bytes) > 0 && f.allRows.upTo == f.machine.LastChange() {
+		return f.allRows.bytes, true
 	}
-	items, whole := p.rowsKnown.after(revision)
-	rows := p.encode(items, revision, p.m.LastChange())
-	if whole {
-		p.allRows = rows
+	items, complete := f.cache.after(revision)
+	rows := f.encode(items, revision, f.machine.LastChange())
+	if complete {
+		f.allRows = rows
 	}
-	return rows.bytes, whole
+	return rows.bytes, complete
 }
 
-// startFromPeers has a daemon that starts ask others for a while, as it finds them. It
-// returns false where the store is to be asked.
-func (p *feedPart[T]) startFromPeers(ctx context.Context) bool {
-	began, draw := time.Now(), rand.Float64()
-	answering := false
+// loadFromPeers makes a starting daemon query others for a while, as it discovers them. It
+// returns false if the store has to be read.
+func (f *feedTracker[T]) loadFromPeers(ctx context.Context) bool {
+	began, jitter := time.Now(), rand.Float64()
+	peersAnswer := false
 	for ctx.Err() == nil {
-		switch p.fromPeers(ctx, rowsAsked{}) {
-		case taken:
+		switch f.queryPeers(ctx, rowsRequest{}) {
+		case queryApplied:
 			return true
-		case notKnown:
-			if p.stale != nil {
-				return false // it is cut off from the store, which this daemon may reach
+		case queryNotKnown:
+			if f.unconfirmed != nil {
+				return false // the peer is cut off from the store, which this daemon may reach
 			}
-			answering = true
-		case unanswered:
+			peersAnswer = true
+		case queryUnanswered:
 		}
-		v := p.c.g.current.Load()
-		start := following.Startup{Daemons: max(v.live, v.found), Jitter: draw}
-		if time.Since(began) >= start.StoreReadDelay(answering) {
+		v := f.c.g.currentView.Load()
+		start := following.Startup{Daemons: max(v.live, v.memberRows), Jitter: jitter}
+		if time.Since(began) >= start.StoreReadDelay(peersAnswer) {
 			return false
 		}
-		pause(ctx, giveStep)
+		sleep(ctx, peerQueryInterval)
 	}
 	return false
 }
 
-// fromPeers asks another daemon for the feed, or two where nothing is known, and takes
-// what one of them knows. Unless it was taken the store is to be asked all the same.
-func (p *feedPart[T]) fromPeers(ctx context.Context, ask rowsAsked) handover {
-	ask.Feed = p.name
+// queryPeers queries one other daemon for the feed, or two if nothing is known yet, and
+// applies the first usable answer. Unless the result is queryApplied, the store still has
+// to be called.
+func (f *feedTracker[T]) queryPeers(ctx context.Context, req rowsRequest) queryResult {
+	req.Feed = f.name
 	n := 1
-	if ask.Has == 0 {
-		n = giveAsked
+	if req.HasRevision == 0 {
+		n = startupQueryPeers
 	}
-	best := unanswered
-	for _, address := range p.c.g.somePeers(n) {
-		if best = max(best, p.ask(ctx, address, ask)); best == taken {
+	best := queryUnanswered
+	for _, address := range f.c.g.samplePeers(n) {
+		if best = max(best, f.queryPeer(ctx, address, req)); best == queryApplied {
 			break
 		}
 	}
 	return best
 }
 
-// ask has one daemon give what it knows. What is older than a follower's announcement may be is
-// taken only where no store says more: that daemon may be cut off by itself.
-func (p *feedPart[T]) ask(ctx context.Context, address string, ask rowsAsked) handover {
-	ctx, cancel := context.WithTimeout(ctx, giveTimeout)
+// queryPeer queries one daemon and applies its answer. Rows older than a follower's
+// announcement may be are applied only if the store has nothing newer: that daemon alone
+// may be cut off from the store.
+func (f *feedTracker[T]) queryPeer(ctx context.Context, address string, req rowsRequest) queryResult {
+	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
-	answer, err := p.c.g.node.Call(ctx, address, ask)
+	answer, err := f.c.g.node.Call(ctx, address, req)
 	if err != nil {
-		return unanswered // it ends, or has not begun to listen; another one is asked, or the store
+		return queryUnanswered // the peer is stopping or does not listen yet; another peer or the store is queried instead
 	}
-	given, ok := answer.Msg.(rowsGiven)
-	if ok && p.takeGiven(ctx, address, ask, given) {
-		return taken
+	resp, ok := answer.Msg.(rowsResponse)
+	if ok && f.applyResponse(ctx, address, req, resp) {
+		return queryApplied
 	}
-	return notKnown
+	return queryNotKnown
 }
 
-// takeGiven takes what a daemon answered. It returns false where another one, or the store,
-// is to be asked.
-func (p *feedPart[T]) takeGiven(ctx context.Context, address string, ask rowsAsked, given rowsGiven) bool {
-	if !given.Known || given.Revision < ask.Least {
+// applyResponse applies a daemon's answer. It returns false if another daemon or the store
+// has to be queried.
+func (f *feedTracker[T]) applyResponse(ctx context.Context, address string, req rowsRequest, resp rowsResponse) bool {
+	if !resp.Known || resp.Revision < req.MinRevision {
 		return false
 	}
-	if len(given.Rows) == 0 {
-		return ask.Has > 0 && p.confirmed(ctx, given)
+	if len(resp.Rows) == 0 {
+		return req.HasRevision > 0 && f.confirmRevision(ctx, resp)
 	}
-	items, err := decode[T](given.Rows)
+	items, err := decode[T](resp.Rows)
 	if err != nil {
-		p.c.g.log.Emit(telemetry.EventRowsUnreadable, telemetry.Address(address), telemetry.Cause(err))
+		f.c.g.log.Emit(telemetry.EventRowsUnreadable, telemetry.Address(address), telemetry.Cause(err))
 		return false
 	}
-	b := site.Batch[T]{Items: items, Revision: given.Revision}
-	// Guard (follower-stale): a daemon that is cut off from the store by itself answers with
-	// what it knew, and this one would go by an old configuration although it reaches the
-	// store. Only where the store answers nobody is nothing newer to be had.
-	if given.Age > followFresh && !given.Failing {
-		if !given.Whole {
+	b := site.Batch[T]{Items: items, Revision: resp.Revision}
+	// Guard (follower-stale): a daemon that alone is cut off from the store answers with
+	// its cached rows, and this daemon would use an old configuration although it reaches
+	// the store. Only if the store answers nobody is there nothing newer to get.
+	if resp.StoreAge > maxStoreAge && !resp.StoreFailing {
+		if !resp.Complete {
 			return false
 		}
-		p.stale = &stale[T]{batch: b, at: time.Now().Add(-given.Age)}
+		f.unconfirmed = &unconfirmedRows[T]{batch: b, confirmedAt: time.Now().Add(-resp.StoreAge)}
 		return false
 	}
-	p.post(ctx, func() { p.given(b, given.Age, given.Whole) })
+	f.post(ctx, func() { f.applyPeerRows(b, resp.StoreAge, resp.Complete) })
 	return true
 }
 
-// confirmed takes up that the rows known here are still those of the store, as of a
-// moment ago. It returns false where that was too long ago to spare a call.
-func (p *feedPart[T]) confirmed(ctx context.Context, given rowsGiven) bool {
-	p.post(ctx, func() { p.m.ConfirmedByPeer(p.c.now, given.Revision, given.Age) })
-	return p.told()
+// confirmRevision records that the known rows were current in the store a moment ago. It
+// returns false if that is too long ago to skip a call.
+func (f *feedTracker[T]) confirmRevision(ctx context.Context, resp rowsResponse) bool {
+	f.post(ctx, func() { f.machine.ConfirmedByPeer(f.c.now, resp.Revision, resp.StoreAge) })
+	return f.skipsStore()
 }
 
-// stale are rows that another daemon gave and that may have changed since.
-type stale[T any] struct {
-	batch site.Batch[T]
-	at    time.Time // when the store said so
+// unconfirmedRows are rows from another daemon that may have changed since.
+type unconfirmedRows[T any] struct {
+	batch       site.Batch[T]
+	confirmedAt time.Time // when the store confirmed them
 }
 
-// given takes up a feed, or what changed in it, from another daemon, unless more is known.
-func (p *feedPart[T]) given(b site.Batch[T], age time.Duration, whole bool) {
-	before, known := p.m.Revision()
-	// Guard (rows-older): what another daemon gave comes beside its announcements and the store's
-	// answers. Were older rows taken, a server that has left since would be listed again.
-	if known && b.Revision < before || !known && !whole {
+// applyPeerRows applies a feed, or changes of it, from another daemon, unless newer rows
+// are known.
+func (f *feedTracker[T]) applyPeerRows(b site.Batch[T], age time.Duration, complete bool) {
+	before, known := f.machine.Revision()
+	// Guard (rows-older): rows from another daemon arrive independently of its
+	// announcements and of the store's answers. If older rows were applied, a server that
+	// has left since would be listed again.
+	if known && b.Revision < before || !known && !complete {
 		return
 	}
-	if !whole {
-		b.Items = since(b.Items, before)
+	if !complete {
+		b.Items = itemsAfter(b.Items, before)
 	}
-	p.m.LoadedFromPeer(p.c.now, b.Revision, age)
-	p.revision.Store(b.Revision)
-	p.rowsKnown.keep(b, whole)
-	p.c.g.log.Emit(telemetry.EventFeedGiven, telemetry.Detail(p.name), telemetry.Took(age))
-	p.take(b, arrival{whole: whole})
+	f.machine.LoadedFromPeer(f.c.now, b.Revision, age)
+	f.revision.Store(b.Revision)
+	f.cache.update(b, complete)
+	f.c.g.log.Emit(telemetry.EventFeedGiven, telemetry.Detail(f.name), telemetry.Took(age))
+	f.apply(b, batchInfo{complete: complete})
 }
 
-// somePeers returns the addresses of up to n other live daemons at random, those of this
-// daemon's failure domain first: bytes between domains are dear.
-func (g *Gateway) somePeers(n int) []string {
-	var near, far []string
-	for _, i := range g.current.Load().members.Members {
+// samplePeers returns the addresses of up to n random live daemons, those of this daemon's
+// failure domain first: traffic between domains is expensive.
+func (g *Gateway) samplePeers(n int) []string {
+	var sameDomain, otherDomains []string
+	for _, i := range g.currentView.Load().members.Members {
 		switch {
 		case i.Member.ID == g.self.ID || i.State != membership.Alive:
-		case i.Meta.Domain == g.set().Domain:
-			near = append(near, i.Meta.PeerAddress)
+		case i.Meta.Domain == g.currentSettings().Domain:
+			sameDomain = append(sameDomain, i.Meta.PeerAddress)
 		default:
-			far = append(far, i.Meta.PeerAddress)
+			otherDomains = append(otherDomains, i.Meta.PeerAddress)
 		}
 	}
-	out := append(lo.Samples(near, n), lo.Samples(far, n)...)
+	out := append(lo.Samples(sameDomain, n), lo.Samples(otherDomains, n)...)
 	return out[:min(n, len(out))]
 }
 
--- a/gateway/listing.go
+++ b/gateway/listing.go
@@ -12,81 +12,81 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// listingPart keeps the configuration and the list of servers.
-type listingPart struct {
+// listingState holds the configuration and the list of servers.
+type listingState struct {
 	c       *control
 	servers map[state.BackendID]fleet.Server
-	// revisions tell which of two lives at one address is the later one.
+	// revisions tell which of two incarnations at one address is the later one.
 	revisions map[state.BackendID]uint64
-	// changed is when the list was last published, and stale whether it has changed since;
-	// urgent is whether that is to be published at once.
-	changed       time.Time
-	stale, urgent bool
-	// recovered is when the store last answered after a while without.
-	recovered time.Time
-	// missing are servers that are no longer listed, but may only have lapsed, and
-	// when they count as gone.
+	// publishedAt is when the list was last published, dirty whether it has changed since,
+	// and publishNow whether that change is published without delay.
+	publishedAt       time.Time
+	dirty, publishNow bool
+	// storeRecoveredAt is when the store last answered again after a failure.
+	storeRecoveredAt time.Time
+	// missing are servers that are no longer listed but whose entries may only have
+	// expired, with the time at which they are removed.
 	missing map[state.BackendID]time.Time
-	// former are lives that another one of the same name has followed. Their entries
-	// may still come: a write that was held up is done after the new life's.
-	former map[state.Life]bool
-	// young are lives that were listed first since the list was last published.
-	young []state.Life
-	// first is when the list was first read, and joined when a server was last added.
-	first, joined time.Time
-	// bad are entries that can't be read, by the revision that was logged.
-	bad map[state.BackendID]uint64
-	// latest and sizes are regroup's: the later one of the lives at each address, and how
-	// many servers each service has.
-	latest map[string]state.BackendID
-	sizes  map[state.ServiceID]int
+	// formerIncarnations are incarnations that another one of the same name has followed.
+	// Their entries may still arrive, since a delayed write can take effect after the new
+	// incarnation's.
+	formerIncarnations map[state.Life]bool
+	// newIncarnations are incarnations that were first listed since the last publication.
+	newIncarnations []state.Life
+	// firstRead is when the list was first read, lastAdded when a server was last added.
+	firstRead, lastAdded time.Time
+	// unreadable are entries that can't be decoded, with the revision that was logged.
+	unreadable map[state.BackendID]uint64
+	// latestByAddress and serviceSizes belong to publishServers: the later one of the
+	// incarnations at each address, and the number of servers of each service.
+	latestByAddress map[string]state.BackendID
+	serviceSizes    map[state.ServiceID]int
 }
 
 const (
-	// lapseWindow is how long after the store's return an entry that goes may have
-	// lapsed while servers could not renew it.
-	lapseWindow = 3 * time.Second
-	// lapseGrace is how long such a server is still used. A living one is listed
-	// again within about two seconds, and a leaving one may get no request later
-	// than that.
-	lapseGrace = 1800 * time.Millisecond
+	// expiryWindow is how long after the store's recovery a removed entry may have expired
+	// only because its server could not renew it.
+	expiryWindow = 3 * time.Second
+	// expiryGrace is how long such a server is still used. A server that is alive is listed
+	// again within about two seconds, and a leaving one may get no request later than that.
+	expiryGrace = 1800 * time.Millisecond
 )
 
-func newListingPart(c *control) *listingPart {
-	return &listingPart{
-		c:         c,
-		servers:   make(map[state.BackendID]fleet.Server),
-		revisions: make(map[state.BackendID]uint64),
-		missing:   make(map[state.BackendID]time.Time),
-		former:    make(map[state.Life]bool),
-		bad:       make(map[state.BackendID]uint64),
-		latest:    make(map[string]state.BackendID),
-		sizes:     make(map[state.ServiceID]int),
+func newListingState(c *control) *listingState {
+	return &listingState{
+		c:                  c,
+		servers:            make(map[state.BackendID]fleet.Server),
+		revisions:          make(map[state.BackendID]uint64),
+		missing:            make(map[state.BackendID]time.Time),
+		formerIncarnations: make(map[state.Life]bool),
+		unreadable:         make(map[state.BackendID]uint64),
+		latestByAddress:    make(map[string]state.BackendID),
+		serviceSizes:       make(map[state.ServiceID]int),
 	}
 }
 
-// configured takes up the newest configuration. An older one is never taken: a
-// caller that has seen the effect of a version would see it undone.
-func (p *listingPart) configured(b site.Batch[*fleet.Config], _ arrival) {
+// applyConfig applies the newest configuration. An older one is never applied: a caller
+// that has seen the effect of a version would see it reverted.
+func (l *listingState) applyConfig(b site.Batch[*fleet.Config], _ batchInfo) {
 	for _, it := range b.Items {
 		if it.Err != nil {
-			p.c.g.log.Emit(telemetry.EventDocumentUnreadable, telemetry.Cause(it.Err))
+			l.c.g.log.Emit(telemetry.EventDocumentUnreadable, telemetry.Cause(it.Err))
 			continue
 		}
-		if it.Removed || p.c.view.config != nil && it.Value.Version <= p.c.view.config.Version {
+		if it.Removed || l.c.view.config != nil && it.Value.Version <= l.c.view.config.Version {
 			continue
 		}
-		p.c.view.config = it.Value
-		p.c.changed = true
-		p.stale, p.urgent = true, true // which entries are usable depends on it
-		p.c.g.log.Emit(telemetry.EventDocumentApplied, telemetry.Version(state.DocumentVersion(it.Value.Version)))
+		l.c.view.config = it.Value
+		l.c.changed = true
+		l.dirty, l.publishNow = true, true // which entries are usable depends on the configuration
+		l.c.g.log.Emit(telemetry.EventDocumentApplied, telemetry.Version(state.DocumentVersion(it.Value.Version)))
 	}
 }
 
-// listed takes up a change of the list of servers.
-func (p *listingPart) listed(b site.Batch[fleet.Server], how arrival) {
-	if how.recovered {
-		p.answeredAgain(p.c.now)
+// applyServers applies a change of the server list.
+func (l *listingState) applyServers(b site.Batch[fleet.Server], info batchInfo) {
+	if info.recovered {
+		l.recordRecovery(l.c.now)
 	}
 	present := make(map[state.BackendID]bool, len(b.Items))
 	for _, it := range b.Items {
@@ -94,90 +94,91 @@
 		present[id] = !it.Removed
 		switch {
 		case it.Removed:
-			delete(p.bad, id)
-			p.miss(id)
+			delete(l.unreadable, id)
+			l.handleMissing(id)
 		case it.Err != nil:
-			p.unreadable(id, it.Revision, it.Err)
-		case p.former[it.Value.Life()]:
-			// A write of the former life that was held up; the new one's follows.
+			l.handleUnreadable(id, it.Revision, it.Err)
+		case l.formerIncarnations[it.Value.Life()]:
+			// A delayed write of the former incarnation; the new one's follows.
 		default:
-			delete(p.bad, id)
-			p.revisions[id] = it.Revision
-			p.seen(it.Value)
+			delete(l.unreadable, id)
+			l.revisions[id] = it.Revision
+			l.updateServer(it.Value)
 		}
 	}
-	if how.whole {
-		for id := range p.servers {
+	if info.complete {
+		for id := range l.servers {
 			if !present[id] {
-				p.miss(id)
+				l.handleMissing(id)
 			}
 		}
 	}
-	if p.first.IsZero() {
-		p.first = p.c.now
+	if l.firstRead.IsZero() {
+		l.firstRead = l.c.now
 	}
-	p.c.view.listed = true
-	p.stale = true
+	l.c.view.serversKnown = true
+	l.dirty = true
 }
 
-// answeredAgain notes when the store answered again after a while without.
-func (p *listingPart) answeredAgain(at time.Time) {
-	if at.After(p.recovered) {
-		p.recovered = at
+// recordRecovery records when the store answered again after a failure.
+func (l *listingState) recordRecovery(at time.Time) {
+	if at.After(l.storeRecoveredAt) {
+		l.storeRecoveredAt = at
 	}
 }
 
-// miss takes a server off the list, at once unless its entry may have lapsed.
-func (p *listingPart) miss(id state.BackendID) {
-	if p.c.now.Sub(p.recovered) > lapseWindow {
-		p.gone(id)
+// handleMissing removes a server from the list, at once unless its entry may only have
+// expired.
+func (l *listingState) handleMissing(id state.BackendID) {
+	if l.c.now.Sub(l.storeRecoveredAt) > expiryWindow {
+		l.removeServer(id)
 		return
 	}
-	if _, ok := p.missing[id]; !ok {
-		p.missing[id] = p.c.now.Add(lapseGrace)
+	if _, ok := l.missing[id]; !ok {
+		l.missing[id] = l.c.now.Add(expiryGrace)
 	}
 }
 
-// tick takes off the list what has been missing for too long, and publishes it if it
-// has changed: once for all changes that came together.
-func (p *listingPart) tick() {
-	for id, until := range p.missing {
-		if !p.c.now.Before(until) {
-			p.gone(id)
-			p.stale = true
+// tick removes servers that have been missing for too long, and publishes a changed list,
+// once for all changes that arrived together.
+func (l *listingState) tick() {
+	for id, until := range l.missing {
+		if !l.c.now.Before(until) {
+			l.removeServer(id)
+			l.dirty = true
 		}
 	}
-	if p.stale && (p.urgent || !p.c.now.Before(p.publishAt())) {
-		p.stale, p.urgent = false, false
-		p.changed = p.c.now
-		p.regroup()
+	if l.dirty && (l.publishNow || !l.c.now.Before(l.nextPublish())) {
+		l.dirty, l.publishNow = false, false
+		l.publishedAt = l.c.now
+		l.publishServers()
 	}
-	if filling := p.filling(); filling != p.c.view.filling {
-		p.c.view.filling = filling
-		p.c.changed = true
+	if populating := l.isPopulating(); populating != l.c.view.populating {
+		l.c.view.populating = populating
+		l.c.changed = true
 	}
 }
 
-// publishEach is the time between two publications of the list, for each server on it. A
-// publication looks at all servers, which costs about a microsecond each: at a start 3,000
-// servers list themselves and their layers in hundreds of changes a second. So it takes no
-// more than a twentieth of a core, and 12,000 servers' changes are in force 0.24 s later at
-// most, of the 2 s that a leaving server or a configuration has.
-const publishEach = 20 * time.Microsecond
+// publishIntervalPerServer is the time between two publications of the list, per server on
+// it. A publication examines all servers, which costs about a microsecond each, and during
+// a start 3,000 servers list themselves and their layers in hundreds of changes a second.
+// With this interval, publications take at most a twentieth of a core, and changes of
+// 12,000 servers are active 0.24 s later at most, of the 2 s that are allowed for a leaving
+// server or a configuration.
+const publishIntervalPerServer = 20 * time.Microsecond
 
-// publishAt is when a change of the list may be published.
-func (p *listingPart) publishAt() time.Time {
-	return p.changed.Add(time.Duration(len(p.servers)) * publishEach)
+// nextPublish is when a change of the list may be published.
+func (l *listingState) nextPublish() time.Time {
+	return l.publishedAt.Add(time.Duration(len(l.servers)) * publishIntervalPerServer)
 }
 
-// nextTick is when a change is to be published, or a server counts as gone; zero for
-// neither.
-func (p *listingPart) nextTick() time.Time {
+// nextTick is when a change is published next or a missing server is removed, or zero.
+func (l *listingState) nextTick() time.Time {
 	var next time.Time
-	if p.stale {
-		next = p.publishAt()
+	if l.dirty {
+		next = l.nextPublish()
 	}
-	for _, t := range p.missing {
+	for _, t := range l.missing {
 		if next.IsZero() || t.Before(next) {
 			next = t
 		}
@@ -185,93 +186,93 @@
 	return next
 }
 
-// filling reports whether requests had better wait for more servers to be listed.
-func (p *listingPart) filling() bool {
-	v := &p.c.view
-	list := admission.ServerList{FirstRead: p.first, LastAdded: p.joined}
-	if v.config == nil || !list.Populating(p.c.now) {
-		return false // it does not grow, whatever it holds
+// isPopulating reports whether requests should wait for more servers to be listed.
+func (l *listingState) isPopulating() bool {
+	v := &l.c.view
+	list := admission.ServerList{FirstRead: l.firstRead, LastAdded: l.lastAdded}
+	if v.config == nil || !list.Populating(l.c.now) {
+		return false // the list is not growing, whatever it contains
 	}
 	for id, svc := range v.config.Services {
 		if svc.Engine == nil {
 			continue
 		}
-		list.MinCopies = cover(svc.Engine, v.servers[id]).Least()
-		if list.Populating(p.c.now) {
+		list.MinCopies = layerCoverage(svc.Engine, v.servers[id]).Least()
+		if list.Populating(l.c.now) {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *listingPart) seen(s fleet.Server) {
-	delete(p.missing, s.ID)
-	old, known := p.servers[s.ID]
-	p.servers[s.ID] = s
+func (l *listingState) updateServer(s fleet.Server) {
+	delete(l.missing, s.ID)
+	old, known := l.servers[s.ID]
+	l.servers[s.ID] = s
 	if !known {
-		p.joined = p.c.now
-		p.young = append(p.young, s.Life())
-		p.c.g.log.Emit(telemetry.EventBackendJoined, telemetry.Backend(s.ID), telemetry.Address(s.Address))
+		l.lastAdded = l.c.now
+		l.newIncarnations = append(l.newIncarnations, s.Life())
+		l.c.g.log.Emit(telemetry.EventBackendJoined, telemetry.Backend(s.ID), telemetry.Address(s.Address))
 		return
 	}
 	if s.Life() != old.Life() {
-		p.restarted(old, s)
+		l.recordRestart(old, s)
 		return
 	}
 	if s.Layers != old.Layers {
-		p.c.g.log.Emit(telemetry.EventLayersListed, telemetry.Backend(s.ID), telemetry.Layers(s.Layers))
+		l.c.g.log.Emit(telemetry.EventLayersListed, telemetry.Backend(s.ID), telemetry.Layers(s.Layers))
 	}
 	if s.Draining && !old.Draining {
-		p.c.g.log.Emit(telemetry.EventBackendLeaving, telemetry.Backend(s.ID))
+		l.c.g.log.Emit(telemetry.EventBackendLeaving, telemetry.Backend(s.ID))
 	}
 }
 
-func (p *listingPart) gone(id state.BackendID) {
-	delete(p.missing, id)
-	p.forgetLives(id)
-	if _, ok := p.servers[id]; !ok {
+func (l *listingState) removeServer(id state.BackendID) {
+	delete(l.missing, id)
+	l.forgetIncarnations(id)
+	if _, ok := l.servers[id]; !ok {
 		return
 	}
-	delete(p.servers, id)
-	delete(p.revisions, id)
-	p.c.g.log.Emit(telemetry.EventBackendDied, telemetry.Backend(id))
+	delete(l.servers, id)
+	delete(l.revisions, id)
+	l.c.g.log.Emit(telemetry.EventBackendDied, telemetry.Backend(id))
 }
 
-// regroup publishes the servers by service. Of two lives at one address only the
-// later one is there: a server that crashed and started again where the store could
-// not be reached is listed twice until its first life's entry lapses, and a path over
-// both would name one address twice.
-func (p *listingPart) regroup() {
-	latest, sizes := p.latest, p.sizes
+// publishServers publishes the servers by service. Of two incarnations at one address only
+// the later one is included: a server that crashed and restarted while it could not reach
+// the store is listed twice until the entry of its first incarnation expires, and a path
+// over both would contain one address twice.
+func (l *listingState) publishServers() {
+	latest, sizes := l.latestByAddress, l.serviceSizes
 	clear(latest)
 	clear(sizes)
-	for id, s := range p.servers {
-		if !usable(p.c.view.config, &s) {
+	for id, s := range l.servers {
+		if !isUsable(l.c.view.config, &s) {
 			continue
 		}
-		if other, ok := latest[s.Address]; !ok || p.revisions[id] > p.revisions[other] {
+		if other, ok := latest[s.Address]; !ok || l.revisions[id] > l.revisions[other] {
 			latest[s.Address] = id
 		}
 		sizes[s.Service]++
 	}
 	groups := make(map[state.ServiceID][]fleet.Server, len(sizes))
 	for _, id := range latest {
-		s := p.servers[id]
+		s := l.servers[id]
 		if groups[s.Service] == nil {
 			groups[s.Service] = make([]fleet.Server, 0, sizes[s.Service])
 		}
 		groups[s.Service] = append(groups[s.Service], s)
 	}
-	p.welcome(latest)
-	p.c.view.servers = groups
-	p.c.view.rosters = rosters(p.c.view.config, groups)
-	p.c.changed = true
+	l.resetNewIncarnations(latest)
+	l.c.view.servers = groups
+	l.c.view.rosters = lazyRosters(l.c.view.config, groups)
+	l.c.changed = true
 }
 
-// rosters has the engines of each service prepared for the choice of paths once a request
-// needs them. At a start lists are published many times a second, and a daemon of hundreds
-// chooses few paths.
-func rosters(c *fleet.Config, groups map[state.ServiceID][]fleet.Server) map[state.ServiceID]func() *pathing.Roster {
+// lazyRosters defers the preparation of each service's engines for path choice until a
+// request needs it. During a start lists are published many times a second, and one daemon
+// of hundreds chooses few paths.
+func lazyRosters(c *fleet.Config, groups map[state.ServiceID][]fleet.Server) map[state.ServiceID]func() *pathing.Roster {
 	if c == nil {
 		return nil
 	}
--- a/gateway/lives.go
+++ b/gateway/lives.go
@@ -7,89 +7,90 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// metLife compares what a server said of its own start with the life that was meant.
-// The list lags by a heartbeat: a server that has started again under its name and is
-// still listed with its old layers would be given paths, and orders counted by its old
-// life, for over a second.
-func (g *Gateway) metLife(meant state.Life, address string, born int64) {
-	if born == 0 || born == meant.Born {
+// checkIncarnation compares the start time that a server reported with the expected
+// incarnation. The list lags by a heartbeat: for more than a second, a server that has
+// restarted under its name and is still listed with its old layers would be given paths,
+// and orders counted by its old incarnation.
+func (g *Gateway) checkIncarnation(expected state.Life, address string, startTime int64) {
+	if startTime == 0 || startTime == expected.Born {
 		return
 	}
-	g.control.post(func() { g.control.listing.contradicted(meant, address, born) })
+	g.control.post(func() { g.control.listing.handleOtherIncarnation(expected, address, startTime) })
 }
 
-// contradicted takes up that the server at an address is another life than the listed
-// one. Where the list has moved on since the server was asked, or the life that
-// answered is a former one, nothing follows.
-func (p *listingPart) contradicted(meant state.Life, address string, born int64) {
-	listed, ok := p.servers[meant.ID]
-	if !ok || listed.Life() != meant || listed.Address != address {
+// handleOtherIncarnation handles a server that turns out to be another incarnation than the
+// listed one. It does nothing if the list has changed since the server was contacted, or if
+// a former incarnation answered.
+func (l *listingState) handleOtherIncarnation(expected state.Life, address string, startTime int64) {
+	listed, ok := l.servers[expected.ID]
+	if !ok || listed.Life() != expected || listed.Address != address {
 		return
 	}
-	if p.former[state.Life{ID: meant.ID, Born: born}] {
+	if l.formerIncarnations[state.Life{ID: expected.ID, Born: startTime}] {
 		return
 	}
-	o := suspect.OutdatedNotice{Server: meant, Layers: listed.Layers}
-	if p.c.g.book.contradicted(p.c.now, o) {
-		p.c.members.notify(o)
+	notice := suspect.OutdatedNotice{Server: expected, Layers: listed.Layers}
+	if l.c.g.shared.markOutdated(l.c.now, notice) {
+		l.c.members.broadcast(notice)
 	}
-	listed.Born, listed.Layers = born, fleet.Range{}
-	p.seen(listed)
-	p.stale = true
+	listed.Born, listed.Layers = startTime, fleet.Range{}
+	l.updateServer(listed)
+	l.dirty = true
 }
 
-// restarted takes up that a server is in another life than before, under its name.
-func (p *listingPart) restarted(old, s fleet.Server) {
-	p.former[old.Life()] = true
-	p.young = append(p.young, s.Life())
-	p.c.g.log.Emit(telemetry.EventBackendRestarted, telemetry.Backend(s.ID), telemetry.Address(s.Address),
+// recordRestart records that a server runs as another incarnation under the same name.
+func (l *listingState) recordRestart(old, s fleet.Server) {
+	l.formerIncarnations[old.Life()] = true
+	l.newIncarnations = append(l.newIncarnations, s.Life())
+	l.c.g.log.Emit(telemetry.EventBackendRestarted, telemetry.Backend(s.ID), telemetry.Address(s.Address),
 		telemetry.Detail(old.Life().String()+" -> "+s.Life().String()))
 }
 
-// welcome drops what is believed of addresses at which a new life is listed, and has
-// the streams across the former life go on elsewhere: it has lost them.
-func (p *listingPart) welcome(latest map[string]state.BackendID) {
-	for _, life := range p.young {
-		s, ok := p.servers[life.ID]
-		if !ok || s.Life() != life || latest[s.Address] != s.ID {
+// resetNewIncarnations drops the suspicions about addresses at which a new incarnation is
+// listed, and resumes elsewhere the streams that ran through the former one, which has lost
+// them.
+func (l *listingState) resetNewIncarnations(latest map[string]state.BackendID) {
+	for _, incarnation := range l.newIncarnations {
+		s, ok := l.servers[incarnation.ID]
+		if !ok || s.Life() != incarnation || latest[s.Address] != s.ID {
 			continue
 		}
-		for _, st := range p.c.g.book.succeeded(s.Address, life) {
-			st.stream.hopDied(st.hop)
+		for _, lost := range l.c.g.shared.resetAddress(s.Address, incarnation) {
+			lost.stream.hopDied(lost.hop)
 		}
 	}
-	p.young = nil
+	l.newIncarnations = nil
 }
 
-// lostHop is a stream with the hop of its path that is no more.
+// lostHop is a stream with the hop of its path that no longer exists.
 type lostHop struct {
 	stream *stream
 	hop    fleet.Hop
 }
 
-// succeeded forgets the failures of a former life at an address. It returns the
-// streams that cross that life.
-func (b *book) succeeded(address string, life state.Life) []lostHop {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.suspects.Forget(address)
-	delete(b.buried, address)
+// resetAddress removes the failures recorded for a former incarnation at an address. It
+// returns the streams through that incarnation.
+func (s *sharedState) resetAddress(address string, incarnation state.Life) []lostHop {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.suspects.Forget(address)
+	delete(s.dead, address)
 	var out []lostHop
-	for s := range b.streams {
-		for _, h := range s.path {
-			if h.Address == address && h.Server != life {
-				out = append(out, lostHop{s, h})
+	for str := range s.streams {
+		for _, h := range str.path {
+			if h.Address == address && h.Server != incarnation {
+				out = append(out, lostHop{str, h})
 			}
 		}
 	}
 	return out
 }
 
-// forgetLives drops the former lives of a server that is gone.
-func (p *listingPart) forgetLives(id state.BackendID) {
-	for life := range p.former {
-		if life.ID == id {
-			delete(p.former, life)
+// forgetIncarnations drops the former incarnations of a removed server.
+func (l *listingState) forgetIncarnations(id state.BackendID) {
+	for incarnation := range l.formerIncarnations {
+		if incarnation.ID == id {
+			delete(l.formerIncarnations, incarnation)
 		}
 	}
 }
--- a/gateway/lives_test.go
+++ b/gateway/lives_test.go
@@ -16,9 +16,9 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// server finds a server in a gateway's status.
-func (r *rig) server(id state.BackendID) (gateway.ServerStatus, bool) {
-	status, err := r.gateway.Status(context.Background())
+// serverStatus returns a server's entry in the gateway's status.
+func (h *harness) serverStatus(id state.BackendID) (gateway.ServerStatus, bool) {
+	status, err := h.gateway.Status(context.Background())
 	Expect(err).NotTo(HaveOccurred())
 	for _, svc := range status.Services {
 		for _, s := range svc.Servers {
@@ -30,145 +30,145 @@
 	return gateway.ServerStatus{}, false
 }
 
-// used waits until a server is used, or is not.
-func (r *rig) used(id state.BackendID, want bool) {
-	Eventually(func() bool { _, ok := r.server(id); return ok }).WithTimeout(patience).Should(Equal(want))
+// awaitUsed waits until a server is used, or is not.
+func (h *harness) awaitUsed(id state.BackendID, want bool) {
+	Eventually(func() bool { _, ok := h.serverStatus(id); return ok }).WithTimeout(eventuallyTimeout).Should(Equal(want))
 }
 
-// layersOf waits until a server is listed with layers.
-func (r *rig) layersOf(id state.BackendID, want string) {
-	Eventually(func() string { s, _ := r.server(id); return s.Layers }).WithTimeout(patience).Should(Equal(want))
+// awaitLayers waits until a server is listed with some layers.
+func (h *harness) awaitLayers(id state.BackendID, want string) {
+	Eventually(func() string { s, _ := h.serverStatus(id); return s.Layers }).WithTimeout(eventuallyTimeout).Should(Equal(want))
 }
 
 var _ = Describe("Entries of servers", func() {
-	var r *rig
+	var h *harness
 	plain := fleet.Server{ID: "p0", Service: "app", Address: "p0", Domain: "a"}
 	BeforeEach(func() {
-		r = newRig()
-		r.listed.keep()
-		r.fill()
-		r.used("p0", true)
+		h = newHarness()
+		h.serverFeed.keepHistory()
+		h.populate()
+		h.awaitUsed("p0", true)
 	})
 
-	// Callers get answers of a server that its service no longer has, or wait for one.
-	// Order: a good entry stands, another program writes over it. Cause: an entry that
-	// can't be read was passed over, and the one before it stood.
-	It("that can't be read name no server, also where a good one stood before", Label("failure:foreign-entry"), func() {
-		r.listed.spoil("p0", errors.New("not an entry"))
-		r.used("p0", false)
-		_, others := r.server("p1")
+	// Another program overwrites a valid entry. If the unreadable entry is ignored, the one
+	// before it stays in use, and callers get answers of a server that no longer belongs to
+	// the service, or wait for one.
+	It("that can't be decoded remove the server of a valid entry before them", Label("failure:foreign-entry"), func() {
+		h.serverFeed.setUnreadable("p0", errors.New("not an entry"))
+		h.awaitUsed("p0", false)
+		_, others := h.serverStatus("p1")
 		Expect(others).To(BeTrue())
-		r.listed.set("p0", plain)
-		r.used("p0", true)
+		h.serverFeed.set("p0", plain)
+		h.awaitUsed("p0", true)
 	})
 
-	// The one server of a service is missing from all answers. Order: another program
-	// writes an entry at its address for a service that nobody knows. Cause: of two
-	// entries at one address the later was taken.
-	It("of a service or a card that nobody knows leave the others in use", Label("failure:foreign-entry"), func() {
-		r.listed.set("x0", fleet.Server{ID: "x0", Service: "no such service", Address: "p0", Domain: "a"})
-		r.listed.set("x1", fleet.Server{ID: "x1", Service: "llm", Address: "e0", Domain: "a", Kind: "no such card"})
-		r.listed.set("x2", fleet.Server{ID: "x2", Service: "llm", Address: "e1", Domain: "a", Kind: "card", Layers: fleet.Range{From: 0, To: 99}})
-		r.listed.set("p2", fleet.Server{ID: "p2", Service: "app", Address: "p2", Domain: "a"})
-		r.used("p2", true)
+	// Another program writes an entry with the address of a service's only server and an
+	// unknown service. If the later of two entries at one address is used, that server is
+	// missing from all choices.
+	It("with an unknown service or accelerator kind leave the others in use", Label("failure:foreign-entry"), func() {
+		h.serverFeed.set("x0", fleet.Server{ID: "x0", Service: "no such service", Address: "p0", Domain: "a"})
+		h.serverFeed.set("x1", fleet.Server{ID: "x1", Service: "llm", Address: "e0", Domain: "a", Kind: "no such card"})
+		h.serverFeed.set("x2", fleet.Server{ID: "x2", Service: "llm", Address: "e1", Domain: "a", Kind: "card", Layers: fleet.Range{From: 0, To: 99}})
+		h.serverFeed.set("p2", fleet.Server{ID: "p2", Service: "app", Address: "p2", Domain: "a"})
+		h.awaitUsed("p2", true)
 		for _, id := range []state.BackendID{"p0", "e0", "e1"} {
-			_, ok := r.server(id)
+			_, ok := h.serverStatus(id)
 			Expect(ok).To(BeTrue(), string(id))
 		}
 	})
 
-	// Streams stand still for the seconds after which engines give up a dead hop.
-	// Order: an engine dies and is listed again, under its name, holding nothing. Cause:
-	// its name alone was taken for its life, so that nothing seemed to have changed.
-	It("of another life end what was believed of the former one", Label("failure:restarts-under-its-name"), func() {
+	// An engine dies and is listed again under its name, without layers. If its name alone
+	// identifies the incarnation, nothing seems to have changed, and streams stall for the
+	// seconds after which engines give up on a dead hop.
+	It("of a new incarnation reset the state of the former one", Label("failure:restarts-under-its-name"), func() {
 		hop := make(chan string, 1)
 		var answered atomic.Int64
-		r.servers.stream = func(c backend.Call, out *io.PipeWriter) {
+		h.servers.stream = func(c backend.Call, out *io.PipeWriter) {
 			if answered.Add(1) > 1 {
-				events(out, c.After, 5)
+				writeEvents(out, c.After, 5)
 				return
 			}
 			_, _ = io.WriteString(out, "id: 1\ndata: 1\n\n")
 			hop <- string(c.Path[1].Server.ID)
 		}
 		ended := make(chan gateway.Result, 1)
-		to := &reply{}
-		go func() { ended <- r.gateway.Serve(context.Background(), request("/stream/x"), to) }()
+		got := &fakeReply{}
+		go func() { ended <- h.gateway.Serve(context.Background(), request("/stream/x"), got) }()
 		var id string
-		Eventually(hop).WithTimeout(patience).Should(Receive(&id))
+		Eventually(hop).WithTimeout(eventuallyTimeout).Should(Receive(&id))
 		restarted := fleet.Server{ID: state.BackendID(id), Born: 2, Service: "llm", Address: id, Kind: "card", Domain: "a"}
-		r.listed.set(id, restarted)
-		Eventually(ended).WithTimeout(patience).Should(Receive(HaveField("Outcome", gateway.Answered)))
-		Expect(to.body.String()).To(ContainSubstring("id: 5"))
-		r.layersOf(state.BackendID(id), "4-8")
-		r.servers.mu.Lock()
-		defer r.servers.mu.Unlock()
-		Expect(r.servers.orders).To(ContainElement(And(HaveField("Server", state.BackendID(id)), HaveField("Orders", BeZero()))))
+		h.serverFeed.set(id, restarted)
+		Eventually(ended).WithTimeout(eventuallyTimeout).Should(Receive(HaveField("Outcome", gateway.Answered)))
+		Expect(got.body.String()).To(ContainSubstring("id: 5"))
+		h.awaitLayers(state.BackendID(id), "4-8")
+		h.servers.mu.Lock()
+		defer h.servers.mu.Unlock()
+		Expect(h.servers.orders).To(ContainElement(And(HaveField("Server", state.BackendID(id)), HaveField("Orders", BeZero()))))
 	})
 
-	// A server that has started again is given paths over layers that it lost. Order: a
-	// write of its former life was held up and is done after its own. Cause: the later
-	// write was taken for the later life.
-	It("of a former life that come late are passed over", Label("failure:restarts-under-its-name"), func() {
+	// A delayed write of a server's former incarnation takes effect after the write of its
+	// new one. If the later write counts as the later incarnation, the restarted server is
+	// given paths over layers that it has lost.
+	It("of a former incarnation that arrive late are ignored", Label("failure:restarts-under-its-name"), func() {
 		old := fleet.Server{ID: "p0", Born: 9, Service: "app", Address: "p0", Domain: "a"}
 		now := old
 		now.Born = 5 // its clock went back
-		r.listed.set("p0", old)
-		r.listed.set("p0", now)
+		h.serverFeed.set("p0", old)
+		h.serverFeed.set("p0", now)
 		late := old
 		late.Draining = true
-		r.listed.set("p0", late)
-		r.listed.set("p2", fleet.Server{ID: "p2", Service: "app", Address: "p2", Domain: "a"})
-		r.used("p2", true)
-		s, _ := r.server("p0")
+		h.serverFeed.set("p0", late)
+		h.serverFeed.set("p2", fleet.Server{ID: "p2", Service: "app", Address: "p2", Domain: "a"})
+		h.awaitUsed("p2", true)
+		s, _ := h.serverStatus("p0")
 		Expect(s.Draining).To(BeFalse())
 	})
 
-	// Paths lose an engine that works, and it is ordered to load its layers again. Order:
-	// an engine starts again under its name and is listed so, and a report that its former
-	// life gave comes after that. Cause: any other start than the listed one was taken for
-	// a later life.
-	It("stand against what a former life says late", Label("failure:restarts-under-its-name"), func() {
+	// An engine restarts under its name and is listed as such, and a report of its former
+	// incarnation arrives after that. If every start time other than the listed one counts
+	// as a later incarnation, paths lose a working engine, and it is ordered to load its
+	// layers again.
+	It("stay valid despite a late report of a former incarnation", Label("failure:restarts-under-its-name"), func() {
 		before := fleet.Server{ID: "e0", Born: 3, Service: "llm", Address: "e0", Kind: "card", Domain: "a", Layers: fleet.Range{From: 0, To: 4}}
 		now := before
 		now.Born = 7
-		r.listed.set("e0", before)
-		r.listed.set("e0", now)
-		r.listed.set("p2", fleet.Server{ID: "p2", Service: "app", Address: "p2", Domain: "a"})
-		r.used("p2", true)
-		r.servers.reborn("e0", before.Born)
-		r.servers.stream = func(c backend.Call, out *io.PipeWriter) {
+		h.serverFeed.set("e0", before)
+		h.serverFeed.set("e0", now)
+		h.serverFeed.set("p2", fleet.Server{ID: "p2", Service: "app", Address: "p2", Domain: "a"})
+		h.awaitUsed("p2", true)
+		h.servers.setStartTime("e0", before.Born)
+		h.servers.stream = func(c backend.Call, out *io.PipeWriter) {
 			_, _ = io.WriteString(out, "id: 1\ndata: 1\n\n")
-			for r.servers.reported("e0") == 0 { // its stream is silent until it is asked
+			for h.servers.reportCount("e0") == 0 { // its stream stalls until it is probed
 				time.Sleep(time.Millisecond)
 			}
-			events(out, "1", 5)
+			writeEvents(out, "1", 5)
 		}
-		_, res := r.serve("/stream/x")
+		_, res := h.serve("/stream/x")
 		Expect(res.Outcome).To(Equal(gateway.Answered))
-		s, listed := r.server("e0")
+		s, listed := h.serverStatus("e0")
 		Expect(listed).To(BeTrue())
 		Expect(s.Layers).To(Equal("0-4"))
 		Expect(s.Outdated).To(BeFalse())
 	})
 
-	// An engine has started again under its name, and the list still has its former
-	// life with all layers. Callers are refused until it is listed anew, a heartbeat
-	// later. Cause: what its own answers say of its start was not read.
-	It("are contradicted by a server's own word of its start", Label("failure:restarts-under-its-name"), func() {
-		r.servers.reborn("e0", 7)
-		r.servers.stream = func(c backend.Call, out *io.PipeWriter) {
+	// An engine has restarted under its name, and its former incarnation is still listed
+	// with all layers. If the start time in the engine's own answers is ignored, callers
+	// are refused until it is listed anew, a heartbeat later.
+	It("are contradicted by a server's own report of its start time", Label("failure:restarts-under-its-name"), func() {
+		h.servers.setStartTime("e0", 7)
+		h.servers.stream = func(c backend.Call, out *io.PipeWriter) {
 			if c.Path[0].Server.ID == "e0" && c.Path[0].Server.Born == 0 {
-				return // silent: it knows nothing of the path
+				return // stalled: it knows nothing of the path
 			}
-			events(out, c.After, 5)
+			writeEvents(out, c.After, 5)
 		}
 		Eventually(func(g Gomega) {
-			_, res := r.serve("/stream/x")
+			_, res := h.serve("/stream/x")
 			g.Expect(res.Outcome).To(Equal(gateway.Answered))
-			r.servers.mu.Lock()
-			defer r.servers.mu.Unlock()
-			g.Expect(r.servers.orders).To(ContainElement(HaveField("Server", state.BackendID("e0"))))
-		}).WithTimeout(patience).Should(Succeed())
+			h.servers.mu.Lock()
+			defer h.servers.mu.Unlock()
+			g.Expect(h.servers.orders).To(ContainElement(HaveField("Server", state.BackendID("e0"))))
+		}).WithTimeout(eventuallyTimeout).Should(Succeed())
 	})
 })
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -18,36 +18,36 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// Times of the membership. Callers keep an answer that names a dead daemon for
-// some seconds anyway, so that a death known within a second costs little more.
+// Timing of the membership. Callers use a cached answer with the address of a dead daemon
+// for a few seconds anyway, so that detecting a death within a second costs little more.
 const (
 	probeInterval = 400 * time.Millisecond
 	probeTimeout  = 150 * time.Millisecond
 	suspicionMin  = 600 * time.Millisecond
-	// seedInterval is how often a daemon that is in contact with nobody reads
-	// where others may be.
+	// seedInterval is how often a daemon without contact to any other reads the table of
+	// members.
 	seedInterval = 2 * time.Second
-	// announceInterval is how often a daemon that others have found tries to write a
-	// row that it could not write yet: only daemons that know nobody look for it.
-	announceInterval = 10 * time.Second
+	// rowRetryInterval is how often a daemon that others have discovered retries a failed
+	// write of its row: only daemons that know nobody read it.
+	rowRetryInterval = 10 * time.Second
 )
 
-// First kinds of each family of messages between gateways.
+// Kinds of the messages between gateways; the first one of each family.
 const (
-	kindMembership peer.Kind = 100
-	kindCrashes    peer.Kind = 1200
-	kindFollowing  peer.Kind = 1300
-	kindOutdated   peer.Kind = 1400
-	kindRefusal    peer.Kind = 1500
-	kindLeaving    peer.Kind = 1600
-	kindRowsAsked  peer.Kind = 1700
-	kindRowsGiven  peer.Kind = 1701
-	kindPermitsAsk peer.Kind = 1800
-	kindPermits    peer.Kind = 1801
-	kindLimitTold  peer.Kind = 1802
+	kindMembership    peer.Kind = 100
+	kindCrashes       peer.Kind = 1200
+	kindFollowing     peer.Kind = 1300
+	kindOutdated      peer.Kind = 1400
+	kindRefusal       peer.Kind = 1500
+	kindLeaving       peer.Kind = 1600
+	kindRowsRequest   peer.Kind = 1700
+	kindRowsResponse  peer.Kind = 1701
+	kindPermitRequest peer.Kind = 1800
+	kindPermitGrant   peer.Kind = 1801
+	kindLimitNotice   peer.Kind = 1802
 )
 
-// newRegistry lists every message between gateways.
+// newRegistry registers every message between gateways.
 func newRegistry() *peer.Registry {
 	r := peer.NewRegistry()
 	peer.RegisterMembership(r, kindMembership)
@@ -56,43 +56,43 @@
 	peer.Register[suspect.OutdatedNotice](r, kindOutdated)
 	peer.Register[suspect.RefusalNotice](r, kindRefusal)
 	peer.Register[suspect.LeavingNotice](r, kindLeaving)
-	peer.Register[rowsAsked](r, kindRowsAsked)
-	peer.Register[rowsGiven](r, kindRowsGiven)
-	peer.Register[permits.PermitRequest](r, kindPermitsAsk)
-	peer.Register[permits.PermitGrant](r, kindPermits)
-	peer.Register[permits.LimitNotice](r, kindLimitTold)
+	peer.Register[rowsRequest](r, kindRowsRequest)
+	peer.Register[rowsResponse](r, kindRowsResponse)
+	peer.Register[permits.PermitRequest](r, kindPermitRequest)
+	peer.Register[permits.PermitGrant](r, kindPermitGrant)
+	peer.Register[permits.LimitNotice](r, kindLimitNotice)
 	return r
 }
 
-// presence is a daemon's row in the table of members: where others find it.
-type presence struct {
+// memberRow is a daemon's row in the table of members, with its address for peers.
+type memberRow struct {
 	Peers string `json:"peers"`
 }
 
-// membersPart watches the other gateways.
-type membersPart struct {
-	c        *control
-	m        *membership.Membership
-	announce bool // the row of this daemon is written
-	reading  bool
-	lastSeed time.Time // when the table was last read; zero for never
+// membersState tracks the other gateways.
+type membersState struct {
+	c          *control
+	machine    *membership.Membership
+	rowWritten bool // this daemon's row is in the table
+	reading    bool
+	lastSeed   time.Time // when the table was last read; zero for never
 
-	viewStale bool // c.view.members is to be taken anew
+	viewChanged bool // c.view.members must be updated
 
-	rows   int       // daemons in the table when it was read last; 0 for never
-	most   int       // highest number of live daemons of late
-	mostAt time.Time // when that was
+	rowCount  int       // daemons in the table when it was last read; 0 for never
+	maxLive   int       // highest recent number of live daemons
+	maxLiveAt time.Time // when that number was observed
 }
 
-func newMembersPart(c *control) *membersPart {
+func newMembersState(c *control) *membersState {
 	g := c.g
 	self := membership.Self{
 		Member: g.self,
 		Meta: membership.Meta{
-			PeerAddress:   g.set().PeerAddress,
-			CallerAddress: g.set().CallerAddress,
-			Domain:        g.set().Domain,
-			Region:        g.set().Region,
+			PeerAddress:   g.currentSettings().PeerAddress,
+			CallerAddress: g.currentSettings().CallerAddress,
+			Domain:        g.currentSettings().Domain,
+			Region:        g.currentSettings().Region,
 		},
 	}
 	m := membership.New(membership.Config{
@@ -102,69 +102,69 @@
 		SuspicionMax:  2 * suspicionMin,
 	}, self, rand.New(rand.NewPCG(uint64(g.self.Incarnation), 1)))
 	c.view.members = m.View()
-	c.view.live, c.view.near = 1, 1
-	return &membersPart{c: c, m: m}
+	c.view.live, c.view.liveInDomain = 1, 1
+	return &membersState{c: c, machine: m}
 }
 
-func (p *membersPart) tick() {
-	p.step(membership.Tick{})
-	p.takeView()
-	if n := p.sharers(); n != p.c.view.sharers {
-		p.c.view.sharers = n
-		p.c.changed = true
+func (m *membersState) tick() {
+	m.step(membership.Tick{})
+	m.applyView()
+	if n := m.slackShare(); n != m.c.view.slackShare {
+		m.c.view.slackShare = n
+		m.c.changed = true
 	}
-	if p.seedDue() {
-		p.lastSeed = p.c.now
-		p.reading = true
-		go p.seed(p.announce)
+	if m.seedDue() {
+		m.lastSeed = m.c.now
+		m.reading = true
+		go m.seed(m.rowWritten)
 	}
 }
 
-// seedDue reports whether the table of members is to be read now. A daemon that others
-// have found needs it no more, but for its own row.
-func (p *membersPart) seedDue() bool {
+// seedDue reports whether the table of members should be read now. A daemon that others
+// have discovered needs it only to write its own row.
+func (m *membersState) seedDue() bool {
 	switch {
-	case p.reading:
+	case m.reading:
 		return false
-	case p.lastSeed.IsZero():
+	case m.lastSeed.IsZero():
 		return true
-	case p.c.view.live < 2:
-		return p.c.now.Sub(p.lastSeed) >= seedInterval
+	case m.c.view.live < 2:
+		return m.c.now.Sub(m.lastSeed) >= seedInterval
 	default:
-		return !p.announce && p.c.now.Sub(p.lastSeed) >= announceInterval
+		return !m.rowWritten && m.c.now.Sub(m.lastSeed) >= rowRetryInterval
 	}
 }
 
-// seed reads the rows of the other daemons, and writes that of this one unless it
-// stands, as it does after a restart: two calls in a daemon's first life and one in each
-// later one.
-func (p *membersPart) seed(announced bool) {
+// seed reads the rows of the other daemons, and writes this daemon's row unless it is
+// current, as it is after a restart: two calls in a daemon's first incarnation and one in
+// each later one.
+func (m *membersState) seed(rowWritten bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	table := p.c.g.site.Members
+	table := m.c.g.site.Members
 	rows, err := table.Read(ctx)
-	if err == nil && !announced {
-		announced = p.stands(rows) || p.write(ctx)
+	if err == nil && !rowWritten {
+		rowWritten = m.rowIsCurrent(rows) || m.writeRow(ctx)
 		if len(rows.Rows) == 0 { // another first daemon may have written meanwhile
 			rows, err = table.Read(ctx)
 		}
 	}
-	p.c.post(func() { p.seeded(announced, rows, err) })
+	m.c.post(func() { m.seeded(rowWritten, rows, err) })
 }
 
-// stands reports whether this daemon's row is in the table as it is to be.
-func (p *membersPart) stands(rows site.Rows) bool {
-	g := p.c.g
+// rowIsCurrent reports whether the table contains this daemon's current row.
+func (m *membersState) rowIsCurrent(rows site.Rows) bool {
+	g := m.c.g
 	return slices.ContainsFunc(rows.Rows, func(r site.Row) bool {
-		var at presence
-		return r.Key == string(g.self.ID) && json.Unmarshal(r.Value, &at) == nil && at.Peers == g.set().PeerAddress
+		var member memberRow
+		return r.Key == string(g.self.ID) && json.Unmarshal(r.Value, &member) == nil && member.Peers == g.currentSettings().PeerAddress
 	})
 }
 
-// write puts this daemon's row into the table.
-func (p *membersPart) write(ctx context.Context) bool {
-	g := p.c.g
-	row, err := json.Marshal(presence{Peers: g.set().PeerAddress})
+// writeRow writes this daemon's row to the table.
+func (m *membersState) writeRow(ctx context.Context) bool {
+	g := m.c.g
+	row, err := json.Marshal(memberRow{Peers: g.currentSettings().PeerAddress})
 	if err == nil {
 		_, err = g.site.Members.Commit(ctx, site.Change{Key: string(g.self.ID), Value: row})
 	}
@@ -174,43 +174,43 @@
 	return err == nil
 }
 
-func (p *membersPart) seeded(announced bool, rows site.Rows, err error) {
-	p.reading = false
-	p.announce = announced
+func (m *membersState) seeded(rowWritten bool, rows site.Rows, err error) {
+	m.reading = false
+	m.rowWritten = rowWritten
 	if err != nil {
-		p.c.g.log.Emit(telemetry.EventStoreUnavailable, telemetry.Detail("members"), telemetry.Cause(err))
+		m.c.g.log.Emit(telemetry.EventStoreUnavailable, telemetry.Detail("members"), telemetry.Cause(err))
 		return
 	}
-	p.rows = len(rows.Rows)
-	p.c.view.found = p.rows
-	p.c.changed = true
+	m.rowCount = len(rows.Rows)
+	m.c.view.memberRows = m.rowCount
+	m.c.changed = true
 	var seeds membership.Seeds
 	for _, r := range rows.Rows {
-		var at presence
-		if err := json.Unmarshal(r.Value, &at); err == nil && at.Peers != p.c.g.set().PeerAddress {
-			seeds.Addresses = append(seeds.Addresses, at.Peers)
+		var member memberRow
+		if err := json.Unmarshal(r.Value, &member); err == nil && member.Peers != m.c.g.currentSettings().PeerAddress {
+			seeds.Addresses = append(seeds.Addresses, member.Peers)
 		}
 	}
-	p.step(seeds)
+	m.step(seeds)
 }
 
-func (p *membersPart) step(ev membership.Event) {
-	for _, a := range p.m.Step(p.c.now, ev) {
-		p.carryOut(a)
+func (m *membersState) step(ev membership.Event) {
+	for _, a := range m.machine.Step(m.c.now, ev) {
+		m.perform(a)
 	}
 }
 
-func (p *membersPart) carryOut(a membership.Action) {
-	g := p.c.g
+func (m *membersState) perform(a membership.Action) {
+	g := m.c.g
 	switch a := a.(type) {
 	case membership.Send:
-		_ = g.node.Send(a.Address, a.Msg) // a lost message is a missed probe
+		_ = g.node.Send(a.Address, a.Msg) // a lost message counts as a missed probe
 	case membership.ViewChanged:
-		p.viewStale = true
+		m.viewChanged = true
 	case membership.MemberChanged:
 		g.log.Emit(memberEvent(a), telemetry.Peer(a.Member.ID), telemetry.Incarnation(a.Member.Incarnation))
 	case membership.FactLearned:
-		g.learned(p.c.now, a.Fact)
+		g.handleFact(m.c.now, a.Fact)
 	case membership.Refuted, membership.PauseDetected:
 		g.log.Emit(telemetry.EventSelfSuspected)
 	case membership.Superseded:
@@ -218,29 +218,29 @@
 	}
 }
 
-// takeView takes up who takes part, once for all changes that came together.
-func (p *membersPart) takeView() {
-	if !p.viewStale {
+// applyView applies the membership view, once for all changes that arrived together.
+func (m *membersState) applyView() {
+	if !m.viewChanged {
 		return
 	}
-	p.viewStale = false
-	domain := p.c.g.set().Domain
-	v := &p.c.view
-	v.members, v.live, v.near = p.m.View(), 0, 0
+	m.viewChanged = false
+	domain := m.c.g.currentSettings().Domain
+	v := &m.c.view
+	v.members, v.live, v.liveInDomain = m.machine.View(), 0, 0
 	for _, i := range v.members.Members {
 		if !i.Live() {
 			continue
 		}
 		v.live++
 		if i.Meta.Domain == domain {
-			v.near++
+			v.liveInDomain++
 		}
 	}
-	p.c.changed = true
-	p.c.membersChanged()
+	m.c.changed = true
+	m.c.updateMembers()
 }
 
-// memberEvent is the log event of a member's change.
+// memberEvent returns the log event of a member's change.
 func memberEvent(a membership.MemberChanged) telemetry.Event {
 	switch {
 	case a.New && a.To == membership.Alive:
@@ -256,14 +256,14 @@
 	}
 }
 
-// received takes a message of another gateway.
-func (g *Gateway) received(from state.Member, msg any) {
+// handleMessage handles a message from another gateway.
+func (g *Gateway) handleMessage(from state.Member, msg any) {
 	switch m := msg.(type) {
 	case membership.Message:
 		g.control.post(func() { g.control.members.step(membership.Received{From: from, Msg: m}) })
 	case permits.Message:
 		g.control.post(func() { g.control.permits.step(permits.MessageReceived{From: from.ID, Msg: m}) })
 	case following.Announcement:
-		g.control.post(func() { g.control.heard(m) })
+		g.control.post(func() { g.control.handleAnnouncement(m) })
 	}
 }
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -15,17 +15,18 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// Notices are what one daemon finds out of a server or a content and all are to know:
-// suspect.Outdated, suspect.Refusal, suspect.Leaving, permits.Told and crashes.Told. They travel as
-// facts of the membership: each daemon tells a few neighbours, whatever the number of
-// daemons, and one that misses a message learns it from another.
+// Notices are findings of one daemon about a server or a request's content that all daemons
+// need: suspect.OutdatedNotice, suspect.RefusalNotice, suspect.LeavingNotice,
+// permits.LimitNotice and crashes.Implication. They are spread as facts of the membership:
+// each daemon sends to a few neighbors, whatever the number of daemons, and a daemon that
+// misses a message gets it from another one.
 
 var errNoNotice = errors.New("not a notice")
 
-// kindLen is the length of the kind of message before its content, in bytes.
-const kindLen = 2
+// noticeKindLen is the length in bytes of the kind that precedes a notice's body.
+const noticeKindLen = 2
 
-// encodeNotice writes a registered message.
+// encodeNotice encodes a registered message with its kind.
 func encodeNotice(r *peer.Registry, msg any) (string, error) {
 	kind, ok := r.KindOf(msg)
 	if !ok {
@@ -38,33 +39,34 @@
 	return string(append(binary.BigEndian.AppendUint16(nil, uint16(kind)), body...)), nil
 }
 
-// decodeNotice reads what encodeNotice wrote.
+// decodeNotice decodes the result of encodeNotice.
 func decodeNotice(r *peer.Registry, text string) (any, error) {
-	if len(text) < kindLen {
+	if len(text) < noticeKindLen {
 		return nil, errNoNotice
 	}
-	kind := binary.BigEndian.Uint16([]byte(text[:kindLen]))
-	return r.Decode(peer.Envelope{Kind: peer.Kind(kind), Body: []byte(text[kindLen:])})
+	kind := binary.BigEndian.Uint16([]byte(text[:noticeKindLen]))
+	return r.Decode(peer.Envelope{Kind: peer.Kind(kind), Body: []byte(text[noticeKindLen:])})
 }
 
-// tell has all live daemons learn a notice.
-func (g *Gateway) tell(msg any) {
-	g.control.post(func() { g.control.members.notify(msg) })
+// broadcast sends a notice to all live daemons.
+func (g *Gateway) broadcast(msg any) {
+	g.control.post(func() { g.control.members.broadcast(msg) })
 }
 
-// notify does the same for the control goroutine.
-func (p *membersPart) notify(msg any) {
-	g := p.c.g
+// broadcast sends a notice to all live daemons; it is called on the control goroutine.
+func (m *membersState) broadcast(msg any) {
+	g := m.c.g
 	text, err := encodeNotice(g.messages, msg)
 	if err != nil {
 		g.log.Emit(telemetry.EventNoticeUnreadable, telemetry.Peer(g.self.ID), telemetry.Cause(err))
 		return
 	}
-	p.step(membership.Notify{Text: text})
+	m.step(membership.Notify{Text: text})
 }
 
-// learned takes up a notice of another daemon, as of when that daemon gave it.
-func (g *Gateway) learned(now time.Time, f membership.Fact) {
+// handleFact applies another daemon's notice, as of the time at which that daemon issued
+// it.
+func (g *Gateway) handleFact(now time.Time, f membership.Fact) {
 	if f.Kind != membership.Notice {
 		return
 	}
@@ -76,14 +78,14 @@
 	at := now.Add(-time.Duration(f.AgeMS) * time.Millisecond)
 	switch m := msg.(type) {
 	case suspect.OutdatedNotice:
-		g.book.contradicted(at, m)
+		g.shared.markOutdated(at, m)
 	case suspect.RefusalNotice:
-		g.book.refused(at, m.Address)
+		g.shared.recordRefusal(at, m.Address)
 	case suspect.LeavingNotice:
-		g.book.leaves(at, m)
+		g.shared.markLeaving(at, m)
 	case permits.LimitNotice:
 		g.control.permits.step(permits.LimitReceived{LimitNotice: m, At: at})
 	case crashes.Implication:
-		g.book.implicate(at, m.Fingerprint, m.Servers...)
+		g.shared.implicate(at, m.Fingerprint, m.Servers...)
 	}
 }
--- a/gateway/outdated.go
+++ b/gateway/outdated.go
@@ -9,32 +9,33 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// outdated notes that the server at an address has contradicted its entry, and tells
-// all daemons. Each would learn it by refusals of its own, which the retry budget pays
-// for: with 8 of 38 engines started again behind a cut and 2 more dark, 18% of the
-// requests were refused, 10% with it (means of three and four runs).
-func (r *run) outdated(address string) {
-	s, ok := r.view.at(r.service.ID, address)
+// reportOutdated records that the server at an address has contradicted its list entry, and
+// notifies all daemons. Without the notice each daemon would find that out by refusals of
+// its own, which the retry budget pays for: with 8 of 38 engines restarted behind a network
+// partition and 2 more unreachable, 18% of the requests were refused, and 10% with the
+// notice (means of three and four runs).
+func (r *requestHandler) reportOutdated(address string) {
+	s, ok := r.view.serverAt(r.service.ID, address)
 	if !ok {
 		return
 	}
-	o := suspect.OutdatedNotice{Server: s.Life(), Layers: s.Layers}
-	if !r.g.book.contradicted(time.Now(), o) {
+	notice := suspect.OutdatedNotice{Server: s.Life(), Layers: s.Layers}
+	if !r.g.shared.markOutdated(time.Now(), notice) {
 		return
 	}
 	r.g.log.Emit(telemetry.EventEntryOutdated, telemetry.Request(r.req.ID), telemetry.Backend(s.ID),
 		telemetry.Address(address), telemetry.Layers(s.Layers))
-	r.g.tell(o)
+	r.g.broadcast(notice)
 }
 
-func (b *book) contradicted(now time.Time, o suspect.OutdatedNotice) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.suspects.MarkOutdated(now, o)
+func (s *sharedState) markOutdated(now time.Time, notice suspect.OutdatedNotice) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.suspects.MarkOutdated(now, notice)
 }
 
-// at finds the server of a service at an address, as it is listed.
-func (v *view) at(svc state.ServiceID, address string) (fleet.Server, bool) {
+// serverAt returns the listed server of a service at an address.
+func (v *view) serverAt(svc state.ServiceID, address string) (fleet.Server, bool) {
 	for _, s := range v.servers[svc] {
 		if s.Address == address {
 			return s, true
--- a/gateway/path.go
+++ b/gateway/path.go
@@ -14,88 +14,88 @@
 )
 
 // attemptPath sends the request along a path of engines.
-func (r *run) attemptPath(ctx context.Context) (relay.Outcome, Result) {
-	want := pathing.Request{Domain: r.g.set().Domain, PromptTokens: r.req.PromptTokens, MaxTokens: r.req.MaxAnswerTokens}
-	if on, exhausted := r.relay.Exhausted(); exhausted {
-		want.FirstHops = on
+func (r *requestHandler) attemptPath(ctx context.Context) (relay.Outcome, Result) {
+	pathReq := pathing.Request{Domain: r.g.currentSettings().Domain, PromptTokens: r.req.PromptTokens, MaxTokens: r.req.MaxAnswerTokens}
+	if hops, exhausted := r.retrier.Exhausted(); exhausted {
+		pathReq.FirstHops = hops
 	}
 	var path fleet.Path
-	found := r.hold(ctx, func() (ok bool) {
-		if r.view.filling && !r.headed || !r.forgive(time.Now()) {
+	found := r.waitFor(ctx, func() (ok bool) {
+		if r.view.populating && !r.headSent || !r.mayRetryRejected(time.Now()) {
 			return false
 		}
-		path, ok = r.g.book.choose(time.Now(), r.view, r.service, want, r.avoid, &r.permit)
+		path, ok = r.g.shared.choosePath(time.Now(), r.view, r.service, pathReq, r.excluded, &r.permit)
 		return ok
 	})
 	if !found {
-		return r.noServer(admission.Uncovered)
+		return r.noServerResult(admission.Uncovered)
 	}
-	defer r.g.book.release(path, want.ExpectedTokens())
+	defer r.g.shared.releasePath(path, pathReq.ExpectedTokens())
 	if !path.Whole(r.service.Engine.Layers) {
-		panic("gateway: a path that does not run each layer once")
+		panic("gateway: path does not contain each layer exactly once")
 	}
-	r.at = path[0].Address
+	r.address = path[0].Address
 	r.logSent(path.String())
-	call := r.call(path[0].Server.ID, path[0].Address)
+	call := r.newCall(path[0].Server.ID, path[0].Address)
 	call.Path = path
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watch := r.watchFirst(cancel)
+	timer := r.watchFirstEvent(cancel)
 	sent := time.Now()
 	answer, err := r.g.backends.Send(ctx, call)
-	stopTimer(watch)
+	stopTimer(timer)
 	if err != nil {
-		return r.sendFailed(ctx, err, path[0].Server, path[0].Address), Result{}
+		return r.handleSendError(ctx, err, path[0].Server, path[0].Address), Result{}
 	}
 	defer func() { _ = answer.Body.Close() }()
-	r.g.heardLimit(path[0].Server, answer, sent)
+	r.g.observeLimit(path[0].Server, answer, sent)
 	if !answer.NotRun {
-		// A refusal comes at once: taken for an answer that has begun, it would have
-		// those that refuse look like the fastest.
-		r.g.book.tookFirst(time.Now(), r.service.ID, time.Since(sent))
-		r.g.book.began(time.Now(), path, time.Since(sent))
+		// Refusals are excluded: they arrive at once, and would make the refusing engines
+		// look like the fastest ones.
+		r.g.shared.recordFirstEvent(time.Now(), r.service.ID, time.Since(sent))
+		r.g.shared.recordAnswerStart(time.Now(), path, time.Since(sent))
 	}
-	return r.takeStream(cancel, path, answer)
+	return r.handlePathAnswer(cancel, path, answer)
 }
 
-// takeStream gives an engine's answer to the caller.
-func (r *run) takeStream(cancel context.CancelFunc, path fleet.Path, answer *backend.Answer) (relay.Outcome, Result) {
+// handlePathAnswer delivers an engine's answer to the caller.
+func (r *requestHandler) handlePathAnswer(cancel context.CancelFunc, path fleet.Path, answer *backend.Answer) (relay.Outcome, Result) {
 	if answer.NotRun {
 		culprit := answer.Culprit
 		if culprit == "" {
 			culprit = path[0].Address
 		}
 		if answer.Stale {
-			r.blame(culprit)
-			r.outdated(culprit)
+			r.recordFailure(culprit)
+			r.reportOutdated(culprit)
 		} else {
-			r.refusedBy(path, culprit)
+			r.handleRefusal(path, culprit)
 		}
-		r.turned.Count++
-		r.turned.Last = time.Now()
-		drain(answer.Body)
+		r.rejections.Count++
+		r.rejections.Last = time.Now()
+		drainBody(answer.Body)
 		r.g.log.Emit(telemetry.EventPathRefused, telemetry.Request(r.req.ID), telemetry.Address(culprit), telemetry.Count(answer.Status))
 		return relay.NotRun, Result{}
 	}
 	if answer.Status != http.StatusOK || !answer.Signed {
-		return r.takeFailure(path, answer)
+		return r.handlePathFailure(path, answer)
 	}
 	s := newStream(r, path, answer, cancel)
 	defer s.close()
-	return s.pump()
+	return s.forward()
 }
 
-// takeFailure handles an engine's own failure.
-func (r *run) takeFailure(path fleet.Path, answer *backend.Answer) (relay.Outcome, Result) {
+// handlePathFailure handles an error answer of an engine.
+func (r *requestHandler) handlePathFailure(path fleet.Path, answer *backend.Answer) (relay.Outcome, Result) {
 	body, ok := r.readSigned(path[0].Address, answer)
 	if !ok {
 		return relay.Broken, Result{}
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		r.blame(path[0].Address)
-	} else if !r.headed {
-		return 0, r.pass(answer, body)
+		r.recordFailure(path[0].Address)
+	} else if !r.headSent {
+		return 0, r.forwardAnswer(answer, body)
 	}
-	r.own = &ownFailure{answer: answer, body: body}
+	r.failure = &serverFailure{answer: answer, body: body}
 	return relay.Errored, Result{}
 }
