--- a/gateway/patience.go
+++ b/gateway/patience.go
@@ -8,83 +8,84 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// waits are how long one service's answers take of late.
-type waits struct {
-	first suspect.RecentMax // until the first event, or the whole of a plain answer
-	gap   suspect.RecentMax // between two events
-	// early is how many answers may yet be given up as lost.
-	early float64
+// serviceLatency holds recent latencies of a service's answers.
+type serviceLatency struct {
+	firstEvent suspect.RecentMax // until the first event, or until a complete plain answer
+	eventGap   suspect.RecentMax // between two events
+	// abandonBudget is how many answers may still be abandoned as lost.
+	abandonBudget float64
 }
 
-func (b *book) waitsOf(svc state.ServiceID) *waits {
-	w, ok := b.waits[svc]
+func (s *sharedState) latencyOf(svc state.ServiceID) *serviceLatency {
+	l, ok := s.latencies[svc]
 	if !ok {
-		w = &waits{}
-		b.waits[svc] = w
+		l = &serviceLatency{}
+		s.latencies[svc] = l
 	}
-	return w
+	return l
 }
 
-// tookFirst notes how long an answer's beginning took, and tookGap a pause.
-func (b *book) tookFirst(now time.Time, svc state.ServiceID, d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.waitsOf(svc).first.Add(now, d)
+// recordFirstEvent records the time until an answer began.
+func (s *sharedState) recordFirstEvent(now time.Time, svc state.ServiceID, d time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.latencyOf(svc).firstEvent.Add(now, d)
 }
 
-// began notes how long a stream took to begin along its path.
-func (b *book) began(now time.Time, path fleet.Path, d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.suspects.AnswerStarted(now, path, d)
+// recordAnswerStart records the time until a stream began along its path.
+func (s *sharedState) recordAnswerStart(now time.Time, path fleet.Path, d time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.suspects.AnswerStarted(now, path, d)
 }
 
-func (b *book) tookGap(now time.Time, svc state.ServiceID, d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.waitsOf(svc).gap.Add(now, d)
+func (s *sharedState) recordEventGap(now time.Time, svc state.ServiceID, d time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.latencyOf(svc).eventGap.Add(now, d)
 }
 
 const (
-	// patienceFirst is how many times the longest usual wait an answer may take to
-	// begin before it counts as lost: one in some hundred takes that long without
-	// being lost, and each costs a prompt.
-	patienceFirst = 1.5
-	// patienceGap is the same for a pause within a stream.
-	patienceGap = 2.0
-	// targetShare is the least part of a route's target that is waited for an
-	// answer's beginning; what is left of it is needed to begin anew.
-	targetShare = 0.5
-	// earlyShare and earlyMost bound the answers that are given up as lost, by the
-	// share of all requests and in a row. Servers were seen to lose up to 1 in 20;
-	// where more are late the site is slow, and asking again makes it slower.
-	earlyShare = 0.05
-	earlyMost  = 6.0
+	// firstEventTimeoutFactor is how many times the recent maximum an answer may take to
+	// begin before it counts as lost: one in several hundred takes that long without being
+	// lost, and each of those costs a prompt.
+	firstEventTimeoutFactor = 1.5
+	// eventGapTimeoutFactor is the same for the gap between two events of a stream.
+	eventGapTimeoutFactor = 2.0
+	// minTargetShare is the least fraction of a route's latency target to wait for the
+	// beginning of an answer; the rest of it is needed to start over.
+	minTargetShare = 0.5
+	// abandonShare and maxAbandons limit the answers that are abandoned as lost, as a
+	// fraction of all requests and in succession. Servers were seen to lose up to 1 in 20
+	// answers; if more are late, the whole site is slow, and repeating requests makes it
+	// slower.
+	abandonShare = 0.05
+	maxAbandons  = 6.0
 )
 
-// patience is how long to wait for the beginning of an answer, and between events;
-// 0 for as long as it takes, where nothing is known of late.
-func (b *book) patience(now time.Time, svc state.ServiceID, route *fleet.Route) (first, gap time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	w := b.waitsOf(svc)
-	if usual := w.first.Value(now); usual > 0 {
-		first = max(time.Duration(patienceFirst*float64(usual)), time.Duration(targetShare*float64(route.Target)))
+// answerTimeouts returns how long to wait for the beginning of an answer, and between
+// events; 0 for no timeout if there are no recent latencies.
+func (s *sharedState) answerTimeouts(now time.Time, svc state.ServiceID, route *fleet.Route) (first, gap time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.latencyOf(svc)
+	if recent := l.firstEvent.Value(now); recent > 0 {
+		first = max(time.Duration(firstEventTimeoutFactor*float64(recent)), time.Duration(minTargetShare*float64(route.Target)))
 	}
-	if usual := w.gap.Value(now); usual > 0 {
-		gap = max(time.Duration(patienceGap*float64(usual)), route.Gap)
+	if recent := l.eventGap.Value(now); recent > 0 {
+		gap = max(time.Duration(eventGapTimeoutFactor*float64(recent)), route.Gap)
 	}
 	return first, gap
 }
 
-// giveUp reports whether one more answer may be given up as lost.
-func (b *book) giveUp(svc state.ServiceID) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	w := b.waitsOf(svc)
-	if w.early < 1 {
+// mayAbandon reports whether one more answer may be abandoned as lost, and counts it.
+func (s *sharedState) mayAbandon(svc state.ServiceID) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.latencyOf(svc)
+	if l.abandonBudget < 1 {
 		return false
 	}
-	w.early--
+	l.abandonBudget--
 	return true
 }
--- a/gateway/permitrequest.go
+++ b/gateway/permitrequest.go
@@ -13,129 +13,130 @@
 )
 
 const (
-	// askTimeout is how long a request waits for the owner of a server's permits to answer
-	// before it goes elsewhere: some round trips.
-	askTimeout = 25 * time.Millisecond
-	// wantsMost is how many servers' permits one request asks for, one after the other.
-	wantsMost = 4
+	// permitQueryTimeout is how long a request waits for an answer of the owner of a
+	// server's permits before it uses another server: a few round trips.
+	permitQueryTimeout = 25 * time.Millisecond
+	// maxPermitWants is for how many servers one request asks for permits, one after the
+	// other.
+	maxPermitWants = 4
 )
 
-// permitRequest is what one attempt asks of permits.
+// permitRequest is the state of one attempt's search for a permit.
 type permitRequest struct {
-	wants  []want     // of the servers that suit it, the best one first
-	ask    bool       // an owner is to be asked at once
-	stuck  bool       // no server can take the request without a permit
-	joined state.Life // the server for whose permit the request waits; zero for none
-	before int        // requests that waited for it before
+	wants       []permitWant // servers without a permit that suit the request, the best one first
+	queryOwner  bool         // the owner of a permit has to be queried at once
+	blocked     bool         // no server can take the request without a permit
+	queuedFor   state.Life   // the server for whose permit the request is queued; zero for none
+	queuedAhead int          // number of requests queued before it
 }
 
-// want is a server for which a request has no permit.
-type want struct {
+// permitWant is a server for which a request has no permit.
+type permitWant struct {
 	server state.Life
 	since  time.Time
 }
 
-// elsewhere reports whether a request passes a server over: the owner of its permits has
-// answered and gave none, or takes too long.
-func (q *permitRequest) elsewhere(now time.Time, server state.Life, p *permits.Limiter) bool {
+// skips reports whether a request skips a server because the owner of its permits granted
+// none or takes too long to answer.
+func (q *permitRequest) skips(now time.Time, server state.Life, p *permits.Limiter) bool {
 	i := q.index(server)
-	if i < 0 || q.waits() {
+	if i < 0 || q.queued() {
 		return true
 	}
 	since := q.wants[i].since
-	return now.Sub(since) >= askTimeout || p.AnsweredSince(server, since)
+	return now.Sub(since) >= permitQueryTimeout || p.AnsweredSince(server, since)
 }
 
-// waits reports whether the request waits for a permit.
-func (q *permitRequest) waits() bool { return q.joined != state.Life{} }
+// queued reports whether the request is queued for a permit.
+func (q *permitRequest) queued() bool { return q.queuedFor != state.Life{} }
 
-// full reports whether the request asks for no further server's permits.
-func (q *permitRequest) full() bool { return len(q.wants) >= wantsMost }
+// full reports whether the request may ask for no further server's permits.
+func (q *permitRequest) full() bool { return len(q.wants) >= maxPermitWants }
 
 func (q *permitRequest) index(server state.Life) int {
-	return slices.IndexFunc(q.wants, func(w want) bool { return w.server == server })
+	return slices.IndexFunc(q.wants, func(w permitWant) bool { return w.server == server })
 }
 
-// step is when the request looks again.
-func (q *permitRequest) step() time.Duration {
-	if len(q.wants) > 0 && !q.waits() {
-		return askStep
+// pollInterval is the time until the request checks again.
+func (q *permitRequest) pollInterval() time.Duration {
+	if len(q.wants) > 0 && !q.queued() {
+		return permitPollInterval
 	}
-	return holdStep
+	return waitPollInterval
 }
 
-// needsPermit reports whether no request is to be sent to a server now, and notes that this one
-// would have been.
-func (b *book) needsPermit(now time.Time, server state.Life, q *permitRequest) bool {
-	if !b.permits.Unavailable(now, server) {
+// needsPermit reports whether no request may be sent to a server now, and if so records the
+// demand for a permit.
+func (s *sharedState) needsPermit(now time.Time, server state.Life, q *permitRequest) bool {
+	if !s.permits.Unavailable(now, server) {
 		return false
 	}
-	again := q.index(server) >= 0
-	if !again {
+	repeated := q.index(server) >= 0
+	if !repeated {
 		if q.full() {
 			return true
 		}
-		q.wants = append(q.wants, want{server: server, since: now})
+		q.wants = append(q.wants, permitWant{server: server, since: now})
 	}
-	q.ask = b.permits.RecordDemand(now, server, again) || q.ask
+	q.queryOwner = s.permits.RecordDemand(now, server, repeated) || q.queryOwner
 	return true
 }
 
-// spendPermit takes the permit for a request that is sent to a server, if it names a limit.
-func (b *book) spendPermit(now time.Time, server state.Life, q *permitRequest) {
-	ok, ask := b.permits.Take(now, server)
+// spendPermit takes the permit for a request to a server that names a limit.
+func (s *sharedState) spendPermit(now time.Time, server state.Life, q *permitRequest) {
+	ok, queryOwner := s.permits.Take(now, server)
 	if !ok {
-		panic("gateway: a request without the permit that was there")
+		panic("gateway: available permit could not be taken")
 	}
-	q.ask = ask || q.ask
+	q.queryOwner = queryOwner || q.queryOwner
 }
 
-// joinPermits has a request that no server can take wait for the permit that is likely to come
-// first.
-func (b *book) joinPermits(q *permitRequest) {
-	if !q.stuck || q.waits() {
+// enqueueForPermit queues a request that no server can take without a permit for the one
+// that is likely to come first.
+func (s *sharedState) enqueueForPermit(q *permitRequest) {
+	if !q.blocked || q.queued() {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	least := slices.MinFunc(q.wants, func(x, y want) int {
-		return cmp.Compare(b.permits.ExpectedWait(now, x.server), b.permits.ExpectedWait(now, y.server))
+	soonest := slices.MinFunc(q.wants, func(x, y permitWant) int {
+		return cmp.Compare(s.permits.ExpectedWait(now, x.server), s.permits.ExpectedWait(now, y.server))
 	})
-	q.joined = least.server
-	q.before = b.permits.Enqueue(q.joined)
-	q.ask = b.permits.RecordDemand(now, q.joined, true) || q.ask
+	q.queuedFor = soonest.server
+	q.queuedAhead = s.permits.Enqueue(q.queuedFor)
+	q.queryOwner = s.permits.RecordDemand(now, q.queuedFor, true) || q.queryOwner
 }
 
-// expectPermit is how long a request that waits takes to get a permit.
-func (b *book) expectPermit(q *permitRequest) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.permits.ExpectedWaitBehind(time.Now(), q.joined, q.before)
+// expectedPermitWait is how long a queued request is expected to wait for its permit.
+func (s *sharedState) expectedPermitWait(q *permitRequest) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.permits.ExpectedWaitBehind(time.Now(), q.queuedFor, q.queuedAhead)
 }
 
-// leavePermits ends an attempt's wait for a permit.
-func (g *Gateway) leavePermits(q *permitRequest) {
-	if !q.waits() {
+// dequeueForPermit ends an attempt's wait for a permit.
+func (g *Gateway) dequeueForPermit(q *permitRequest) {
+	if !q.queued() {
 		return
 	}
-	g.book.mu.Lock()
-	defer g.book.mu.Unlock()
-	g.book.permits.Dequeue(q.joined)
+	g.shared.mu.Lock()
+	defer g.shared.mu.Unlock()
+	g.shared.permits.Dequeue(q.queuedFor)
 }
 
-// permitTooLate reports whether a request that only servers with a limit can take won't get a
-// permit while it may wait.
-func (r *run) permitTooLate(until time.Time) bool {
-	if !r.permit.waits() || r.headed {
+// permitTooLate reports whether a request that only rate-limited servers can take won't get
+// a permit in time.
+func (r *requestHandler) permitTooLate(until time.Time) bool {
+	if !r.permit.queued() || r.headSent {
 		return false
 	}
-	return admission.RateLimited{PermitWait: r.g.book.expectPermit(&r.permit)}.PermitTooLate(time.Until(until))
+	return admission.RateLimited{PermitWait: r.g.shared.expectedPermitWait(&r.permit)}.PermitTooLate(time.Until(until))
 }
 
-// refusedLimited is the result of a request for which there was no permit.
-func (r *run) refusedLimited() Result {
+// rateLimitedResult is the result of a request that got no permit.
+func (r *requestHandler) rateLimitedResult() Result {
 	r.g.metrics.CountReason(telemetry.GatewayLimitedTotal, limitedRefused)
-	limited := admission.RateLimited{PermitWait: r.g.book.expectPermit(&r.permit)}
+	limited := admission.RateLimited{PermitWait: r.g.shared.expectedPermitWait(&r.permit)}
 	return Result{Outcome: Refused, Reason: string(relay.ReasonLimited), RetryAfter: limited.RetryAfter()}
 }
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -18,81 +18,83 @@
 	limitedRefused = "refused"
 )
 
-// permitsPart keeps the limits that servers name, with the other daemons. Traffic takes permits
-// from the book; what is to be done about them is done here.
-type permitsPart struct {
-	c    *control
-	next time.Time // when the book wants a tick; zero for not
+// permitsState keeps the limits that servers name, together with the other daemons. Traffic
+// takes permits from sharedState; the resulting actions are performed here.
+type permitsState struct {
+	c      *control
+	tickAt time.Time // when the limiter needs its next tick; zero for never
 
-	part    float64 // that the book has last got
+	share   float64 // the share last passed to the limiter
 	members *membership.View
 }
 
-// tick takes up who takes part, and runs what is due.
-func (p *permitsPart) tick() {
-	p.look()
-	if !p.next.IsZero() && !p.c.now.Before(p.next) {
-		p.step(permits.Tick{})
+// tick passes on changes of the membership and runs the timers that are due.
+func (s *permitsState) tick() {
+	s.updateMembership()
+	if !s.tickAt.IsZero() && !s.c.now.Before(s.tickAt) {
+		s.step(permits.Tick{})
 	}
 }
 
-func (p *permitsPart) nextTick() time.Time { return p.next }
+func (s *permitsState) nextTick() time.Time { return s.tickAt }
 
-// look takes up who takes part.
-func (p *permitsPart) look() {
-	part := p.partSeen()
-	if part == p.part && p.c.view.members == p.members {
+// updateMembership passes on changes of the membership.
+func (s *permitsState) updateMembership() {
+	share := s.liveShare()
+	if share == s.share && s.c.view.members == s.members {
 		return
 	}
-	p.part, p.members = part, p.c.view.members
-	p.step(permits.Membership{Self: p.c.g.self.ID, Daemons: p.owners(), Share: part})
+	s.share, s.members = share, s.c.view.members
+	s.step(permits.Membership{Self: s.c.g.self.ID, Daemons: s.owners(), Share: share})
 }
 
-// owners are the daemons that may issue permits: those that do not leave, if there are any.
-func (p *permitsPart) owners() []state.DaemonID {
-	live := lo.Filter(p.c.view.members.Members, func(i membership.Info, _ int) bool { return i.Live() })
-	steady := lo.Filter(live, func(i membership.Info, _ int) bool { return !i.Draining })
-	if len(steady) > 0 {
-		live = steady
+// owners returns the daemons that may issue permits: those that are not leaving, if there
+// are any.
+func (s *permitsState) owners() []state.DaemonID {
+	live := lo.Filter(s.c.view.members.Members, func(i membership.Info, _ int) bool { return i.Live() })
+	staying := lo.Filter(live, func(i membership.Info, _ int) bool { return !i.Draining })
+	if len(staying) > 0 {
+		live = staying
 	}
 	return lo.Map(live, func(i membership.Info, _ int) state.DaemonID { return i.Member.ID })
 }
 
-// partSeen is the share of all daemons that this one sees, by those that it has seen of late or
-// that the table lists; 0 where nothing is known of others.
-func (p *permitsPart) partSeen() float64 {
-	all := p.c.view.sharers.Daemons
+// liveShare returns the fraction of all daemons that this one sees as live. All daemons are
+// those that it has seen recently or that the table lists. It returns 0 if nothing is known
+// of others.
+func (s *permitsState) liveShare() float64 {
+	all := s.c.view.slackShare.Daemons
 	if all == 0 {
 		return 0
 	}
-	return min(1, float64(p.c.view.live)/float64(all))
+	return min(1, float64(s.c.view.live)/float64(all))
 }
 
-// step has the book take an event, and does what follows.
-func (p *permitsPart) step(ev permits.Event) {
-	p.carryOut(p.c.g.book.stepPermits(p.c.now, ev))
+// step passes an event to the limiter and performs the resulting actions.
+func (s *permitsState) step(ev permits.Event) {
+	s.perform(s.c.g.shared.stepPermits(s.c.now, ev))
 }
 
-func (p *permitsPart) carryOut(actions []permits.Action) {
+func (s *permitsState) perform(actions []permits.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case permits.Send:
-			if address, ok := p.c.members.addressOf(a.To); ok {
-				_ = p.c.g.node.Send(address, a.Msg) // a lost question is asked again
+			if address, ok := s.c.members.addressOf(a.To); ok {
+				_ = s.c.g.node.Send(address, a.Msg) // a lost request is repeated
 			}
 		case permits.Broadcast:
-			p.c.members.notify(a.LimitNotice)
+			s.c.members.broadcast(a.LimitNotice)
 		case permits.LimitChanged:
-			p.c.g.log.Emit(telemetry.EventBackendLimited, telemetry.Backend(a.Server.ID),
-				telemetry.Address(p.c.listing.servers[a.Server.ID].Address), telemetry.Detail(a.Limit.String()))
+			s.c.g.log.Emit(telemetry.EventBackendLimited, telemetry.Backend(a.Server.ID),
+				telemetry.Address(s.c.listing.servers[a.Server.ID].Address), telemetry.Detail(a.Limit.String()))
 		}
 	}
-	p.next = p.c.g.book.nextPermits(p.c.now)
+	s.tickAt = s.c.g.shared.nextPermitsTick(s.c.now)
 }
 
-// addressOf is where another daemon listens; false where it is not known.
-func (p *membersPart) addressOf(id state.DaemonID) (string, bool) {
-	for _, i := range p.c.view.members.Members {
+// addressOf returns another daemon's peer address, and false if it is not known.
+func (m *membersState) addressOf(id state.DaemonID) (string, bool) {
+	for _, i := range m.c.view.members.Members {
 		if i.Member.ID == id {
 			return i.Meta.PeerAddress, true
 		}
@@ -100,46 +102,48 @@
 	return "", false
 }
 
-// heardLimit takes up the limit that a server names in an answer to a request. Only an answer
-// of the server's own says by its silence that there is none: refusals may come from elsewhere.
-func (g *Gateway) heardLimit(server state.Life, a *backend.Answer, sent time.Time) {
+// observeLimit applies the limit that a server names in an answer to a request. The absence
+// of a limit counts only in the server's own answers, since refusals may come from
+// elsewhere.
+func (g *Gateway) observeLimit(server state.Life, a *backend.Answer, sent time.Time) {
 	if a.LimitUnreadable || !a.Limit.Named && (!a.Signed || a.NotRun) {
 		return
 	}
-	actions, counts := g.book.heardLimit(permits.LimitObserved{Server: server, Limit: a.Limit, Sent: sent})
-	if counts {
+	actions, limited := g.shared.observeLimit(permits.LimitObserved{Server: server, Limit: a.Limit, Sent: sent})
+	if limited {
 		g.metrics.CountReason(telemetry.GatewayLimitedTotal, limitedSent)
 	}
 	if len(actions) > 0 {
-		g.control.post(func() { g.control.permits.carryOut(actions) })
+		g.control.post(func() { g.control.permits.perform(actions) })
 	}
 }
 
-// askPermits has the owner of a server's permits asked, if that is due.
-func (g *Gateway) askPermits(q *permitRequest) {
-	if !q.ask {
+// requestPermits queries the owner of a server's permits if that is due.
+func (g *Gateway) requestPermits(q *permitRequest) {
+	if !q.queryOwner {
 		return
 	}
-	q.ask = false
+	q.queryOwner = false
 	g.control.post(func() { g.control.permits.step(permits.Tick{}) })
 }
 
-func (b *book) stepPermits(now time.Time, ev permits.Event) []permits.Action {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.permits.Step(now, ev)
+func (s *sharedState) stepPermits(now time.Time, ev permits.Event) []permits.Action {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.permits.Step(now, ev)
 }
 
-func (b *book) nextPermits(now time.Time) time.Time {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.permits.NextTick(now)
+func (s *sharedState) nextPermitsTick(now time.Time) time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.permits.NextTick(now)
 }
 
-// heardLimit takes up what an answer says. It also returns whether the server names a limit.
-func (b *book) heardLimit(h permits.LimitObserved) ([]permits.Action, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	actions := b.permits.Step(time.Now(), h)
-	return actions, b.permits.Limited(h.Server)
+// observeLimit passes the limit of an answer to the limiter. It also returns whether the
+// server is limited.
+func (s *sharedState) observeLimit(h permits.LimitObserved) ([]permits.Action, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	actions := s.permits.Step(time.Now(), h)
+	return actions, s.permits.Limited(h.Server)
 }
--- a/gateway/pipes.go
+++ b/gateway/pipes.go
@@ -7,41 +7,41 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// pair names the link between two domains; a goes before b.
-type pair struct{ a, b state.FailureDomain }
+// domainPair identifies the inter-domain link between two domains; a precedes b.
+type domainPair struct{ a, b state.FailureDomain }
 
-// pipes estimates what waits for each link between domains, from this daemon's own
-// requests and the number of daemons.
-type pipes map[pair]*pipe
+// linkBacklogs estimates the transfers queued on each inter-domain link from this daemon's
+// own requests and the number of daemons.
+type linkBacklogs map[domainPair]*linkBacklog
 
-// pipe is one link's backlog, as of a moment.
-type pipe struct {
-	ms float64
-	at time.Time
+// linkBacklog is the backlog of one link at a point in time.
+type linkBacklog struct {
+	ms   float64
+	asOf time.Time
 }
 
-func pairOf(x, y state.FailureDomain) pair {
+func newDomainPair(x, y state.FailureDomain) domainPair {
 	if x > y {
 		x, y = y, x
 	}
-	return pair{x, y}
+	return domainPair{x, y}
 }
 
-// backlog is how many ms of transfers wait for the link between two domains.
-func (p pipes) backlog(now time.Time, x, y state.FailureDomain) float64 {
-	l, ok := p[pairOf(x, y)]
+// backlog returns how many ms of transfers are queued on the link between two domains.
+func (l linkBacklogs) backlog(now time.Time, x, y state.FailureDomain) float64 {
+	link, ok := l[newDomainPair(x, y)]
 	if !ok {
 		return 0
 	}
-	return max(0, l.ms-float64(now.Sub(l.at))/float64(time.Millisecond))
+	return max(0, link.ms-float64(now.Sub(link.asOf))/float64(time.Millisecond))
 }
 
-// add puts a path's transfers, each of ms, on the links that it crosses.
-func (p pipes) add(now time.Time, path fleet.Path, ms float64) {
+// add adds a path's transfers, of ms each, to the links that it crosses.
+func (l linkBacklogs) add(now time.Time, path fleet.Path, ms float64) {
 	for i := 1; i < len(path); i++ {
 		x, y := path[i-1].Domain, path[i].Domain
 		if x != y {
-			p[pairOf(x, y)] = &pipe{ms: p.backlog(now, x, y) + ms, at: now}
+			l[newDomainPair(x, y)] = &linkBacklog{ms: l.backlog(now, x, y) + ms, asOf: now}
 		}
 	}
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -13,45 +13,45 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// holdBody is how much of an answer is held back until it is whole, so that one
-// that breaks off can be replaced: plain answers are some KB.
-const holdBody = 256 << 10
+// maxHeldBody is how many bytes of an answer are held back until it is complete, so that an
+// answer that breaks off can be replaced. Plain answers have a few KB.
+const maxHeldBody = 256 << 10
 
 // attemptPlain sends the request to one plain server.
-func (r *run) attemptPlain(ctx context.Context) (relay.Outcome, Result) {
+func (r *requestHandler) attemptPlain(ctx context.Context) (relay.Outcome, Result) {
 	var server fleet.Server
-	found := r.hold(ctx, func() (ok bool) {
-		server, ok = r.g.book.pick(time.Now(), r.view, r.service.ID, r.g.set().Domain, r.avoid, &r.permit)
+	found := r.waitFor(ctx, func() (ok bool) {
+		server, ok = r.g.shared.pickServer(time.Now(), r.view, r.service.ID, r.g.currentSettings().Domain, r.excluded, &r.permit)
 		return ok
 	})
 	if !found {
-		return r.noServer(admission.Busy)
+		return r.noServerResult(admission.Busy)
 	}
-	defer r.g.book.releaseServer(server.Life())
-	r.at = server.Address
+	defer r.g.shared.releaseServer(server.Life())
+	r.address = server.Address
 	r.logSent(string(server.ID))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer stopTimer(r.watchFirst(cancel))
+	defer stopTimer(r.watchFirstEvent(cancel))
 	sent := time.Now()
-	answer, err := r.g.backends.Send(ctx, r.call(server.ID, server.Address))
+	answer, err := r.g.backends.Send(ctx, r.newCall(server.ID, server.Address))
 	if err != nil {
-		return r.sendFailed(ctx, err, server.Life(), server.Address), Result{}
+		return r.handleSendError(ctx, err, server.Life(), server.Address), Result{}
 	}
 	defer func() { _ = answer.Body.Close() }()
-	r.g.heardLimit(server.Life(), answer, sent)
-	r.g.book.tookFirst(time.Now(), r.service.ID, time.Since(sent))
-	return r.takePlain(server.Address, answer)
+	r.g.observeLimit(server.Life(), answer, sent)
+	r.g.shared.recordFirstEvent(time.Now(), r.service.ID, time.Since(sent))
+	return r.handlePlainAnswer(server.Address, answer)
 }
 
-// takePlain gives a plain server's answer to the caller.
-func (r *run) takePlain(address string, answer *backend.Answer) (relay.Outcome, Result) {
+// handlePlainAnswer delivers a plain server's answer to the caller.
+func (r *requestHandler) handlePlainAnswer(address string, answer *backend.Answer) (relay.Outcome, Result) {
 	if answer.NotRun {
-		r.avoidFrom(address)
+		r.exclude(address)
 		if answer.Stale {
-			r.outdated(address)
+			r.reportOutdated(address)
 		}
-		drain(answer.Body)
+		drainBody(answer.Body)
 		return relay.NotRun, Result{}
 	}
 	body, ok := r.readSigned(address, answer)
@@ -59,49 +59,49 @@
 		return relay.Broken, Result{}
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		r.avoidFrom(address)
-		r.own = &ownFailure{answer: answer, body: body}
+		r.exclude(address)
+		r.failure = &serverFailure{answer: answer, body: body}
 		return relay.Errored, Result{}
 	}
-	r.g.book.answered(time.Now(), address)
-	r.cleared()
-	return 0, r.pass(answer, body)
+	r.g.shared.recordAnswer(time.Now(), address)
+	r.clearImplication()
+	return 0, r.forwardAnswer(answer, body)
 }
 
-// readSigned reads an answer's body, the first part of it where it is long. It blames
-// the server and returns false where that breaks off, or where nobody signed it.
-func (r *run) readSigned(address string, answer *backend.Answer) ([]byte, bool) {
-	if !unsigned(answer) {
-		body, err := io.ReadAll(io.LimitReader(answer.Body, holdBody))
+// readSigned reads an answer's body, up to maxHeldBody. If the body breaks off or the
+// answer is unsigned, it records a failure of the server and returns false.
+func (r *requestHandler) readSigned(address string, answer *backend.Answer) ([]byte, bool) {
+	if !isUnsigned(answer) {
+		body, err := io.ReadAll(io.LimitReader(answer.Body, maxHeldBody))
 		if err == nil {
 			return body, true
 		}
 	}
-	r.blame(address)
+	r.recordFailure(address)
 	return nil, false
 }
 
-// unsigned reports whether an answer claims success without the server's
-// signature; a caller must not take it for the server's.
-func unsigned(a *backend.Answer) bool {
+// isUnsigned reports whether an answer claims success without the server's signature. Such
+// an answer must not be delivered as the server's.
+func isUnsigned(a *backend.Answer) bool {
 	return a.Status < http.StatusMultipleChoices && !a.Signed
 }
 
-// ownFailure is a failure that a server answered with, for the case that no other
-// server does better.
-type ownFailure struct {
+// serverFailure is an error answer of a server, kept in case no other server does better.
+type serverFailure struct {
 	answer *backend.Answer
 	body   []byte
 }
 
-// pass gives an answer to the caller: what was held of it, and then the rest.
-func (r *run) pass(answer *backend.Answer, held []byte) Result {
-	r.headed = true
+// forwardAnswer delivers an answer to the caller: the part that was held back, then the
+// rest.
+func (r *requestHandler) forwardAnswer(answer *backend.Answer, held []byte) Result {
+	r.headSent = true
 	r.reply.WriteHeader(answer.Status, answer.Header)
 	if err := r.reply.Write(held); err != nil {
 		return Result{Outcome: CallerLeft, Reason: "caller_left"}
 	}
-	if len(held) < holdBody {
+	if len(held) < maxHeldBody {
 		return Result{Outcome: Answered}
 	}
 	buf := make([]byte, 32<<10)
@@ -116,17 +116,16 @@
 			return Result{Outcome: Answered}
 		}
 		if err != nil {
-			return r.failed(relay.ReasonBrokenAgain)
+			return r.failedResult(relay.ReasonBrokenAgain)
 		}
 	}
 }
 
-// maxDrained bounds what is read of an answer that nobody wants, to keep its
-// connection.
+// maxDrained limits how much of an unused answer is read to keep its connection.
 const maxDrained = 4 << 10
 
-// drain reads the rest of a short answer.
-func drain(body io.Reader) {
-	// An answer that is longer or broken costs its connection, no more.
+// drainBody reads the rest of a short answer.
+func drainBody(body io.Reader) {
+	// If the answer is longer or broken, only its connection is lost.
 	_, _ = io.CopyN(io.Discard, body, maxDrained)
 }
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -16,45 +16,48 @@
 )
 
 const (
-	// probeWait is how long a server may take to answer a probe. A live one needs
-	// a round trip and no slot: about a millisecond.
-	probeWait = 25 * time.Millisecond
-	// probeFresh is how long the result of a probe stands for other streams: longer
-	// ones find a death later, shorter ones cost a probe for each slow stream.
-	probeFresh = 250 * time.Millisecond
-	// probeRate and probeBurst bound the probes of one daemon, which the site pays
-	// for: a death has about ten suspects, and a site that is slow as a whole none.
-	probeRate  = 20 // a second
+	// serverProbeTimeout is how long a server may take to answer a probe. A live server
+	// needs a round trip and no slot: about a millisecond.
+	serverProbeTimeout = 25 * time.Millisecond
+	// probeResultTTL is how long the result of a probe is reused for other streams: with a
+	// longer time deaths are detected later, with a shorter one each slow stream costs a
+	// probe.
+	probeResultTTL = 250 * time.Millisecond
+	// probeRate and probeBurst limit the probes of one daemon, which the site
+	// pays for: a death has about ten suspects, and a site that is slow as a whole has none.
+	probeRate  = 20 // per second
 	probeBurst = 40
-	// reprobeEvery is how often a dead server is probed again, or less often where many daemons
-	// do so.
-	reprobeEvery = 500 * time.Millisecond
-	// reprobesMost is how many such probes a second a server gets from all daemons together.
-	reprobesMost = 100
-	// reprobeFor is how long: a server that stays dead leaves the list sooner.
-	reprobeFor = 15 * time.Second
+	// minReprobeInterval is how often a dead server is probed again, or less often if many
+	// daemons probe it.
+	minReprobeInterval = 500 * time.Millisecond
+	// maxReprobeRate is how many such probes per second a server gets from all daemons
+	// together.
+	maxReprobeRate = 100
+	// reprobeDuration is how long a dead server is probed: if it stays dead, it leaves the
+	// list sooner.
+	reprobeDuration = 15 * time.Second
 )
 
-// probeLate is how long a probe may take beyond probeWait before its failure says
-// nothing: this process did not run meanwhile.
-const probeLate = 30 * time.Millisecond
+// probeOverrun is how far a probe may exceed serverProbeTimeout before its failure means
+// nothing, because this process was not running meanwhile.
+const probeOverrun = 30 * time.Millisecond
 
-// prober finds out whether servers are alive by asking them for their report.
-// Streams that fall silent together share its probes.
+// prober finds out whether servers are alive by requesting their reports. Streams that
+// stall at the same time share its probes.
 type prober struct {
 	g     *Gateway
 	group singleflight.Group
 	limit *rate.Limiter
 
-	mu   sync.Mutex
-	last map[string]probed // by address
+	mu      sync.Mutex
+	results map[string]probeResult // by address
 }
 
-// probeNames are the results of probes in counters.
+// probeNames are the results of probes in metrics.
 var probeNames = map[bool]string{true: "alive", false: "dead"}
 
-// probed is the result of one probe. took and err say why a server counts as dead.
-type probed struct {
+// probeResult is the result of one probe. took and err say why a server counts as dead.
+type probeResult struct {
 	at    time.Time
 	alive bool
 	took  time.Duration
@@ -62,105 +65,106 @@
 }
 
 func newProber(g *Gateway) *prober {
-	return &prober{g: g, limit: rate.NewLimiter(probeRate, probeBurst), last: make(map[string]probed)}
+	return &prober{g: g, limit: rate.NewLimiter(probeRate, probeBurst), results: make(map[string]probeResult)}
 }
 
 // alive reports whether a server answers.
 func (p *prober) alive(server state.Life, address string) bool { return p.probe(server, address).alive }
 
-// probe asks a server for its report, unless that was done a moment ago.
-func (p *prober) probe(server state.Life, address string) probed {
+// probe requests a server's report, unless there is a recent result.
+func (p *prober) probe(server state.Life, address string) probeResult {
 	p.mu.Lock()
-	old, ok := p.last[address]
+	old, ok := p.results[address]
 	p.mu.Unlock()
-	if ok && old.fresh() {
+	if ok && old.isFresh() {
 		return old
 	}
 	result, _, _ := p.group.Do(address, func() (any, error) {
 		if !p.limit.Allow() {
-			return probed{alive: true}, nil
+			return probeResult{alive: true}, nil
 		}
-		return p.ask(server, address), nil
+		return p.sendProbe(server, address), nil
 	})
-	return result.(probed)
+	return result.(probeResult)
 }
 
-// ask sends one probe and keeps its result.
-func (p *prober) ask(server state.Life, address string) probed {
+// sendProbe sends one probe and stores its result.
+func (p *prober) sendProbe(server state.Life, address string) probeResult {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), probeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), serverProbeTimeout)
 	defer cancel()
 	report, err := p.g.backends.Report(ctx, address)
 	if err == nil {
-		p.g.metLife(server, address, report.Born)
+		p.g.checkIncarnation(server, address, report.Born)
 	}
-	out := probed{at: time.Now(), took: time.Since(began), err: err}
-	out.alive = err == nil || out.took > probeWait+probeLate
+	out := probeResult{at: time.Now(), took: time.Since(began), err: err}
+	out.alive = err == nil || out.took > serverProbeTimeout+probeOverrun
 	p.g.metrics.CountReason(telemetry.GatewayProbesTotal, probeNames[out.alive])
 	p.mu.Lock()
-	maps.DeleteFunc(p.last, func(_ string, old probed) bool { return !old.fresh() }) // addresses come and go
-	p.last[address] = out
+	maps.DeleteFunc(p.results, func(_ string, old probeResult) bool { return !old.isFresh() }) // addresses come and go
+	p.results[address] = out
 	p.mu.Unlock()
 	return out
 }
 
-// fresh reports whether the result still stands.
-func (r probed) fresh() bool { return time.Since(r.at) < probeFresh }
+// isFresh reports whether the result may still be reused.
+func (r probeResult) isFresh() bool { return time.Since(r.at) < probeResultTTL }
 
-// check probes all hops at once. Those that do not answer are avoided until they do,
-// and the streams that cross them are told.
-func (p *prober) check(hops []fleet.Hop) {
-	results := make([]probed, len(hops))
+// checkHops probes all hops concurrently. Those that do not answer are avoided until they
+// do, and the streams through them are informed.
+func (p *prober) checkHops(hops []fleet.Hop) {
+	results := make([]probeResult, len(hops))
 	var all sync.WaitGroup
 	for i, h := range hops {
 		all.Go(func() { results[i] = p.probe(h.Server, h.Address) })
 	}
 	all.Wait()
-	// One live server proves that this daemon is not cut off itself.
-	lives := func(r probed) bool { return r.alive }
-	if !slices.ContainsFunc(results, lives) && len(hops) > 1 {
+	// One live server proves that this daemon itself is not cut off.
+	isAlive := func(r probeResult) bool { return r.alive }
+	if !slices.ContainsFunc(results, isAlive) && len(hops) > 1 {
 		return
 	}
 	for i, h := range hops {
 		if results[i].alive {
 			continue
 		}
-		p.bury(h, results[i])
-		for _, s := range p.g.book.crossing(h.Address) {
+		p.handleDeath(h, results[i])
+		for _, s := range p.g.shared.streamsThrough(h.Address) {
 			s.hopDied(h)
 		}
 	}
 }
 
-// bury has a dead server avoided, and probes it until it answers again.
-func (p *prober) bury(h fleet.Hop, why probed) {
-	if !p.g.book.bury(h.Address) {
+// handleDeath excludes a dead server, and probes it until it answers again or
+// reprobeDuration has passed.
+func (p *prober) handleDeath(h fleet.Hop, result probeResult) {
+	if !p.g.shared.markDead(h.Address) {
 		return
 	}
 	p.g.log.Emit(telemetry.EventBackendDead, telemetry.Backend(h.Server.ID), telemetry.Address(h.Address),
-		telemetry.Took(why.took), telemetry.Cause(why.err))
+		telemetry.Took(result.took), telemetry.Cause(result.err))
 	go func() {
-		until := time.Now().Add(reprobeFor)
+		until := time.Now().Add(reprobeDuration)
 		for time.Now().Before(until) {
 			select {
 			case <-p.g.done:
 				return
-			case <-time.After(reprobeAfter(p.g.current.Load().live)):
+			case <-time.After(reprobeInterval(p.g.currentView.Load().live)):
 			}
 			if p.alive(h.Server, h.Address) {
 				break
 			}
 		}
-		p.g.book.raise(h.Address)
+		p.g.shared.clearDead(h.Address)
 		p.g.log.Emit(telemetry.EventBackendRecovered, telemetry.Backend(h.Server.ID), telemetry.Address(h.Address))
 	}()
 }
 
-// reprobeAfter is after what time each of some daemons probes a dead server again.
+// reprobeInterval is how often each of some daemons probes a dead server again.
 //
-// Guard (probes-kept-alone): each daemon that had streams across it probes a server that comes
-// back. Were each to do so as often as one may, hundreds would meet it with as many probes as
-// it takes requests, while it starts.
-func reprobeAfter(daemons int) time.Duration {
-	return max(reprobeEvery, time.Duration(daemons)*time.Second/reprobesMost)
+// Guard (probes-kept-alone): each daemon that had streams through a server probes it until
+// it comes back. If each did so at the rate allowed for one daemon, hundreds of them would
+// send a starting server as many probes as it takes requests.
+func reprobeInterval(daemons int) time.Duration {
+	return max(minReprobeInterval, time.Duration(daemons)*time.Second/maxReprobeRate)
 }
--- a/gateway/probe_internal_test.go
+++ b/gateway/probe_internal_test.go
@@ -7,16 +7,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// A server that has died comes back among hundreds of daemons that had streams across it, and
-// gets more probes than requests while it starts. Cause: each probed it as often as one daemon
-// may. From 300 daemons it got 600 a second by their interval.
+// A dead server comes back, and hundreds of daemons that had streams through it probe it.
+// If each probes as often as one daemon may, the starting server gets more probes than
+// requests: 600 per second from 300 daemons.
 var _ = Describe("Probes of a dead server", func() {
-	It("are bounded over all daemons together", Label("failure:probes-kept-alone"), func() {
+	It("are limited over all daemons together", Label("failure:probes-kept-alone"), func() {
 		for daemons := 1; daemons <= 420; daemons++ {
-			each := reprobeAfter(daemons)
-			Expect(each).To(BeNumerically(">=", reprobeEvery))
-			Expect(float64(daemons) * float64(time.Second) / float64(each)).To(BeNumerically("<=", reprobesMost))
+			each := reprobeInterval(daemons)
+			Expect(each).To(BeNumerically(">=", minReprobeInterval))
+			Expect(float64(daemons) * float64(time.Second) / float64(each)).To(BeNumerically("<=", maxReprobeRate))
 		}
-		Expect(reprobeAfter(9)).To(Equal(reprobeEvery))
+		Expect(reprobeInterval(9)).To(Equal(minReprobeInterval))
 	})
 })
--- a/gateway/publish_internal_test.go
+++ b/gateway/publish_internal_test.go
@@ -11,38 +11,38 @@
 )
 
 var _ = Describe("The list of servers", func() {
-	// All daemons of a site use their whole processors for seconds after a start, and callers
-	// wait. Order: 3,000 servers list themselves and their layers, in a hundred changes a
-	// second. Cause: each change had every daemon group and compare all servers.
-	It("is published once for many changes, and no change waits long", Label("failure:changes-in-hundreds"), func() {
-		c := startedControl(GinkgoTB())
+	// 3,000 servers list themselves and their layers, in a hundred changes per second. If
+	// each change makes every daemon group and compare all servers, all daemons use their
+	// whole processors for seconds after a start, and callers wait.
+	It("is published once for many changes, and no change is delayed for long", Label("failure:changes-in-hundreds"), func() {
+		c := newTestControl(GinkgoTB())
 		const servers = 3000
 		var ids []state.BackendID
 		for i := range servers {
 			ids = append(ids, state.BackendID(fmt.Sprint(i)))
 		}
-		c.entries.answered(listing(2, ids...), arrival{whole: true})
+		c.serverFeed.applyStoreAnswer(serverBatch(2, ids...), batchInfo{complete: true})
 		c.tick()
 
 		published := 0
-		began, last := c.now, c.g.current.Load()
+		began, last := c.now, c.g.currentView.Load()
 		for i := range 100 {
 			c.now = c.now.Add(10 * time.Millisecond)
-			changed := listing(uint64(3+i), ids[i])
+			changed := serverBatch(uint64(3+i), ids[i])
 			changed.Items[0].Value.Draining = true
-			c.entries.answered(changed, arrival{})
+			c.serverFeed.applyStoreAnswer(changed, batchInfo{})
 			c.tick()
-			if v := c.g.current.Load(); v != last {
+			if v := c.g.currentView.Load(); v != last {
 				published, last = published+1, v
 			}
 		}
-		Expect(published).To(And(BeNumerically(">", 10), BeNumerically("<=", 17)), "one each 60 ms, for 1 s")
+		Expect(published).To(And(BeNumerically(">", 10), BeNumerically("<=", 17)), "one per 60 ms, for 1 s")
 
 		c.now = c.listing.nextTick()
-		Expect(c.now.Sub(began)).To(BeNumerically("<=", time.Second+servers*publishEach), "the last change waits no longer")
+		Expect(c.now.Sub(began)).To(BeNumerically("<=", time.Second+servers*publishIntervalPerServer), "the last change waits no longer")
 		c.tick()
 		draining := 0
-		for _, s := range c.g.current.Load().servers["app"] {
+		for _, s := range c.g.currentView.Load().servers["app"] {
 			if s.Draining {
 				draining++
 			}
@@ -50,24 +50,24 @@
 		Expect(draining).To(Equal(100))
 	})
 
-	// A new route's callers are told that there is none. Order: a configuration names a new
-	// service right after a change of the list. Cause: the servers that it makes usable were
-	// published with the next change.
+	// A configuration names a new service right after a change of the list. If the servers
+	// that it makes usable are published only with the next change, callers of the new
+	// route get no server.
 	It("is published at once with a new configuration", Label("failure:service-listed-late"), func() {
-		c := startedControl(GinkgoTB())
+		c := newTestControl(GinkgoTB())
 		var ids []state.BackendID
 		for i := range 1000 {
 			ids = append(ids, state.BackendID(fmt.Sprint(i)))
 		}
-		listed := listing(2, ids...)
+		listed := serverBatch(2, ids...)
 		for i := range listed.Items {
 			listed.Items[i].Value.Service = "later"
 		}
-		c.entries.answered(listed, arrival{whole: true})
+		c.serverFeed.applyStoreAnswer(listed, batchInfo{complete: true})
 		c.tick()
-		Expect(c.g.current.Load().servers["later"]).To(BeEmpty(), "no configuration knows the service")
-		c.configs.answered(configWith(2, "app", "later"), arrival{})
+		Expect(c.g.currentView.Load().servers["later"]).To(BeEmpty(), "no configuration knows the service")
+		c.configFeed.applyStoreAnswer(configWith(2, "app", "later"), batchInfo{})
 		c.tick()
-		Expect(c.g.current.Load().servers["later"]).To(HaveLen(1000))
+		Expect(c.g.currentView.Load().servers["later"]).To(HaveLen(1000))
 	})
 })
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -10,9 +10,9 @@
 	"github.com/hibiscuswick/hibiscuswick/gateway"
 )
 
-// refusing reports whether a gateway takes a server for leaving.
-func refusing(g Gomega, p *posts, i int, address string) bool {
-	status, err := p.gateways[i].Status(context.Background())
+// isRefusing reports whether a gateway considers a server to be leaving.
+func isRefusing(g Gomega, cl *cluster, i int, address string) bool {
+	status, err := cl.gateways[i].Status(context.Background())
 	g.Expect(err).NotTo(HaveOccurred())
 	for _, svc := range status.Services {
 		for _, s := range svc.Servers {
@@ -25,38 +25,39 @@
 }
 
 var _ = Describe("A server that refuses requests", func() {
-	var p *posts
+	var cl *cluster
 	BeforeEach(func() {
-		p = newPosts("g1", "g2")
-		p.rig.servers.mu.Lock()
-		defer p.rig.servers.mu.Unlock()
-		p.rig.servers.refuse["e0"] = true
+		cl = newCluster("g1", "g2")
+		cl.harness.servers.mu.Lock()
+		defer cl.harness.servers.mu.Unlock()
+		cl.harness.servers.refusing["e0"] = true
 	})
-	// again sends a request as soon as e0 is tried again after its last refusal.
-	again := func(g Gomega) {
-		g.Expect(p.outcomeAt(0, "/stream/x")).To(Equal(gateway.Answered))
+	// retry sends a request, which reaches e0 as soon as e0 is tried again after its last
+	// refusal.
+	retry := func(g Gomega) {
+		g.Expect(cl.outcomeAt(0, "/stream/x")).To(Equal(gateway.Answered))
 	}
 
-	// Callers are refused, although most servers have room. Order: the store is away,
-	// some servers leave, and no list says so. Cause: each of many daemons learned of
-	// each such server by refusals of its own, until the retry budget was used up.
-	It("although it has room is avoided by all daemons", Label("failure:leaving-unlisted"), func() {
+	// The store is unavailable, and some servers leave although they are still listed.
+	// Without a notice, each daemon discovers each of them by refusals of its own until the
+	// retry budget is used up, and callers are refused although most servers have capacity.
+	It("although it has capacity is avoided by all daemons", Label("failure:leaving-unlisted"), func() {
 		Eventually(func(g Gomega) {
-			again(g)
-			g.Expect(refusing(g, p, 1, "e0")).To(BeTrue())
-		}).WithTimeout(patience).Should(Succeed())
-		before := len(p.rig.servers.sent())
-		Expect(p.outcomeAt(1, "/stream/x")).To(Equal(gateway.Answered))
-		Expect(p.rig.servers.sent()).To(HaveLen(before+1), "no attempt is lost")
+			retry(g)
+			g.Expect(isRefusing(g, cl, 1, "e0")).To(BeTrue())
+		}).WithTimeout(eventuallyTimeout).Should(Succeed())
+		before := len(cl.harness.servers.sent())
+		Expect(cl.outcomeAt(1, "/stream/x")).To(Equal(gateway.Answered))
+		Expect(cl.harness.servers.sent()).To(HaveLen(before+1), "no attempt is lost")
 	})
 
-	It("for want of room is not taken for one that leaves", func() {
-		p.rig.servers.mu.Lock()
-		p.rig.servers.used = 90
-		p.rig.servers.mu.Unlock()
+	It("for lack of capacity does not count as leaving", func() {
+		cl.harness.servers.mu.Lock()
+		cl.harness.servers.used = 90
+		cl.harness.servers.mu.Unlock()
 		Consistently(func(g Gomega) {
-			again(g)
-			g.Expect(refusing(g, p, 0, "e0")).To(BeFalse())
+			retry(g)
+			g.Expect(isRefusing(g, cl, 0, "e0")).To(BeFalse())
 		}).WithTimeout(2 * time.Second).Should(Succeed())
 	})
 })
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -7,12 +7,12 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// reloadInterval is how often the settings file is read for a change that no signal
-// told: it holds a few KB.
+// reloadInterval is how often the settings file is read to detect a change without a
+// signal; the file has a few KB.
 const reloadInterval = 5 * time.Second
 
-// FollowSettings takes up changed settings at each signal, and now and then without
-// one, for as long as the process lives.
+// WatchSettings applies changed settings at each signal, and periodically without one, for
+// the lifetime of the process.
 func (g *Gateway) WatchSettings(load func() (Settings, error), signaled <-chan os.Signal) {
 	for {
 		select {
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -7,7 +7,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Request is one caller's request, read whole.
+// Request is a caller's request with its complete body.
 type Request struct {
 	ID              state.RequestID
 	Host            string
@@ -16,21 +16,22 @@
 	Target          string // path and query as sent
 	Header          http.Header
 	Body            []byte
-	Key             string        // the caller's key, or ""
-	CallerTimeout   time.Duration // how long the caller waits from Arrived on; 0 for unsaid
-	PromptTokens    int           // tokens
-	MaxAnswerTokens int           // tokens at most
-	LastEventID     string        // id of the last event that the caller has, or ""
+	Key             string        // the caller's API key, or ""
+	CallerTimeout   time.Duration // how long the caller waits, from Arrived on; 0 if not stated
+	PromptTokens    int
+	MaxAnswerTokens int
+	LastEventID     string // id of the last event that the caller has received, or ""
 	Arrived         time.Time
 }
 
-// Reply takes the answer to a request.
+// Reply receives the answer to a request.
 type Reply interface {
-	// Head begins the answer with a server's status and header.
+	// WriteHeader begins the answer with a server's status and header.
 	WriteHeader(status int, header http.Header)
-	// Write sends bytes of the body; they leave at once.
+	// Write sends and flushes bytes of the body.
 	Write(p []byte) error
-	// Cut ends a begun answer so that it can't be taken for a whole one.
+	// Abort ends an answer that has begun so that the caller can't mistake it for a
+	// complete one.
 	Abort()
 }
 
@@ -39,28 +40,28 @@
 
 // The values of Outcome.
 const (
-	// Answered: a server's answer was given whole.
+	// Answered: a server's answer was delivered completely.
 	Answered Outcome = iota + 1
-	// Refused: it has not run and won't.
+	// Refused: the request has not run and will not run.
 	Refused
-	// Failed: it can't be answered; it may have run.
+	// Failed: the request can't be answered; it may have run.
 	Failed
-	// TimedOut: its time ran out; it may have run.
+	// TimedOut: the deadline passed; the request may have run.
 	TimedOut
-	// Cut: a part of an answer was given, and no more will come.
+	// Truncated: a part of an answer was delivered, and no more will follow.
 	Truncated
-	// Gone: the caller left.
+	// CallerLeft: the caller disconnected.
 	CallerLeft
-	// NoRoute: the configuration has no route for it.
+	// NoRoute: the configuration has no route for the request.
 	NoRoute
-	// BadKey: the configuration has no such key.
+	// UnknownKey: the configuration has no such API key.
 	UnknownKey
 )
 
-// Result is an Outcome with what the caller is told.
+// Result is an Outcome with the information for the caller.
 type Result struct {
 	Outcome Outcome
 	Reason  string
-	// RetryAfter is when a refused caller may expect to be served.
+	// RetryAfter is when a refused caller can expect to be served.
 	RetryAfter time.Duration
 }
--- a/gateway/rows.go
+++ b/gateway/rows.go
@@ -17,22 +17,23 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// encodedRows are rows of a feed on their way to other daemons.
+// encodedRows are rows of a feed encoded for other daemons.
 type encodedRows struct {
-	after uint64 // the revision after which they are all that changed
-	upTo  uint64 // until this one
+	after uint64 // the rows contain all changes after this revision
+	upTo  uint64 // up to and including this one
 	bytes []byte
 }
 
-// attach puts the rows into an announcement, unless the feed has changed again since they were
-// encoded: who took them for all up to the announcement's revision would miss that change.
-func (r encodedRows) attach(t *following.Announcement) {
-	if len(r.bytes) > 0 && r.upTo == t.LastChange {
-		t.RowsAfter, t.Rows = r.after, r.bytes
+// attach adds the rows to an announcement, unless the feed has changed again since they
+// were encoded: a receiver that took them as all changes up to the announced revision would
+// miss that change.
+func (r encodedRows) attach(ann *following.Announcement) {
+	if len(r.bytes) > 0 && r.upTo == ann.LastChange {
+		ann.RowsAfter, ann.Rows = r.after, r.bytes
 	}
 }
 
-// wireItem is a site.Item between daemons.
+// wireItem is the encoding of a site.Item between daemons.
 type wireItem[T any] struct {
 	Key        string `msgpack:"key"`
 	Removed    bool   `msgpack:"removed,omitempty"`
@@ -41,26 +42,26 @@
 	Unreadable string `msgpack:"unreadable,omitempty"` // why there is no value
 }
 
-// encode writes rows. Where that fails the others read them from the store.
-func (p *feedPart[T]) encode(items []site.Item[T], after, upTo uint64) encodedRows {
-	wire := make([]wireItem[T], len(items))
+// encode encodes rows. If that fails, the other daemons read them from the store.
+func (f *feedTracker[T]) encode(items []site.Item[T], after, upTo uint64) encodedRows {
+	wireItems := make([]wireItem[T], len(items))
 	for i, it := range items {
-		wire[i] = wireItem[T]{Key: it.Key, Removed: it.Removed, Revision: it.Revision, Value: it.Value}
+		wireItems[i] = wireItem[T]{Key: it.Key, Removed: it.Removed, Revision: it.Revision, Value: it.Value}
 		if it.Err != nil {
-			wire[i].Unreadable = it.Err.Error()
+			wireItems[i].Unreadable = it.Err.Error()
 		}
 	}
-	b, err := pack(shapeOf[T](), wire)
+	b, err := pack(layoutHashOf[T](), wireItems)
 	if err != nil {
-		p.c.g.log.Emit(telemetry.EventRowsUnreadable, telemetry.Peer(p.c.g.self.ID), telemetry.Cause(err))
+		f.c.g.log.Emit(telemetry.EventRowsUnreadable, telemetry.Peer(f.c.g.self.ID), telemetry.Cause(err))
 		return encodedRows{}
 	}
 	return encodedRows{after: after, upTo: upTo, bytes: b}
 }
 
-// decode reads what encode wrote.
+// decode decodes the result of encode.
 func decode[T any](b []byte) ([]site.Item[T], error) {
-	plain, err := unpack(shapeOf[T](), b)
+	plain, err := unpack(layoutHashOf[T](), b)
 	if err != nil {
 		return nil, err
 	}
@@ -69,8 +70,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if n < 0 || n > mostRows {
-		return nil, fmt.Errorf("%w: %d", errRows, n)
+	if n < 0 || n > maxRows {
+		return nil, fmt.Errorf("%w: %d", errTooManyRows, n)
 	}
 	items := make([]site.Item[T], n)
 	for i := range items {
@@ -86,42 +87,41 @@
 	return items, nil
 }
 
-// form is the first byte of packed rows; the shape of the rows follows.
-type form byte
+// rowEncoding is the first byte of packed rows; the layout hash of the rows follows.
+type rowEncoding byte
 
-// The values of form.
 const (
-	formPlain    form = iota + 1 // msgpack, structs as arrays
-	formDeflated                 // the same, deflated
+	encodingPlain    rowEncoding = iota + 1 // msgpack, structs as arrays
+	encodingDeflated                        // the same, deflated
 )
 
-// headLen is the length of the form and the shape, in bytes.
-const headLen = 1 + 8
+// headerLen is the length in bytes of the encoding and the layout hash.
+const headerLen = 1 + 8
 
 const (
-	// deflateFrom is the length in bytes from which on rows are deflated: that of some ten
-	// servers, below which it saves little.
-	deflateFrom = 1 << 10
-	// mostUnpacked bounds the length of rows once inflated, in bytes: 12,000 servers take 1 MB
-	// and 1,400 routes 0.3 MB, and a daemon has some hundred MB.
-	mostUnpacked = 32 << 20
-	// mostRows bounds the rows of one message: eight times the planned servers.
-	mostRows = 100_000
+	// minDeflateSize is the length in bytes from which on rows are deflated. That is the
+	// size of about ten servers; below it deflating saves little.
+	minDeflateSize = 1 << 10
+	// maxInflatedSize limits the length in bytes of inflated rows: 12,000 servers take 1 MB
+	// and 1,400 routes 0.3 MB, and a daemon has several hundred MB of memory.
+	maxInflatedSize = 32 << 20
+	// maxRows limits the rows of one message: eight times the planned number of servers.
+	maxRows = 100_000
 )
 
-// Errors of rows that another daemon gave.
+// Errors of rows received from another daemon.
 var (
-	errForm  = errors.New("rows in an unknown form")
-	errRows  = errors.New("too many rows")
-	errLarge = errors.New("rows too large once inflated")
+	errUnknownEncoding = errors.New("unknown encoding or layout of rows")
+	errTooManyRows     = errors.New("too many rows")
+	errRowsTooLarge    = errors.New("inflated rows are too large")
 )
 
-// pack writes rows as daemons give them to each other. 3,000 servers take 44 KB, and one 69
-// bytes (TestRowsAreSmall): at a start of hundreds of daemons each needs them, and bytes
-// between failure domains are dear.
-func pack(rowsShape shape, rows any) ([]byte, error) {
+// pack encodes rows for other daemons. 3,000 servers take 44 KB, and one takes 69 bytes
+// (TestRowsAreSmall). When hundreds of daemons start, each needs the rows, and traffic
+// between failure domains is expensive.
+func pack(layout layoutHash, rows any) ([]byte, error) {
 	var plain bytes.Buffer
-	plain.Write(rowsShape.head(formPlain))
+	plain.Write(layout.header(encodingPlain))
 	enc := msgpack.NewEncoder(&plain)
 	enc.UseArrayEncodedStructs(true)
 	enc.UseCompactInts(true)
@@ -129,15 +129,15 @@
 	if err := enc.Encode(rows); err != nil {
 		return nil, err
 	}
-	if plain.Len() < deflateFrom {
+	if plain.Len() < minDeflateSize {
 		return plain.Bytes(), nil
 	}
 	var out bytes.Buffer
-	out.Write(rowsShape.head(formDeflated))
+	out.Write(layout.header(encodingDeflated))
 	w := deflaters.Get().(*flate.Writer)
 	defer deflaters.Put(w)
 	w.Reset(&out)
-	if _, err := w.Write(plain.Bytes()[headLen:]); err != nil {
+	if _, err := w.Write(plain.Bytes()[headerLen:]); err != nil {
 		return nil, err
 	}
 	if err := w.Close(); err != nil {
@@ -146,34 +146,34 @@
 	return out.Bytes(), nil
 }
 
-// deflaters are kept, since each takes some hundred KB.
+// deflaters are reused, since each takes several hundred KB.
 var deflaters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		panic(fmt.Sprintf("gateway: the level of compression: %v", err))
+		panic(fmt.Sprintf("gateway: invalid compression level: %v", err))
 	}
 	return w
 }}
 
-// unpack reads what pack wrote. A length that a row claims is covered by bytes that are
-// there: the decoder would ask for the memory before it looks.
-func unpack(rowsShape shape, b []byte) ([]byte, error) {
-	if len(b) < headLen || binary.BigEndian.Uint64(b[1:]) != uint64(rowsShape) {
-		return nil, errForm
+// unpack decodes the result of pack. It verifies that each length that a row claims is
+// covered by the actual bytes, since the decoder would allocate memory before it checks.
+func unpack(layout layoutHash, b []byte) ([]byte, error) {
+	if len(b) < headerLen || binary.BigEndian.Uint64(b[1:]) != uint64(layout) {
+		return nil, errUnknownEncoding
 	}
-	plain := b[headLen:]
-	switch form(b[0]) {
-	case formPlain:
-	case formDeflated:
+	plain := b[headerLen:]
+	switch rowEncoding(b[0]) {
+	case encodingPlain:
+	case encodingDeflated:
 		var err error
-		if plain, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(plain)), mostUnpacked+1)); err != nil {
+		if plain, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(plain)), maxInflatedSize+1)); err != nil {
 			return nil, err
 		}
-		if len(plain) > mostUnpacked {
-			return nil, errLarge
+		if len(plain) > maxInflatedSize {
+			return nil, errRowsTooLarge
 		}
 	default:
-		return nil, fmt.Errorf("%w: %d", errForm, b[0])
+		return nil, fmt.Errorf("%w: %d", errUnknownEncoding, b[0])
 	}
 	return plain, peer.WellFormed(plain)
 }
--- a/gateway/rows_test.go
+++ b/gateway/rows_test.go
@@ -11,9 +11,9 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// A daemon that learns of a configuration from another one serves by it as if it had
-// read it itself: each field comes through.
-func TestRowsComeThroughWhole(t *testing.T) {
+// A daemon that gets a configuration from another one must serve by it as if it had read
+// the store: all fields survive the encoding.
+func TestRowsRoundTrip(t *testing.T) {
 	items := []site.Item[*fleet.Config]{{Key: "config", Revision: 7, Value: &fleet.Config{
 		Version: 3,
 		Hosts: map[string][]fleet.Route{"h": {{
@@ -26,8 +26,8 @@
 		Keys:   map[string]fleet.Customer{"key": {ID: "c", Rank: 1, Ranked: true}},
 		Limits: fleet.Limits{HeaderBytes: 1, BodyBytes: 2, HeaderTimeout: 3, IdleTimeout: 4},
 	}}, {Key: "gone", Removed: true, Revision: 8}}
-	p := &feedPart[*fleet.Config]{}
-	got, err := decode[*fleet.Config](p.encode(items, 6, 8).bytes)
+	tracker := &feedTracker[*fleet.Config]{}
+	got, err := decode[*fleet.Config](tracker.encode(items, 6, 8).bytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,15 +36,15 @@
 	}
 }
 
-// A follower stops following just as it has read a change, and follows again later. A
-// daemon that took the old rows for all up to the new revision would miss a change, and
-// send requests to a server that has left.
-func TestRowsGoOnlyWithTheChangeThatTheyAre(t *testing.T) {
+// A follower stops following just after it has read a change, and follows again later. If
+// the old rows went with an announcement of a newer revision, a daemon would miss a change
+// and send requests to a server that has left.
+func TestRowsAttachOnlyToTheirOwnChange(t *testing.T) {
 	rows := encodedRows{after: 5, upTo: 7, bytes: []byte{1}}
-	told := following.Announcement{Revision: 9, LastChange: 7}
-	rows.attach(&told)
-	if told.RowsAfter != 5 || len(told.Rows) != 1 {
-		t.Fatalf("the rows are not in %+v", told)
+	ann := following.Announcement{Revision: 9, LastChange: 7}
+	rows.attach(&ann)
+	if ann.RowsAfter != 5 || len(ann.Rows) != 1 {
+		t.Fatalf("the rows are missing in %+v", ann)
 	}
 	later := following.Announcement{Revision: 9, LastChange: 8}
 	rows.attach(&later)
@@ -53,62 +53,62 @@
 	}
 }
 
-// Hundreds of daemons start at one moment, and callers wait while each gets the list of
-// thousands of servers; the links between failure domains carry it many times. A row that
-// changes goes to all of them too.
+// When hundreds of daemons start at the same moment, callers wait while each gets the list
+// of thousands of servers, and the links between failure domains carry it many times. A row
+// that changes goes to all daemons too.
 func TestRowsAreSmall(t *testing.T) {
-	p := &feedPart[fleet.Server]{}
+	tracker := &feedTracker[fleet.Server]{}
 	var items []site.Item[fleet.Server]
 	for i := range 3000 {
 		s := benchServer(i)
 		s.Layers = fleet.Range{From: i * 7 % 70, To: i*7%70 + 10}
 		items = append(items, site.Item[fleet.Server]{Key: string(s.ID), Revision: uint64(1000 + i), Value: s})
 	}
-	const mostEach, mostAlone = 20, 100 // bytes
-	whole := len(p.encode(items, 0, 4000).bytes)
-	if whole > mostEach*len(items) {
-		t.Errorf("%d rows take %d bytes", len(items), whole)
+	const maxPerRow, maxSingleRow = 20, 100 // bytes
+	all := len(tracker.encode(items, 0, 4000).bytes)
+	if all > maxPerRow*len(items) {
+		t.Errorf("%d rows take %d bytes", len(items), all)
 	}
-	if one := len(p.encode(items[:1], 999, 1000).bytes); one > mostAlone {
+	if one := len(tracker.encode(items[:1], 999, 1000).bytes); one > maxSingleRow {
 		t.Errorf("one row takes %d bytes", one)
 	}
-	t.Logf("%d rows: %d bytes, one: %d", len(items), whole, len(p.encode(items[:1], 999, 1000).bytes))
+	t.Logf("%d rows: %d bytes, one: %d", len(items), all, len(tracker.encode(items[:1], 999, 1000).bytes))
 }
 
-// Callers are given up too early while a new version of the daemons is rolled out. Order: a
-// daemon of the new version gives the configuration to one of the old version, whose fields
-// stand in another order. Cause: the old one took one value for the other's.
-func TestRowsOfAnotherVersionAreNotTaken(t *testing.T) {
+// While a new version of the daemons is rolled out, a daemon of the new version gives the
+// configuration to one of the old version, whose fields are in another order. If the old
+// one took one value for another, requests would for instance time out too early.
+func TestRowsOfAnotherVersionAreRejected(t *testing.T) {
 	type route struct {
 		Timeout, Target time.Duration
 	}
-	type routeOfNext struct {
+	type newRoute struct {
 		Target, Timeout time.Duration
 	}
-	next := &feedPart[routeOfNext]{}
-	rows := next.encode([]site.Item[routeOfNext]{{Key: "r", Value: routeOfNext{Timeout: 2, Target: 3}}}, 0, 1)
-	if got, err := decode[routeOfNext](rows.bytes); err != nil || got[0].Value.Target != 3 {
-		t.Fatalf("the same version got %v, %v", got, err)
+	newVersion := &feedTracker[newRoute]{}
+	rows := newVersion.encode([]site.Item[newRoute]{{Key: "r", Value: newRoute{Timeout: 2, Target: 3}}}, 0, 1)
+	if got, err := decode[newRoute](rows.bytes); err != nil || got[0].Value.Target != 3 {
+		t.Fatalf("the same version decoded %v, %v", got, err)
 	}
 	if got, err := decode[route](rows.bytes); err == nil {
-		t.Fatalf("the version before took %v", got)
+		t.Fatalf("the previous version accepted %v", got)
 	}
 }
 
-// Rows come over the network: whatever is cut or made up is an error, not a crash or a
-// process without memory.
+// Rows arrive over the network: truncated or forged rows must be an error, not a crash or
+// an exhaustion of memory.
 func FuzzRows(f *testing.F) {
-	p := &feedPart[fleet.Server]{}
+	tracker := &feedTracker[fleet.Server]{}
 	for _, n := range []int{1, 100} {
 		items := make([]site.Item[fleet.Server], n)
 		for i := range items {
 			items[i] = site.Item[fleet.Server]{Key: "k", Revision: 3, Value: benchServer(i)}
 		}
-		b := p.encode(items, 0, 4).bytes
+		b := tracker.encode(items, 0, 4).bytes
 		f.Add(b)
 		f.Add(b[:len(b)/2])
 	}
-	f.Add(append(shapeOf[fleet.Server]().head(formPlain), 0xdd, 0xff, 0xff, 0xff, 0xff))
+	f.Add(append(layoutHashOf[fleet.Server]().header(encodingPlain), 0xdd, 0xff, 0xff, 0xff, 0xff))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		items, err := decode[fleet.Server](b)
 		if err == nil && len(items) > len(b)*2000 {
@@ -117,14 +117,14 @@
 	})
 }
 
-func TestRowsKeepWhyOneCantBeRead(t *testing.T) {
-	p := &feedPart[fleet.Server]{}
-	rows := p.encode([]site.Item[fleet.Server]{{Key: "a", Revision: 1, Err: errStaleRead}}, 0, 1)
+func TestRowsKeepReadError(t *testing.T) {
+	tracker := &feedTracker[fleet.Server]{}
+	rows := tracker.encode([]site.Item[fleet.Server]{{Key: "a", Revision: 1, Err: errStaleRead}}, 0, 1)
 	got, err := decode[fleet.Server](rows.bytes)
 	if err != nil || len(got) != 1 || got[0].Err == nil || got[0].Err.Error() != errStaleRead.Error() {
 		t.Fatalf("got %+v, %v", got, err)
 	}
 	if _, err := decode[fleet.Server]([]byte("no rows")); err == nil {
-		t.Fatal("broken bytes were taken for rows")
+		t.Fatal("invalid bytes were decoded as rows")
 	}
 }
--- a/gateway/rowsknown.go
+++ b/gateway/rowsknown.go
@@ -2,61 +2,61 @@
 
 import "github.com/hibiscuswick/hibiscuswick/protocol/site"
 
-// mostRemoved bounds the removed rows that are remembered: with 630 restarts of servers a
-// day, or half of a site's replaced in 20 s, they reach back for longer than a daemon
-// misses announcements.
-const mostRemoved = 512
+// maxRemovedRows limits the removed rows that are remembered. With 630 server restarts a
+// day, or half of a site's servers replaced within 20 s, they cover more time than a daemon
+// can be without announcements.
+const maxRemovedRows = 512
 
-// rowsKnown are a feed's rows as they are known here, for daemons that lack some.
-type rowsKnown[T any] struct {
+// rowCache caches a feed's rows for daemons that lack some of them.
+type rowCache[T any] struct {
 	rows map[string]site.Item[T]
-	// removed are the last rows that were removed, the oldest first. All removals after
-	// the revision floor are among them.
-	removed []site.Item[T]
-	floor   uint64
+	// removed are the last rows that were removed, the oldest first. It contains all
+	// removals after the revision removedAfter.
+	removed      []site.Item[T]
+	removedAfter uint64
 }
 
-func newRowsKnown[T any]() rowsKnown[T] {
-	return rowsKnown[T]{rows: make(map[string]site.Item[T])}
+func newRowCache[T any]() rowCache[T] {
+	return rowCache[T]{rows: make(map[string]site.Item[T])}
 }
 
-// keep takes up changes, or all rows.
-func (k *rowsKnown[T]) keep(b site.Batch[T], whole bool) {
-	if whole {
-		clear(k.rows)
-		k.removed, k.floor = nil, b.Revision
+// update applies changes, or a complete set of rows.
+func (c *rowCache[T]) update(b site.Batch[T], complete bool) {
+	if complete {
+		clear(c.rows)
+		c.removed, c.removedAfter = nil, b.Revision
 	}
 	for _, it := range b.Items {
 		if !it.Removed {
-			k.rows[it.Key] = it
+			c.rows[it.Key] = it
 			continue
 		}
-		delete(k.rows, it.Key)
-		k.removed = append(k.removed, it)
-		if len(k.removed) > mostRemoved {
-			k.floor = max(k.floor, k.removed[0].Revision)
-			k.removed = k.removed[1:]
+		delete(c.rows, it.Key)
+		c.removed = append(c.removed, it)
+		if len(c.removed) > maxRemovedRows {
+			c.removedAfter = max(c.removedAfter, c.removed[0].Revision)
+			c.removed = c.removed[1:]
 		}
 	}
 }
 
-// forgotten reports whether what changed after a revision is not known any more.
-func (k *rowsKnown[T]) forgotten(revision uint64) bool {
-	return revision < k.floor || revision == 0
+// forgotten reports whether the changes after a revision are no longer known.
+func (c *rowCache[T]) forgotten(revision uint64) bool {
+	return revision < c.removedAfter || revision == 0
 }
 
-// after lists what changed after a revision, or all rows (true) where that is not known
-// any more.
-func (k *rowsKnown[T]) after(revision uint64) ([]site.Item[T], bool) {
-	whole := k.forgotten(revision)
+// after returns the changes after a revision, or all rows (true) if those changes are no
+// longer known.
+func (c *rowCache[T]) after(revision uint64) ([]site.Item[T], bool) {
+	complete := c.forgotten(revision)
 	var out []site.Item[T]
-	for _, it := range k.rows {
-		if whole || it.Revision > revision {
+	for _, it := range c.rows {
+		if complete || it.Revision > revision {
 			out = append(out, it)
 		}
 	}
-	if whole {
+	if complete {
 		return out, true
 	}
-	return append(out, since(k.removed, revision)...), false
+	return append(out, itemsAfter(c.removed, revision)...), false
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -15,51 +15,51 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// deadlineMargin is kept of a caller's time for the answer's way back.
+// deadlineMargin is reserved from the caller's timeout for the transfer of the answer.
 const deadlineMargin = 5 * time.Millisecond
 
-// reasonCrashes ends requests whose content has crashed servers.
+// reasonCrashes is the reason for failing requests whose content has crashed servers.
 const reasonCrashes relay.Reason = "crashes_servers"
 
-// run is one request on its way through the gateway.
-type run struct {
-	g        *Gateway
-	req      *Request
-	reply    Reply
-	view     *view
-	route    *fleet.Route
-	service  *fleet.Service
-	customer fleet.Customer
-	relay    relay.Retrier
-	relayMu  sync.Mutex // a stream's watch asks it from other goroutines
-	deadline time.Time  // the caller's or the route's, the earlier one
-	avoid    map[string]bool
-	after    string // id of the last event that the caller has
-	headed   bool   // the head of an answer was given
-	turned   admission.Rejections
-	permit   permitRequest
-	sends    int
-	at       string // address of the server of the attempt under way
-	pauses   pauses
-	own      *ownFailure // the last one, or nil
+// requestHandler is the state of one request in flight.
+type requestHandler struct {
+	g            *Gateway
+	req          *Request
+	reply        Reply
+	view         *view
+	route        *fleet.Route
+	service      *fleet.Service
+	customer     fleet.Customer
+	retrier      relay.Retrier
+	retrierMu    sync.Mutex // the timer callbacks of a stream use retrier from other goroutines
+	deadline     time.Time  // the earlier one of the caller's and the route's
+	excluded     map[string]bool
+	lastEventID  string // id of the last event that the caller has received
+	headSent     bool   // the header of an answer was written to the caller
+	rejections   admission.Rejections
+	permit       permitRequest
+	attemptCount int
+	address      string // address of the server of the current attempt
+	gaps         eventGaps
+	failure      *serverFailure // the last one, or nil
 }
 
-// Serve answers a request through its reply, or says in its result what the caller
-// is to be told. ctx ends when the caller leaves.
+// Serve writes the answer to a request to reply, or returns a result from which the caller
+// is answered. ctx ends when the caller disconnects.
 func (g *Gateway) Serve(ctx context.Context, req *Request, reply Reply) Result {
-	r := &run{g: g, req: req, reply: reply, view: g.current.Load(), after: req.LastEventID}
-	g.active.Add(1)
-	defer g.active.Add(-1)
+	r := &requestHandler{g: g, req: req, reply: reply, view: g.currentView.Load(), lastEventID: req.LastEventID}
+	g.activeRequests.Add(1)
+	defer g.activeRequests.Add(-1)
 	result := r.serve(ctx)
-	r.measure(result)
+	r.recordMetrics(result)
 	r.logEnd(result)
 	return result
 }
 
 // serve runs the stages: route, customer, admission, attempts.
-func (r *run) serve(ctx context.Context) Result {
-	if !r.awaitStart(ctx) {
-		return refused("no_configuration", admission.NotReady)
+func (r *requestHandler) serve(ctx context.Context) Result {
+	if !r.awaitReady(ctx) {
+		return refusedResult("no_configuration", admission.NotReady)
 	}
 	if res, ok := r.findRoute(); !ok {
 		return res
@@ -67,25 +67,25 @@
 	if res, ok := r.findCustomer(); !ok {
 		return res
 	}
-	if takes, why := r.g.takesStreams(r.req.Arrived); r.route.Stream && !takes {
-		return refused("draining", why)
+	if accepted, why := r.g.acceptsStream(r.req.Arrived); r.route.Stream && !accepted {
+		return refusedResult("draining", why)
 	}
-	r.limitTime()
-	r.relay = relay.Retrier{
+	r.setDeadline()
+	r.retrier = relay.Retrier{
 		Repeat:      r.route.Repeat,
 		MaxAttempts: r.route.MaxAttempts,
 		Deadline:    r.deadline,
 		SpendRetry: func(now time.Time) bool {
-			return r.g.book.spend(now, r.service.ID, r.view.sharers)
+			return r.g.shared.spendRetry(now, r.service.ID, r.view.slackShare)
 		},
 	}
-	r.g.book.request(r.req.Arrived, r.service.ID)
+	r.g.shared.recordRequest(r.req.Arrived, r.service.ID)
 	ctx, cancel := context.WithDeadlineCause(ctx, r.deadline, context.DeadlineExceeded)
 	defer cancel()
-	return r.attempts(ctx)
+	return r.runAttempts(ctx)
 }
 
-func (r *run) findRoute() (Result, bool) {
+func (r *requestHandler) findRoute() (Result, bool) {
 	route, ok := r.view.config.Lookup(r.req.Host, r.req.Path)
 	if !ok {
 		return Result{Outcome: NoRoute, Reason: "no_route"}, false
@@ -99,7 +99,7 @@
 	return Result{}, true
 }
 
-func (r *run) findCustomer() (Result, bool) {
+func (r *requestHandler) findCustomer() (Result, bool) {
 	keys := r.view.config.Keys
 	if keys == nil || r.route.Anonymous {
 		return Result{}, true
@@ -112,10 +112,10 @@
 	return Result{}, true
 }
 
-// limitTime sets the time by which the request has its final answer.
-func (r *run) limitTime() {
-	const forever = time.Hour
-	r.deadline = r.req.Arrived.Add(forever)
+// setDeadline sets the time by which the request needs its final answer.
+func (r *requestHandler) setDeadline() {
+	const unbounded = time.Hour
+	r.deadline = r.req.Arrived.Add(unbounded)
 	if r.req.CallerTimeout > 0 {
 		r.deadline = r.req.Arrived.Add(r.req.CallerTimeout - deadlineMargin)
 	}
@@ -131,104 +131,105 @@
 	return b
 }
 
-// attempts sends the request until it has its end.
-func (r *run) attempts(ctx context.Context) Result {
+// runAttempts repeats attempts until the request has a result.
+func (r *requestHandler) runAttempts(ctx context.Context) Result {
 	for {
-		if r.g.book.convicted(time.Now(), r.fingerprint) {
+		if r.g.shared.isBlocked(time.Now(), r.fingerprint) {
 			r.g.log.Emit(telemetry.EventRequestQuarantined, telemetry.Request(r.req.ID))
-			return r.failed(reasonCrashes)
+			return r.failedResult(reasonCrashes)
 		}
-		end, result := r.attempt(ctx)
-		if end == 0 {
+		outcome, result := r.attempt(ctx)
+		if outcome == 0 {
 			return result
 		}
-		d := r.afterAttempt(ctx, end)
+		d := r.decideNext(ctx, outcome)
 		if errors.Is(context.Cause(ctx), context.Canceled) {
 			return Result{Outcome: CallerLeft, Reason: "caller_left"}
 		}
 		switch {
 		case d.Retry:
-			r.view = r.g.current.Load()
-			r.g.metrics.CountReason(telemetry.GatewayRetriedTotal, endNames[end])
-			r.g.log.Emit(telemetry.EventRequestRetried, telemetry.Request(r.req.ID), telemetry.Detail(endNames[end]))
-		case d.PassFailure && r.own != nil:
-			return r.pass(r.own.answer, r.own.body)
+			r.view = r.g.currentView.Load()
+			r.g.metrics.CountReason(telemetry.GatewayRetriedTotal, attemptOutcomeNames[outcome])
+			r.g.log.Emit(telemetry.EventRequestRetried, telemetry.Request(r.req.ID), telemetry.Detail(attemptOutcomeNames[outcome]))
+		case d.PassFailure && r.failure != nil:
+			return r.forwardAnswer(r.failure.answer, r.failure.body)
 		case d.Refuse:
-			return refused(d.Reason, admission.Busy)
+			return refusedResult(d.Reason, admission.Busy)
 		default:
-			return r.failed(d.Reason)
+			return r.failedResult(d.Reason)
 		}
 	}
 }
 
-// afterAttempt decides what follows an attempt, for a stream that has begun once the retry
-// budget has room or its caller has left.
-func (r *run) afterAttempt(ctx context.Context, end relay.Outcome) relay.Decision {
+// decideNext decides what follows an attempt. For a stream that has begun it waits until
+// the retry budget allows another attempt or the caller disconnects.
+func (r *requestHandler) decideNext(ctx context.Context, outcome relay.Outcome) relay.Decision {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
-		return relay.Decision{} // the caller has left: nothing follows
+		return relay.Decision{} // the caller has disconnected: no further attempt
 	}
-	d := r.ended(end)
+	d := r.attemptEnded(outcome)
 	for d.RetryLater && ctx.Err() == nil {
-		pause(ctx, budgetStep)
-		d = r.later()
+		sleep(ctx, budgetPollInterval)
+		d = r.reconsider()
 	}
 	return d
 }
 
-// ended decides what follows an attempt.
-func (r *run) ended(end relay.Outcome) relay.Decision {
-	r.relayMu.Lock()
-	defer r.relayMu.Unlock()
-	return r.relay.AttemptEnded(time.Now(), end, r.at)
+// attemptEnded reports the outcome of an attempt to the retrier and returns its decision.
+func (r *requestHandler) attemptEnded(outcome relay.Outcome) relay.Decision {
+	r.retrierMu.Lock()
+	defer r.retrierMu.Unlock()
+	return r.retrier.AttemptEnded(time.Now(), outcome, r.address)
 }
 
-// budgetStep is how often a stream that waits for the retry budget looks again: callers leave
-// it after 2 s, and the budget regains its share of some 60 requests a second.
-const budgetStep = 50 * time.Millisecond
+// budgetPollInterval is how often a stream that waits for the retry budget checks it again:
+// callers give up after 2 s, and the budget regains its ratio of about 60 requests per
+// second.
+const budgetPollInterval = 50 * time.Millisecond
 
-// later decides anew, where the retry budget had no room.
-func (r *run) later() relay.Decision {
-	r.relayMu.Lock()
-	defer r.relayMu.Unlock()
-	return r.relay.Reconsider(time.Now())
+// reconsider repeats the decision after the retry budget was empty.
+func (r *requestHandler) reconsider() relay.Decision {
+	r.retrierMu.Lock()
+	defer r.retrierMu.Unlock()
+	return r.retrier.Reconsider(time.Now())
 }
 
-// mayGoOn reports whether another attempt follows if the one under way at a server
-// is given up, and takes it from the budget.
-func (r *run) mayGoOn(server string) bool {
-	r.relayMu.Lock()
-	defer r.relayMu.Unlock()
-	return r.relay.ReserveRetry(time.Now(), server)
+// reserveRetry reports whether another attempt follows if the current one at a server is
+// abandoned, and if so takes that retry from the budget.
+func (r *requestHandler) reserveRetry(server string) bool {
+	r.retrierMu.Lock()
+	defer r.retrierMu.Unlock()
+	return r.retrier.ReserveRetry(time.Now(), server)
 }
 
-// last reports whether the attempt under way at a server is the last that a further
-// server may run.
-func (r *run) last(server string) bool {
-	r.relayMu.Lock()
-	defer r.relayMu.Unlock()
-	return r.relay.IsLastAttempt(server)
+// isLastAttempt reports whether no further server may run the request after the current
+// attempt.
+func (r *requestHandler) isLastAttempt(server string) bool {
+	r.retrierMu.Lock()
+	defer r.retrierMu.Unlock()
+	return r.retrier.IsLastAttempt(server)
 }
 
-// given notes that a part of an answer has reached the caller.
-func (r *run) given() {
-	r.relayMu.Lock()
-	defer r.relayMu.Unlock()
-	r.relay.MarkPartDelivered()
+// markPartDelivered records that a part of an answer has reached the caller.
+func (r *requestHandler) markPartDelivered() {
+	r.retrierMu.Lock()
+	defer r.retrierMu.Unlock()
+	r.retrier.MarkPartDelivered()
 }
 
-// endNames are the ends of attempts in log lines.
-var endNames = map[relay.Outcome]string{
+// attemptOutcomeNames are the outcomes of attempts in logs and metrics.
+var attemptOutcomeNames = map[relay.Outcome]string{
 	relay.NotSent: "not_sent",
 	relay.NotRun:  "not_run",
 	relay.Broken:  "broken",
 	relay.Errored: "errored",
 }
 
-// failed is the result of a request that can't be answered and may have run.
-func (r *run) failed(reason relay.Reason) Result {
+// failedResult is the result of a request that can't be answered and may have run.
+func (r *requestHandler) failedResult(reason relay.Reason) Result {
 	outcome := Failed
 	switch {
-	case r.headed:
+	case r.headSent:
 		r.reply.Abort()
 		outcome = Truncated
 	case reason == relay.ReasonDeadline:
@@ -237,34 +238,34 @@
 	return Result{Outcome: outcome, Reason: string(reason)}
 }
 
-// refused is the result of a request that has not run and won't.
-func refused(reason relay.Reason, why admission.Refusal) Result {
+// refusedResult is the result of a request that has not run and will not run.
+func refusedResult(reason relay.Reason, why admission.Refusal) Result {
 	return Result{Outcome: Refused, Reason: string(reason), RetryAfter: why.RetryAfter()}
 }
 
-// noServer is the result of a request that no server can take.
-func (r *run) noServer(why admission.Refusal) (relay.Outcome, Result) {
-	if r.relay.NeverRan() && !r.headed {
-		if r.permit.waits() {
-			return 0, r.refusedLimited()
+// noServerResult is the result of a request for which no server is available.
+func (r *requestHandler) noServerResult(why admission.Refusal) (relay.Outcome, Result) {
+	if r.retrier.NeverRan() && !r.headSent {
+		if r.permit.queued() {
+			return 0, r.rateLimitedResult()
 		}
-		return 0, refused(relay.ReasonNoServer, why)
+		return 0, refusedResult(relay.ReasonNoServer, why)
 	}
-	return 0, r.failed(relay.ReasonNoServer)
+	return 0, r.failedResult(relay.ReasonNoServer)
 }
 
-// attempt sends the request once. It returns how that ended, or 0 with the result
-// of the request.
-func (r *run) attempt(ctx context.Context) (relay.Outcome, Result) {
-	r.sends++
+// attempt sends the request once. It returns the outcome, or 0 with the result of the
+// request.
+func (r *requestHandler) attempt(ctx context.Context) (relay.Outcome, Result) {
+	r.attemptCount++
 	if r.service.Engine != nil {
 		return r.attemptPath(ctx)
 	}
 	return r.attemptPlain(ctx)
 }
 
-// call fills in a call to a server.
-func (r *run) call(s state.BackendID, address string) backend.Call {
+// newCall builds the call to a server.
+func (r *requestHandler) newCall(s state.BackendID, address string) backend.Call {
 	return backend.Call{
 		Server:    s,
 		Address:   address,
@@ -274,43 +275,45 @@
 		Header:    r.req.Header,
 		Body:      r.req.Body,
 		Customer:  r.customer.ID,
-		Left:      r.left(),
-		After:     r.after,
+		Left:      r.timeLeft(),
+		After:     r.lastEventID,
 		Rank:      r.rank(),
-		Keep:      r.keep(),
+		Keep:      r.maxIdleConns(),
 	}
 }
 
-// keptShare is the part of the connections that a server takes which all daemons together may
-// keep idle; the rest is for requests.
-const keptShare = 0.5
+// idleConnShare is the fraction of a server's maximum number of connections that all
+// daemons together may keep idle; the rest is for requests.
+const idleConnShare = 0.5
 
-// keep is how many idle connections to a server this daemon may keep; 0 for no bound.
+// maxIdleConns is how many idle connections to a server this daemon may keep; 0 for no
+// limit.
 //
-// Guard (connections-kept): a server bounds the connections of all callers together and resets
-// those beyond. Were each daemon to keep as many as suit it, bursts would leave a server with
-// idle connections only, and requests that need a new one would be reset.
-func (r *run) keep() int {
-	daemons := max(r.view.sharers.Daemons, r.view.live, 1)
+// Guard (connections-kept): a server limits the connections of all callers together and
+// resets those beyond the limit. If each daemon kept as many as it liked, bursts would
+// leave a server with idle connections only, and requests that need a new one would be
+// reset.
+func (r *requestHandler) maxIdleConns() int {
+	daemons := max(r.view.slackShare.Daemons, r.view.live, 1)
 	if r.service.MaxConns <= 0 {
 		return 0
 	}
-	return max(1, int(keptShare*float64(r.service.MaxConns)/float64(daemons)))
+	return max(1, int(idleConnShare*float64(r.service.MaxConns)/float64(daemons)))
 }
 
-// left is what is left of the request's time, 0 where neither its caller nor its
-// route bounds it.
-func (r *run) left() time.Duration {
+// timeLeft is the time until the deadline, or 0 if neither the caller nor the route sets
+// one.
+func (r *requestHandler) timeLeft() time.Duration {
 	if r.req.CallerTimeout <= 0 && r.route.Timeout <= 0 {
 		return 0
 	}
 	return time.Until(r.deadline)
 }
 
-// maxRank is the least urgent rank that servers know.
+// maxRank is the least urgent rank that servers accept.
 const maxRank = 9
 
-func (r *run) rank() int {
+func (r *requestHandler) rank() int {
 	rank := r.route.Rank
 	if r.customer.Ranked {
 		rank = r.customer.Rank
@@ -318,33 +321,34 @@
 	return min(max(rank, 0), maxRank)
 }
 
-// sendFailed is the end of an attempt whose call to a server failed. One that this
-// daemon gave up itself, or its caller, is held against nobody.
-func (r *run) sendFailed(ctx context.Context, err error, server state.Life, address string) relay.Outcome {
-	end := relay.Broken
+// handleSendError returns the outcome of an attempt whose call to a server failed. A call
+// that was canceled by this daemon or by its caller does not count against the server.
+func (r *requestHandler) handleSendError(ctx context.Context, err error, server state.Life, address string) relay.Outcome {
+	outcome := relay.Broken
 	if errors.Is(err, backend.ErrNotSent) {
-		end = relay.NotSent
+		outcome = relay.NotSent
 	}
 	if ctx.Err() != nil {
-		r.avoidFrom(address)
-		return end
+		r.exclude(address)
+		return outcome
 	}
-	r.blame(address)
-	if end == relay.Broken {
+	r.recordFailure(address)
+	if outcome == relay.Broken {
 		r.implicate(server, address)
 	}
-	return end
+	return outcome
 }
 
-// blame has a server avoided, by this request for good and by others for a while.
-func (r *run) blame(address string) {
-	r.avoidFrom(address)
-	r.g.book.failed(time.Now(), address)
+// recordFailure excludes a server for the rest of this request, and reports its failure so
+// that other requests avoid it for a while.
+func (r *requestHandler) recordFailure(address string) {
+	r.exclude(address)
+	r.g.shared.recordFailure(time.Now(), address)
 }
 
-func (r *run) avoidFrom(address string) {
-	if r.avoid == nil {
-		r.avoid = make(map[string]bool)
+func (r *requestHandler) exclude(address string) {
+	if r.excluded == nil {
+		r.excluded = make(map[string]bool)
 	}
-	r.avoid[address] = true
+	r.excluded[address] = true
 }
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -6,27 +6,26 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Settings is what a gateway is told about itself and its site. Addresses are
-// host:port.
+// Settings configures a gateway and names its site's services. Addresses are host:port.
 type Settings struct {
 	ID     state.DaemonID
 	Domain state.FailureDomain
 	Region state.Region
 
-	CallerAddress    string // where callers send requests
-	ReadinessAddress string // where the platform asks whether the daemon is ready
-	DirectoryAddress string // where callers ask for addresses; "" for not here
-	PeerAddress      string // where other daemons connect
+	CallerAddress    string // listener for callers' requests
+	ReadinessAddress string // listener for the platform's readiness check
+	DirectoryAddress string // listener for callers' address queries; "" for none
+	PeerAddress      string // listener for other daemons
 	StoreAddress     string // the site's table service
-	MetricsAddress   string // where counters are read; "" for nowhere
+	MetricsAddress   string // listener for metrics and status; "" for none
 
-	MemoryMB       int // beyond which the process is ended
-	MaxDescriptors int // open at one time; 0 for no bound
+	MemoryMB       int // memory limit beyond which the platform kills the process
+	MaxDescriptors int // limit of open descriptors; 0 for no limit
 
-	DrainTimeout time.Duration // from a planned stop's signal to its end
-	AddressTTL   time.Duration // longest time that callers keep an answer
+	DrainTimeout time.Duration // from the signal of a planned stop to the end of the process
+	AddressTTL   time.Duration // longest time that callers may cache an address answer
 
-	BudgetRatio  float64 // retries for each request
+	BudgetRatio  float64 // retries per request
 	BudgetWindow time.Duration
-	BudgetSlack  float64 // retries of all daemons in a window, beyond the ratio
+	BudgetSlack  float64 // retries of all daemons per window, in addition to the ratio
 }
--- a/gateway/shape.go
+++ b/gateway/shape.go
@@ -8,43 +8,44 @@
 	"reflect"
 )
 
-// shape is a fingerprint of a type's fields, their order and their types.
+// layoutHash is a hash of a type's fields, their order and their types.
 //
-// Guard (rows-of-another-version): rows go without the names of their fields. While daemons of
-// two versions run, one whose fields differ would take a value for another field's, such as a
-// limit for a timeout. It reads rows of another shape from the store instead.
-type shape uint64
+// Guard (rows-of-another-version): rows are encoded without the names of their fields.
+// While daemons of two versions run, a daemon whose type has other fields would take one
+// field's value for another's, such as a limit for a timeout. It reads rows with another
+// layout hash from the store instead.
+type layoutHash uint64
 
-// shapeOf is the shape of a type.
-func shapeOf[T any]() shape {
+// layoutHashOf returns the layout hash of a type.
+func layoutHashOf[T any]() layoutHash {
 	h := fnv.New64a()
-	describe(h, reflect.TypeFor[T](), make(map[reflect.Type]bool))
-	return shape(h.Sum64())
+	hashLayout(h, reflect.TypeFor[T](), make(map[reflect.Type]bool))
+	return layoutHash(h.Sum64())
 }
 
-// describe writes a type's fields, and those of the types in it.
-func describe(w io.Writer, t reflect.Type, seen map[reflect.Type]bool) {
-	_, _ = fmt.Fprint(w, t.Kind(), " ") // a hash takes everything
+// hashLayout writes a type's fields, and those of the types in it, to w.
+func hashLayout(w io.Writer, t reflect.Type, seen map[reflect.Type]bool) {
+	_, _ = fmt.Fprint(w, t.Kind(), " ") // writing to a hash never fails
 	if seen[t] {
 		return
 	}
 	seen[t] = true
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
-		describe(w, t.Elem(), seen)
+		hashLayout(w, t.Elem(), seen)
 	case reflect.Map:
-		describe(w, t.Key(), seen)
-		describe(w, t.Elem(), seen)
+		hashLayout(w, t.Key(), seen)
+		hashLayout(w, t.Elem(), seen)
 	case reflect.Struct:
 		for f := range t.Fields() {
 			_, _ = fmt.Fprint(w, f.Name, ":")
-			describe(w, f.Type, seen)
+			hashLayout(w, f.Type, seen)
 		}
 	default:
 	}
 }
 
-// head is the form and the shape as they stand before rows.
-func (s shape) head(f form) []byte {
-	return binary.BigEndian.AppendUint64([]byte{byte(f)}, uint64(s))
+// header returns the encoding and the layout hash that precede the rows.
+func (h layoutHash) header(encoding rowEncoding) []byte {
+	return binary.BigEndian.AppendUint64([]byte{byte(encoding)}, uint64(h))
 }
--- a/gateway/sharers.go
+++ b/gateway/sharers.go
@@ -6,38 +6,40 @@
 	"github.com/hibiscuswick/hibiscuswick/coordination/retrybudget"
 )
 
-// mostMemory is how long daemons that are no longer seen count among those that share
-// the retry budget: they may be alive beyond a break, and spend their parts.
-const mostMemory = 30 * time.Second
+// maxLiveTTL is how long daemons that are no longer seen still count as sharing the retry
+// budget: they may be alive on the other side of a network partition and spend their
+// shares.
+const maxLiveTTL = 30 * time.Second
 
-// sharers are the daemons that share the retry budget. One that sees no other has
-// lost them or has not found them yet: it goes by the table, where gone ones are too.
-func (p *membersPart) sharers() retrybudget.SlackShare {
-	live := p.c.view.live
-	if live >= p.most || p.c.now.Sub(p.mostAt) > mostMemory {
-		p.most, p.mostAt = live, p.c.now
+// slackShare returns how the slack of the retry budget is shared. A daemon that sees no
+// other has lost or not yet found them: it then uses the number of rows in the table of
+// members, which includes departed daemons.
+func (m *membersState) slackShare() retrybudget.SlackShare {
+	live := m.c.view.live
+	if live >= m.maxLive || m.c.now.Sub(m.maxLiveAt) > maxLiveTTL {
+		m.maxLive, m.maxLiveAt = live, m.c.now
 	}
-	out := retrybudget.SlackShare{Daemons: p.rows, Restarted: p.anew()}
-	if p.most > 1 {
-		out.Daemons = p.most
+	out := retrybudget.SlackShare{Daemons: m.rowCount, Restarted: m.restartedTogether()}
+	if m.maxLive > 1 {
+		out.Daemons = m.maxLive
 	}
 	return out
 }
 
-// anew reports whether this daemon began within the last window of the budget, as many
-// others did. Lives are numbered by the time of day at which they began; one that
-// jumps by some seconds in between makes little difference.
-func (p *membersPart) anew() bool {
-	g := p.c.g
-	window := g.set().BudgetWindow
-	if g.steady(p.c.now) >= window {
+// restartedTogether reports whether this daemon started within the last window of the
+// budget, together with many others. Incarnations are numbered by the wall clock at their
+// start; a clock that jumps by a few seconds in between makes little difference.
+func (m *membersState) restartedTogether() bool {
+	g := m.c.g
+	window := g.currentSettings().BudgetWindow
+	if g.sinceStart(m.c.now) >= window {
 		return false
 	}
-	young := 0
-	for _, i := range p.c.view.members.Members {
+	recent := 0
+	for _, i := range m.c.view.members.Members {
 		if i.Live() && time.Duration(int64(g.self.Incarnation)-int64(i.Member.Incarnation)).Abs() < window {
-			young++
+			recent++
 		}
 	}
-	return float64(young) > retrybudget.RestartedFraction*float64(max(p.most, p.rows))
+	return float64(recent) > retrybudget.RestartedFraction*float64(max(m.maxLive, m.rowCount))
 }
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -15,12 +15,12 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// Status is what a gateway goes by at one moment. It holds no caller's key.
+// Status is a snapshot of the state that a gateway uses. It contains no API keys.
 type Status struct {
 	Daemon   state.DaemonID  `json:"daemon"`
 	Ready    bool            `json:"ready"`
 	Draining bool            `json:"draining"`
-	Streams  int             `json:"streams"` // that it passes on
+	Streams  int             `json:"streams"` // streams in flight
 	Config   FeedStatus      `json:"config"`
 	Servers  FeedStatus      `json:"servers"`
 	Lease    LeaseStatus     `json:"lease"`
@@ -28,22 +28,22 @@
 	Services []ServiceStatus `json:"services"`
 }
 
-// FeedStatus is how current a gateway's view of a feed is.
+// FeedStatus says how current a gateway's view of a feed is.
 type FeedStatus struct {
 	Version    uint64  `json:"version,omitempty"` // of the configuration
 	Revision   uint64  `json:"revision"`
-	AgeSeconds float64 `json:"age_seconds"` // since it was known to be the newest
+	AgeSeconds float64 `json:"age_seconds"` // time since the view was known to be current
 	Source     string  `json:"source"`
 }
 
-// LeaseStatus is this gateway's part in ordering layers.
+// LeaseStatus is this gateway's role in the layer assignment.
 type LeaseStatus struct {
 	Held          bool                `json:"held"`
 	Fence         state.FencingNumber `json:"fence,omitempty"`
 	PendingOrders int                 `json:"orders_under_way"`
 }
 
-// MemberStatus is one gateway as this one sees it.
+// MemberStatus is one gateway as seen by this one.
 type MemberStatus struct {
 	ID       state.DaemonID      `json:"id"`
 	State    string              `json:"state"`
@@ -58,12 +58,12 @@
 	Layers          int                   `json:"layers,omitempty"` // of its model
 	UncoveredLayers int                   `json:"uncovered"`        // layers that no server holds
 	CompleteDomains []state.FailureDomain `json:"whole"`            // domains that hold every layer by themselves
-	RetriesLeft     int                   `json:"retries_left"`     // of this gateway's part of the budget
+	RetriesLeft     int                   `json:"retries_left"`     // of this gateway's share of the budget
 	Servers         []ServerStatus        `json:"servers"`
-	LayerCopies     map[string]int        `json:"copies,omitempty"` // of each run of layers, by "FROM-TO"
+	LayerCopies     map[string]int        `json:"copies,omitempty"` // number of copies of each range of layers, by "FROM-TO"
 }
 
-// ServerStatus is one backend server as this gateway sees it.
+// ServerStatus is one backend server as seen by this gateway.
 type ServerStatus struct {
 	ID             state.BackendID     `json:"id"`
 	Address        string              `json:"address"`
@@ -72,30 +72,30 @@
 	Layers         string              `json:"layers,omitempty"`
 	Draining       bool                `json:"draining"`
 	Dead           bool                `json:"dead"`            // it answers no probe
-	Avoided        bool                `json:"avoided"`         // it failed of late
-	Outdated       bool                `json:"outdated"`        // it has contradicted its entry
-	Refusing       bool                `json:"refusing"`        // it is leaving, and not listed so
-	Limit          string              `json:"limit,omitempty"` // of requests that it names
+	Avoided        bool                `json:"avoided"`         // it failed recently
+	Outdated       bool                `json:"outdated"`        // it has contradicted its list entry
+	Refusing       bool                `json:"refusing"`        // it is leaving, and not listed as such
+	Limit          string              `json:"limit,omitempty"` // the request limit that it names
 	Requests       float64             `json:"requests"`
-	ReservedTokens float64             `json:"tokens"`         // held for this gateway's requests
+	ReservedTokens float64             `json:"tokens"`         // reserved for this gateway's requests
 	CapacityTokens int                 `json:"room,omitempty"` // for the tokens of all gateways
 }
 
-// Status returns what the gateway goes by. ctx bounds the wait for its control
+// Status returns a snapshot of the gateway's state. ctx limits the wait for the control
 // goroutine.
 func (g *Gateway) Status(ctx context.Context) (Status, error) {
 	now := time.Now()
-	v := g.current.Load()
+	v := g.currentView.Load()
 	s := Status{Daemon: g.self.ID, Ready: v.ready(), Draining: v.draining}
-	s.Streams, _ = g.book.sizes()
-	asked := make(chan struct{})
-	go g.control.post(func() { // it may wait for room in the inbox for longer than ctx
-		s.Config, s.Servers = g.control.configs.status(now), g.control.entries.status(now)
-		s.Lease = g.control.duty.status(now)
-		close(asked)
+	s.Streams, _ = g.shared.counts()
+	answered := make(chan struct{})
+	go g.control.post(func() { // the inbox may be full for longer than ctx lasts
+		s.Config, s.Servers = g.control.configFeed.status(now), g.control.serverFeed.status(now)
+		s.Lease = g.control.assignment.status(now)
+		close(answered)
 	})
 	select {
-	case <-asked:
+	case <-answered:
 	case <-ctx.Done():
 		return Status{}, ctx.Err()
 	case <-g.done:
@@ -109,7 +109,7 @@
 			ID: i.Member.ID, State: i.State.String(), Draining: i.Draining, Address: i.Meta.CallerAddress, Domain: i.Meta.Domain,
 		})
 	}
-	s.Services = g.book.services(now, v)
+	s.Services = g.shared.services(now, v)
 	return s, nil
 }
 
@@ -122,87 +122,88 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(s) // whoever asked has left
+		_ = json.NewEncoder(w).Encode(s) // the client has disconnected
 	})
 }
 
-// status is how current this part's view is.
-func (p *feedPart[T]) status(now time.Time) FeedStatus {
-	revision, _ := p.m.Revision()
+// status returns how current this feed is.
+func (f *feedTracker[T]) status(now time.Time) FeedStatus {
+	revision, _ := f.machine.Revision()
 	return FeedStatus{
 		Revision:   revision,
-		AgeSeconds: p.m.Age(now).Seconds(),
-		Source:     sourceNames[following.Mode(p.mode.Load())],
+		AgeSeconds: f.machine.Age(now).Seconds(),
+		Source:     sourceNames[following.Mode(f.mode.Load())],
 	}
 }
 
-// status is this daemon's part in ordering layers.
-func (p *dutyPart) status(now time.Time) LeaseStatus {
-	s := LeaseStatus{Held: p.m.HoldsLease(now), PendingOrders: p.m.PendingOrders()}
-	if s.Held {
-		s.Fence = p.m.Fence()
+// status returns this daemon's role in the layer assignment.
+func (s *assignmentState) status(now time.Time) LeaseStatus {
+	status := LeaseStatus{Held: s.machine.HoldsLease(now), PendingOrders: s.machine.PendingOrders()}
+	if status.Held {
+		status.Fence = s.machine.Fence()
 	}
-	return s
+	return status
 }
 
-// services lists all services of a view, by name.
-func (b *book) services(now time.Time, v *view) []ServiceStatus {
+// services returns all services of a view, ordered by name.
+func (s *sharedState) services(now time.Time, v *view) []ServiceStatus {
 	if v.config == nil {
 		return nil
 	}
 	var out []ServiceStatus
 	for id, svc := range v.config.Services {
-		s := b.service(now, v, &svc)
-		slices.SortFunc(s.Servers, func(x, y ServerStatus) int { return strings.Compare(x.Address, y.Address) })
+		status := s.service(now, v, &svc)
+		slices.SortFunc(status.Servers, func(x, y ServerStatus) int { return strings.Compare(x.Address, y.Address) })
 		if svc.Engine != nil {
-			s.cover(svc.Engine, v.servers[id])
+			status.setCoverage(svc.Engine, v.servers[id])
 		}
-		out = append(out, s)
+		out = append(out, status)
 	}
 	slices.SortFunc(out, func(x, y ServiceStatus) int { return strings.Compare(string(x.ID), string(y.ID)) })
 	return out
 }
 
-// service is what is known of a service and its servers, in any order.
-func (b *book) service(now time.Time, v *view, svc *fleet.Service) ServiceStatus {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	avoided := b.suspects.Avoided(now)
-	s := ServiceStatus{ID: svc.ID, RetriesLeft: b.budget.Left(now, svc.ID, v.sharers)}
+// service returns the state of a service and its servers, in any order.
+func (s *sharedState) service(now time.Time, v *view, svc *fleet.Service) ServiceStatus {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	avoided := s.suspects.Avoided(now)
+	status := ServiceStatus{ID: svc.ID, RetriesLeft: s.budget.Left(now, svc.ID, v.slackShare)}
 	for i := range v.servers[svc.ID] {
-		s.Servers = append(s.Servers, b.server(now, &v.servers[svc.ID][i], svc.Engine, avoided))
+		status.Servers = append(status.Servers, s.server(now, &v.servers[svc.ID][i], svc.Engine, avoided))
 	}
-	return s
+	return status
 }
 
-func (b *book) server(now time.Time, s *fleet.Server, e *fleet.Engine, avoided map[string]bool) ServerStatus {
-	load := b.load(s.Life())
+func (s *sharedState) server(now time.Time, srv *fleet.Server, e *fleet.Engine, avoided map[string]bool) ServerStatus {
+	load := s.loadOn(srv.Life())
 	out := ServerStatus{
-		ID: s.ID, Address: s.Address, Domain: s.Domain, Kind: s.Kind, Draining: s.Draining,
-		Dead: b.buried[s.Address], Avoided: avoided[s.Address], Outdated: b.suspects.IsOutdated(now, s),
-		Refusing: b.suspects.IsLeaving(now, s.Life()),
+		ID: srv.ID, Address: srv.Address, Domain: srv.Domain, Kind: srv.Kind, Draining: srv.Draining,
+		Dead: s.dead[srv.Address], Avoided: avoided[srv.Address], Outdated: s.suspects.IsOutdated(now, srv),
+		Refusing: s.suspects.IsLeaving(now, srv.Life()),
 		Requests: load.Requests, ReservedTokens: load.Tokens,
 	}
-	if limit := b.permits.LimitOf(s.Life()); limit.Named {
+	if limit := s.permits.LimitOf(srv.Life()); limit.Named {
 		out.Limit = limit.String()
 	}
-	if e != nil && s.Layers.Len() > 0 {
-		out.Layers = s.Layers.String()
-		out.CapacityTokens = e.Room(e.Kinds[s.Kind], s.Layers.Len())
+	if e != nil && srv.Layers.Len() > 0 {
+		out.Layers = srv.Layers.String()
+		out.CapacityTokens = e.Room(e.Kinds[srv.Kind], srv.Layers.Len())
 	}
 	return out
 }
 
-// cover fills in which layers are held how often, and by which domains whole.
-func (s *ServiceStatus) cover(e *fleet.Engine, servers []fleet.Server) {
+// setCoverage sets the layer coverage: the copies of each layer, and the domains that hold
+// all layers.
+func (s *ServiceStatus) setCoverage(e *fleet.Engine, servers []fleet.Server) {
 	s.Layers = e.Layers
-	for d, in := range lo.GroupBy(servers, func(x fleet.Server) state.FailureDomain { return x.Domain }) {
-		if cover(e, in).Whole() {
+	for d, members := range lo.GroupBy(servers, func(x fleet.Server) state.FailureDomain { return x.Domain }) {
+		if layerCoverage(e, members).Whole() {
 			s.CompleteDomains = append(s.CompleteDomains, d)
 		}
 	}
 	slices.Sort(s.CompleteDomains)
-	all := cover(e, servers)
+	all := layerCoverage(e, servers)
 	s.UncoveredLayers = all.Missing()
 	s.LayerCopies = make(map[string]int)
 	for from := 0; from < e.Layers; {
--- a/gateway/status_test.go
+++ b/gateway/status_test.go
@@ -16,24 +16,24 @@
 )
 
 var _ = Describe("A gateway's status", func() {
-	It("shows the layout, the cover and what the gateway goes by, and no caller's key", func() {
-		r := newRig()
-		r.fill()
+	It("shows the layer assignment, the coverage and the gateway's snapshot, and no API key", func() {
+		h := newHarness()
+		h.populate()
 		e0 := engineNamed("e0")
 		e0.Layers, e0.Draining = fleet.Range{From: 0, To: 4}, true
-		r.listed.set("e0", e0)
+		h.serverFeed.set("e0", e0)
 		var s gateway.Status
 		var text string
 		Eventually(func(g Gomega) {
 			w := httptest.NewRecorder()
-			r.gateway.StatusHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/status", nil))
+			h.gateway.StatusHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/status", nil))
 			g.Expect(w.Code).To(Equal(http.StatusOK))
 			text = w.Body.String()
 			s = gateway.Status{}
 			g.Expect(json.Unmarshal(w.Body.Bytes(), &s)).To(Succeed())
 			g.Expect(s.Services).To(HaveLen(2))
 			g.Expect(s.Services[1].CompleteDomains).To(Equal([]state.FailureDomain{"b"}))
-		}).WithTimeout(patience).Should(Succeed())
+		}).WithTimeout(eventuallyTimeout).Should(Succeed())
 		Expect(s.Daemon).To(BeEquivalentTo("g1"))
 		Expect(s.Ready).To(BeTrue())
 		Expect(s.Config.Version).To(BeEquivalentTo(1))
@@ -48,14 +48,14 @@
 		Expect(strings.Contains(text, "secret")).To(BeFalse())
 	})
 
-	It("is refused once the gateway has ended", func() {
-		r := newRig()
-		r.gateway.Close()
+	It("is unavailable once the gateway is closed", func() {
+		h := newHarness()
+		h.gateway.Close()
 		w := httptest.NewRecorder()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			r.gateway.StatusHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/status", nil))
+			h.gateway.StatusHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/status", nil))
 		}()
 		Eventually(done).WithTimeout(2 * time.Second).Should(BeClosed())
 		Expect(w.Code).To(Equal(http.StatusServiceUnavailable))
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -15,187 +15,191 @@
 )
 
 const (
-	// readSize is enough for some events at once: usual ones have under 100 bytes.
+	// readSize has room for several events at once: usual events have less than 100 bytes.
 	readSize = 4 << 10
-	// leastShare and mostShare are the parts of a route's longest pause after which
-	// a hop counts as silent, by how long it is usually quiet. What is left of the
-	// pause is needed to go on elsewhere: a probe and a prompt, some 100 ms.
-	leastShare = 5
-	mostShare  = 2
-	// lookShare is the part after which a stream that is still silent looks again.
-	lookShare = 8
-	// firstShare is the same part of the target for the first event.
-	firstShare = 2
+	// minSilenceDivisor and maxSilenceDivisor divide a route's longest allowed gap. A hop
+	// counts as silent after the resulting time; where in this range depends on how long
+	// the hop is usually quiet. The rest of the gap is needed to resume on another engine:
+	// a probe and a prompt, about 100 ms.
+	minSilenceDivisor = 5
+	maxSilenceDivisor = 2
+	// recheckDivisor divides the gap in the same way: the interval at which a stalled stream
+	// is checked again.
+	recheckDivisor = 8
+	// firstEventDivisor divides the latency target in the same way, for the first event.
+	firstEventDivisor = 2
 )
 
-// stream passes one answer's events on, whole ones only, so that another engine's
-// events can follow the last one.
+// stream forwards the events of one answer, complete ones only, so that another engine can
+// continue after the last one.
 type stream struct {
-	r      *run
+	r      *requestHandler
 	path   fleet.Path
 	answer *backend.Answer
 	cancel context.CancelFunc
 
-	watch  *suspect.Stream
-	timer  *time.Timer
-	frames frames
-	events int
-	last   atomic.Int64 // when the last event came, in steady ns
-	lost   atomic.Bool  // the answer was given up although all hops live
-	ending atomic.Bool  // it was given up, or has ended
+	tracked     *suspect.Stream
+	timer       *time.Timer
+	buffer      eventBuffer
+	events      int
+	lastEventAt atomic.Int64 // when the last event arrived, in ns since start
+	answerLost  atomic.Bool  // the answer was abandoned although all hops are alive
+	ending      atomic.Bool  // the answer was abandoned or has ended
 }
 
-func newStream(r *run, path fleet.Path, answer *backend.Answer, cancel context.CancelFunc) *stream {
+func newStream(r *requestHandler, path fleet.Path, answer *backend.Answer, cancel context.CancelFunc) *stream {
 	s := &stream{r: r, path: path, answer: answer, cancel: cancel}
-	s.last.Store(int64(r.g.steady(time.Now())))
-	s.watch = r.g.book.follow(time.Now(), path)
-	r.g.book.join(s)
+	s.lastEventAt.Store(int64(r.g.sinceStart(time.Now())))
+	s.tracked = r.g.shared.trackStream(time.Now(), path)
+	r.g.shared.addStream(s)
 	return s
 }
 
-// since is how long ago the last event came.
-func (s *stream) since(now time.Time) time.Duration {
-	return s.r.g.steady(now) - time.Duration(s.last.Load())
+// sinceLastEvent returns the time since the last event.
+func (s *stream) sinceLastEvent(now time.Time) time.Duration {
+	return s.r.g.sinceStart(now) - time.Duration(s.lastEventAt.Load())
 }
 
 func (s *stream) close() {
 	s.ending.Store(true)
-	s.r.g.book.leave(s)
+	s.r.g.shared.removeStream(s)
 	if s.timer != nil {
 		s.timer.Stop()
 	}
 }
 
-// pump passes events on until the answer ends.
-func (s *stream) pump() (relay.Outcome, Result) {
+// forward forwards events until the answer ends.
+func (s *stream) forward() (relay.Outcome, Result) {
 	buf := make([]byte, readSize)
-	s.arm()
+	s.resetTimer()
 	for {
 		n, err := s.answer.Body.Read(buf)
 		if n > 0 {
-			if werr := s.take(buf[:n]); werr != nil {
+			if werr := s.forwardEvents(buf[:n]); werr != nil {
 				return 0, Result{Outcome: CallerLeft, Reason: "caller_left"}
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return s.ended()
+			return s.handleEnd()
 		}
 		if err != nil {
-			return s.broken(err)
+			return s.handleBreak(err)
 		}
 	}
 }
 
-// arm sets the watch for the next event. Only a stream that may go on elsewhere
-// is watched.
-func (s *stream) arm() {
+// resetTimer sets the stall timer for the next event. Only streams that can resume on
+// another engine are watched.
+func (s *stream) resetTimer() {
 	if s.r.route.Repeat != fleet.RunOn {
 		return
 	}
-	gap := s.r.route.Gap / leastShare
+	gap := s.r.route.Gap / minSilenceDivisor
 	if s.events == 0 {
-		gap = s.r.route.Target / firstShare
+		gap = s.r.route.Target / firstEventDivisor
 	}
 	if gap <= 0 {
 		return
 	}
 	if s.timer == nil {
-		// It is set only once it stands in s: quiet, which sets it again, may run at once.
-		s.timer = time.AfterFunc(time.Hour, s.quiet)
+		// The timer gets its real timeout by Reset, after it is stored in s: handleStall
+		// resets it and may run at once.
+		s.timer = time.AfterFunc(time.Hour, s.handleStall)
 	}
 	s.timer.Reset(gap)
 }
 
-// quiet is called when no event came for a while. A stream that is merely slow is
-// left alone: going on elsewhere would cost a prompt and help nobody. One that is
-// silent for much longer than is usual, although its hops live, has lost its answer.
-func (s *stream) quiet() {
+// handleStall is called when no event has arrived for a while. A stream that is merely slow
+// is left alone: resuming it elsewhere would cost a prompt and gain nothing. One that is
+// silent for much longer than usual although its hops are alive has lost its answer.
+func (s *stream) handleStall() {
 	if s.ending.Load() {
-		return // the timer was set again while the stream ended
+		return // the timer was reset while the stream ended
 	}
 	g, gap, now := s.r.g, s.r.route.Gap, time.Now()
-	_, patience := g.book.patience(now, s.r.service.ID, s.r.route)
-	if silence := s.since(now); patience > 0 && silence > patience && g.book.giveUp(s.r.service.ID) && s.mayGoOn() {
-		s.lost.Store(true)
+	_, timeout := g.shared.answerTimeouts(now, s.r.service.ID, s.r.route)
+	if silence := s.sinceLastEvent(now); timeout > 0 && silence > timeout && g.shared.mayAbandon(s.r.service.ID) && s.reserveRetry() {
+		s.answerLost.Store(true)
 		s.ending.Store(true)
 		g.log.Emit(telemetry.EventStreamSilent, telemetry.Request(s.r.req.ID), telemetry.Address(s.path[0].Address), telemetry.Took(silence))
 		s.cancel()
 		return
 	}
-	hops := g.book.silent(now, s.watch, gap/leastShare, gap/mostShare)
-	g.prober.check(hops)
+	hops := g.shared.silentHops(now, s.tracked, gap/minSilenceDivisor, gap/maxSilenceDivisor)
+	g.prober.checkHops(hops)
 	if !s.ending.Load() {
-		s.timer.Reset(gap / lookShare)
+		s.timer.Reset(gap / recheckDivisor)
 	}
 }
 
-// mayGoOn reports whether another engine takes the stream over if it is given up.
-// Where none may, its own may yet go on, and ends it if not.
-func (s *stream) mayGoOn() bool { return s.r.mayGoOn(s.path[0].Address) }
+// reserveRetry reports whether another engine may take over the stream if it is abandoned.
+// If none may, the current engine can still continue it or end it.
+func (s *stream) reserveRetry() bool { return s.r.reserveRetry(s.path[0].Address) }
 
 // hopDied is called when a server of the path was found dead.
 func (s *stream) hopDied(h fleet.Hop) {
-	if s.r.route.Repeat != fleet.RunOn || !s.mayGoOn() || !s.ending.CompareAndSwap(false, true) {
+	if s.r.route.Repeat != fleet.RunOn || !s.reserveRetry() || !s.ending.CompareAndSwap(false, true) {
 		return
 	}
 	s.r.g.log.Emit(telemetry.EventHopSilent, telemetry.Request(s.r.req.ID), telemetry.Backend(h.Server.ID), telemetry.Address(h.Address))
 	s.cancel()
 }
 
-// take passes on the whole events that have come.
-func (s *stream) take(b []byte) error {
-	whole := s.frames.take(b)
-	if len(whole) == 0 {
+// forwardEvents forwards the events that are complete.
+func (s *stream) forwardEvents(b []byte) error {
+	complete := s.buffer.add(b)
+	if len(complete) == 0 {
 		return nil
 	}
-	if !s.r.headed {
-		s.r.headed = true
-		s.r.given()
-		s.r.cleared()
+	if !s.r.headSent {
+		s.r.headSent = true
+		s.r.markPartDelivered()
+		s.r.clearImplication()
 		s.r.reply.WriteHeader(s.answer.Status, s.answer.Header)
 	}
-	if err := s.r.reply.Write(whole); err != nil {
+	if err := s.r.reply.Write(complete); err != nil {
 		return err
 	}
 	s.events++
 	now := time.Now()
 	if s.events > 1 {
-		s.r.g.book.tookGap(now, s.r.service.ID, s.since(now))
+		s.r.g.shared.recordEventGap(now, s.r.service.ID, s.sinceLastEvent(now))
 	}
-	s.last.Store(int64(s.r.g.steady(now)))
-	s.r.pauses.event(now, s.r.req.Arrived, s.path[0].Address)
-	if id, ok := lastID(whole); ok {
-		s.r.after = id
+	s.lastEventAt.Store(int64(s.r.g.sinceStart(now)))
+	s.r.gaps.record(now, s.r.req.Arrived, s.path[0].Address)
+	if id, ok := lastID(complete); ok {
+		s.r.lastEventID = id
 	}
-	s.r.g.book.progress(now, s)
-	s.arm()
+	s.r.g.shared.recordProgress(now, s)
+	s.resetTimer()
 	return nil
 }
 
-// ended is the end of a whole answer. One that ends within an event is not whole.
-func (s *stream) ended() (relay.Outcome, Result) {
-	if s.frames.open() {
-		return s.broken(io.ErrUnexpectedEOF)
+// handleEnd handles the end of an answer. An answer that ends within an event is not
+// complete.
+func (s *stream) handleEnd() (relay.Outcome, Result) {
+	if s.buffer.hasPartial() {
+		return s.handleBreak(io.ErrUnexpectedEOF)
 	}
-	if !s.r.headed {
-		return 0, s.r.pass(s.answer, nil)
+	if !s.r.headSent {
+		return 0, s.r.forwardAnswer(s.answer, nil)
 	}
-	s.r.g.book.answered(time.Now(), s.path[0].Address)
+	s.r.g.shared.recordAnswer(time.Now(), s.path[0].Address)
 	return 0, Result{Outcome: Answered}
 }
 
-// broken is the end of an answer that broke off.
-func (s *stream) broken(err error) (relay.Outcome, Result) {
+// handleBreak handles an answer that broke off.
+func (s *stream) handleBreak(err error) (relay.Outcome, Result) {
 	s.r.g.log.Emit(telemetry.EventStreamBroken, telemetry.Request(s.r.req.ID), telemetry.Address(s.path[0].Address),
 		telemetry.Count(s.events), telemetry.Cause(err))
 	switch {
-	case s.lost.Load() && !s.r.last(s.path[0].Address):
-		s.r.avoidFrom(s.path[0].Address)
-	case s.lost.Load():
-		// No further engine may run it: the one that lost this answer, and lives, is
-		// the only one that may still give it.
+	case s.answerLost.Load() && !s.r.isLastAttempt(s.path[0].Address):
+		s.r.exclude(s.path[0].Address)
+	case s.answerLost.Load():
+		// No further engine may run the request: only the one that lost this answer, and is
+		// alive, can still give it.
 	case !errors.Is(err, context.Canceled):
-		s.r.g.book.failed(time.Now(), s.path[0].Address)
+		s.r.g.shared.recordFailure(time.Now(), s.path[0].Address)
 	}
 	return relay.Broken, Result{}
 }
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -8,27 +8,27 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// view is what traffic goes by. It is never changed once published.
+// view is the snapshot that traffic uses. It is immutable once published.
 type view struct {
 	config  *fleet.Config // nil until one is known
 	servers map[state.ServiceID][]fleet.Server
-	// rosters are the engines of each service that has such, prepared for the choice of
-	// paths by the first request that needs them.
+	// rosters are the engines of each service that has any, prepared for path choice by the
+	// first request that needs them.
 	rosters map[state.ServiceID]func() *pathing.Roster
-	// listed is whether the servers were read at all.
-	listed bool
-	// filling is whether requests had better wait for more servers to be listed.
-	filling  bool
-	members  *membership.View
-	live     int // daemons that take part, this one included
-	near     int // of those, in this one's failure domain
-	found    int // daemons in the table of members when it was read; 0 for never
-	sharers  retrybudget.SlackShare
-	draining bool
+	// serversKnown is set once the server list has been read.
+	serversKnown bool
+	// populating is set while requests should wait for more servers to be listed.
+	populating   bool
+	members      *membership.View
+	live         int // live daemons, including this one
+	liveInDomain int // of those, in this daemon's failure domain
+	memberRows   int // daemons in the table of members when it was read; 0 for never
+	slackShare   retrybudget.SlackShare
+	draining     bool
 }
 
 // known reports whether the configuration and the servers are known.
-func (v *view) known() bool { return v.config != nil && v.listed }
+func (v *view) known() bool { return v.config != nil && v.serversKnown }
 
 // ready reports whether requests can be served.
 func (v *view) ready() bool { return v.known() && !v.draining }
