--- a/coordination/request/action.go
+++ b/coordination/request/action.go
@@ -8,14 +8,14 @@
 type Action interface{ action() }
 
 type (
-	// RequestSlot requests a slot of a replica that is not in Exclude from the pool
+	// AcquireSlot requests a slot of a replica that is not in Exclude from the pool
 	// homes.
-	RequestSlot struct {
+	AcquireSlot struct {
 		Attempt state.Attempt // the attempt that needs the slot; identifies the slot
 		Exclude []state.ReplicaID
 	}
 
-	// CancelSlotRequest cancels RequestSlot. A grant that was sent meanwhile is
+	// CancelSlotRequest cancels AcquireSlot. A grant that was sent meanwhile is
 	// released.
 	CancelSlotRequest struct{ Attempt state.Attempt }
 
@@ -82,8 +82,8 @@
 		Replica state.Replica
 	}
 
-	// RequestRetry asks the retry budget for one more attempt.
-	RequestRetry struct {
+	// DecideRetry asks the retry budget for one more attempt.
+	DecideRetry struct {
 		Reason    state.RetryReason
 		Attempt   state.Attempt // the one that failed
 		Replica   state.ReplicaID
@@ -110,7 +110,7 @@
 	End struct{ Outcome state.Outcome }
 )
 
-func (RequestSlot) action()       {}
+func (AcquireSlot) action()       {}
 func (CancelSlotRequest) action() {}
 func (ReleaseSlot) action()       {}
 func (PutClaim) action()          {}
@@ -121,7 +121,7 @@
 func (QueryStage) action()        {}
 func (CancelAttempt) action()     {}
 func (ReleaseAttempt) action()    {}
-func (RequestRetry) action()      {}
+func (DecideRetry) action()       {}
 func (AttemptStarted) action()    {}
 func (Emit) action()              {}
 func (End) action()               {}
--- a/coordination/request/bench_test.go
+++ b/coordination/request/bench_test.go
@@ -50,7 +50,7 @@
 			var next request.Event
 			for _, a := range actions {
 				switch a := a.(type) {
-				case request.RequestSlot:
+				case request.AcquireSlot:
 					next = request.SlotGranted{Grant: a.Attempt, Replica: replica}
 				case request.RunStep:
 					last := a.Step.Stage == stages-1
--- a/coordination/request/doc.go
+++ b/coordination/request/doc.go
@@ -10,7 +10,7 @@
 //
 //   - Start is the first event and is sent once. End is the last action and occurs
 //     once.
-//   - Every RequestSlot, PutClaim, RequestRetry, RunStep and QueryStage is answered
+//   - Every AcquireSlot, PutClaim, DecideRetry, RunStep and QueryStage is answered
 //     by exactly one event, however late. An answer that comes too late is recognized
 //     by its attempt, epoch, token and stage, and is ignored.
 //   - RunStep is sent to the backend server at most once. A transport that cannot
--- a/coordination/request/event.go
+++ b/coordination/request/event.go
@@ -27,13 +27,13 @@
 	// Cancel reports that the caller wants to end the request.
 	Cancel struct{}
 
-	// SlotGranted answers RequestSlot: Replica may be used.
+	// SlotGranted answers AcquireSlot: Replica may be used.
 	SlotGranted struct {
-		Grant   state.Attempt // as in RequestSlot
+		Grant   state.Attempt // as in AcquireSlot
 		Replica state.Replica
 	}
 
-	// SlotUnusable answers RequestSlot: a slot was granted, but a backend server of its
+	// SlotUnusable answers AcquireSlot: a slot was granted, but a backend server of its
 	// replica does not answer, so nothing was sent there.
 	SlotUnusable struct {
 		Grant   state.Attempt
@@ -43,7 +43,7 @@
 		UnknownReplica bool
 	}
 
-	// SlotRefused answers RequestSlot: no replica is available.
+	// SlotRefused answers AcquireSlot: no replica is available.
 	SlotRefused struct {
 		Reason     state.Reason
 		RetryAfter state.RetryAfter
@@ -106,7 +106,7 @@
 		NotSent    bool // no byte left this daemon: there is no listener
 	}
 
-	// RetryDecided answers RequestRetry.
+	// RetryDecided answers DecideRetry.
 	RetryDecided struct {
 		Allowed bool
 		At      time.Time // the earliest time of the next attempt
--- a/coordination/request/property_test.go
+++ b/coordination/request/property_test.go
@@ -132,13 +132,13 @@
 // answer decides the outcome of one action of o. Outcome 0 is success.
 func (d *driver) answer(o *owner, a request.Action, outcome int) {
 	switch a := a.(type) {
-	case request.RequestSlot:
+	case request.AcquireSlot:
 		d.slot(o, a, outcome)
 	case request.PutClaim:
 		d.put(o, a, outcome)
 	case request.VoidClaim:
 		d.void(o, outcome)
-	case request.RequestRetry:
+	case request.DecideRetry:
 		allowed := outcome < 8
 		d.feed(o, request.RetryDecided{Allowed: allowed, At: d.now, Reason: state.ReasonRetriesExhausted})
 	case request.RunStep:
@@ -152,7 +152,7 @@
 	}
 }
 
-func (d *driver) slot(o *owner, a request.RequestSlot, outcome int) {
+func (d *driver) slot(o *owner, a request.AcquireSlot, outcome int) {
 	free := replicas()
 	for _, ex := range a.Exclude {
 		if len(free) > 1 && free[0].ID == ex {
--- a/coordination/request/recover.go
+++ b/coordination/request/recover.go
@@ -150,7 +150,7 @@
 		return
 	}
 	r.phase = phaseRetryWait
-	r.issue(RequestRetry{
+	r.issue(DecideRetry{
 		Reason:    reason,
 		Attempt:   r.attempt,
 		Replica:   failed,
--- a/coordination/request/unknown_test.go
+++ b/coordination/request/unknown_test.go
@@ -28,7 +28,7 @@
 			Expect(r.Ended()).To(BeFalse(), "after %v", now.Sub(start))
 			Expect(r.Queued()).To(BeTrue(), "nothing was sent")
 			now = now.Add(time.Millisecond) // latency of an answer of the home
-			if req, ok := last[request.RequestSlot](actions); ok {
+			if req, ok := last[request.AcquireSlot](actions); ok {
 				requests++
 				actions = r.Step(now, request.SlotUnusable{Grant: req.Attempt, Replica: "new", UnknownReplica: true})
 				continue
@@ -40,7 +40,7 @@
 		}
 		Expect(requests).To(And(BeNumerically(">", 5), BeNumerically("<", 30)), "it keeps asking at a bounded rate")
 		for {
-			if req, ok := last[request.RequestSlot](actions); ok {
+			if req, ok := last[request.AcquireSlot](actions); ok {
 				actions = r.Step(now, request.SlotGranted{Grant: req.Attempt, Replica: chain(1)})
 				break
 			}
@@ -55,7 +55,7 @@
 		start := time.Unix(0, 0)
 		for _, ev := range []request.Event{request.Tick{}, request.Cancel{}} {
 			r := request.New(request.Spec{ID: "r", Service: "drafts", MaxTokens: 1, Owner: 7, FirstTokenDeadline: start.Add(time.Second)})
-			req, _ := last[request.RequestSlot](r.Step(start, request.Start{}))
+			req, _ := last[request.AcquireSlot](r.Step(start, request.Start{}))
 			r.Step(start, request.SlotUnusable{Grant: req.Attempt, Replica: "new", UnknownReplica: true})
 			end, ok := last[request.End](r.Step(start.Add(time.Second), ev))
 			Expect(ok).To(BeTrue())
--- a/coordination/request/world_test.go
+++ b/coordination/request/world_test.go
@@ -166,7 +166,7 @@
 	case request.ReleaseSlot:
 		o.slots--
 	case request.CancelSlotRequest:
-		o.pending = slices.DeleteFunc(o.pending, func(a request.Action) bool { _, isRequest := a.(request.RequestSlot); return isRequest })
+		o.pending = slices.DeleteFunc(o.pending, func(a request.Action) bool { _, isRequest := a.(request.AcquireSlot); return isRequest })
 	case request.AbandonClaim:
 		o.pending = slices.DeleteFunc(o.pending, func(a request.Action) bool { _, put := a.(request.PutClaim); return put })
 		settled := request.ClaimSettled{Result: request.ClaimRefused, Reason: state.ReasonStoreUnavailable}
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -32,7 +32,7 @@
 // quarantineWait is an attempt that waits for permission to run.
 type quarantineWait struct {
 	r   *runner
-	ask request.RequestSlot
+	ask request.AcquireSlot
 }
 
 // quarantineRun is an attempt that has permission; run is 0 until it has a slot.
@@ -104,7 +104,7 @@
 }
 
 // ask lets an attempt ask for its slot once its content may run.
-func (p *quarantinePart) ask(r *runner, a request.RequestSlot) {
+func (p *quarantinePart) ask(r *runner, a request.AcquireSlot) {
 	p.last++
 	p.waiting[p.last] = quarantineWait{r: r, ask: a}
 	p.step(quarantine.RunRequested{Call: p.last, Fingerprint: p.fingerprint(r)})
--- a/daemon/retries.go
+++ b/daemon/retries.go
@@ -21,7 +21,7 @@
 }
 
 // decide answers a request whose attempt was lost.
-func (p *retriesPart) decide(r *runner, a request.RequestRetry) {
+func (p *retriesPart) decide(r *runner, a request.DecideRetry) {
 	var policy service.Retry
 	if v, ok := p.c.documents.inForce[r.spec.Service]; ok {
 		policy = v.Document.Retry
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -204,7 +204,7 @@
 // carryOut does the actions of a request that concern control state.
 func (c *control) carryOut(r *runner, a request.Action) {
 	switch a := a.(type) {
-	case request.RequestSlot:
+	case request.AcquireSlot:
 		c.quarantine.ask(r, a)
 	case request.CancelSlotRequest:
 		c.quarantine.stop(r, a.Attempt)
@@ -216,7 +216,7 @@
 		c.claims.void(r, a.Proof)
 	case request.SettleClaim:
 		c.claims.settle(r, a.Outcome)
-	case request.RequestRetry:
+	case request.DecideRetry:
 		c.retries.decide(r, a)
 	}
 }
--- a/daemon/slots.go
+++ b/daemon/slots.go
@@ -258,7 +258,7 @@
 
 // ask begins to get a slot for a request's next attempt.
 // Alone asks for a replica that runs nothing else meanwhile.
-func (p *slotsPart) ask(r *runner, a request.RequestSlot, alone bool) {
+func (p *slotsPart) ask(r *runner, a request.AcquireSlot, alone bool) {
 	ask := home.SlotRequestID{Request: r.spec.ID, Attempt: a.Attempt}
 	p.wants[ask] = r
 	prefixes := state.Prefixes(r.spec.Prompt)
--- a/scenario/pool.go
+++ b/scenario/pool.go
@@ -97,7 +97,7 @@
 	return home.SlotRequestID{Request: state.RequestID(r.n.name + "/" + r.name()), Attempt: a}
 }
 
-func (p *pool) ask(r *run, a request.RequestSlot, alone bool) {
+func (p *pool) ask(r *run, a request.AcquireSlot, alone bool) {
 	ask := askOf(r, a.Attempt)
 	p.wants[ask] = r
 	p.received(r.n, home.SlotRequest{
--- a/scenario/quarantine.go
+++ b/scenario/quarantine.go
@@ -29,7 +29,7 @@
 // slotAsk is a request for a slot that waits for the quarantine's word.
 type slotAsk struct {
 	r *run
-	a request.RequestSlot
+	a request.AcquireSlot
 }
 
 // quarantinedRun is an attempt that holds a slot.
@@ -55,7 +55,7 @@
 }
 
 // ask lets a request ask for a slot once the quarantine allows it.
-func (q *quarantined) ask(r *run, a request.RequestSlot) {
+func (q *quarantined) ask(r *run, a request.AcquireSlot) {
 	q.calls++
 	q.asks[q.calls] = slotAsk{r: r, a: a}
 	q.step(quarantine.RunRequested{Call: q.calls, Fingerprint: fingerprint(r)})
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -92,7 +92,7 @@
 
 func (r *run) carryOut(a request.Action) {
 	switch a := a.(type) {
-	case request.RequestSlot, request.CancelSlotRequest, request.ReleaseSlot:
+	case request.AcquireSlot, request.CancelSlotRequest, request.ReleaseSlot:
 		r.slot(a)
 	case request.RunStep:
 		r.send(a)
@@ -100,7 +100,7 @@
 		r.ask(a)
 	case request.CancelAttempt:
 		r.cancel(a.Attempt, a.Replica)
-	case request.RequestRetry:
+	case request.DecideRetry:
 		r.retry(a)
 	case request.AttemptStarted:
 		r.began = a
@@ -125,7 +125,7 @@
 func (r *run) slot(a request.Action) {
 	w, q := r.n.w, r.n.quarantine
 	switch a := a.(type) {
-	case request.RequestSlot:
+	case request.AcquireSlot:
 		if q != nil {
 			q.ask(r, a)
 			return
@@ -223,7 +223,7 @@
 // policy is the retry part of the service's document.
 var policy = service.Retry{MaxAttempts: 4, BudgetRatio: 0.5}
 
-func (r *run) retry(a request.RequestRetry) {
+func (r *run) retry(a request.DecideRetry) {
 	r.say("gives %s up: %s", a.Replica, a.Reason)
 	decision := r.n.retries.Decide(r.n.w.now, retry.Failure{
 		Service: r.spec.Service, Customer: r.spec.Customer, Policy: policy, Cause: a.Reason, Attempts: len(a.Tried) + 1,
--- a/trace/action.go
+++ b/trace/action.go
@@ -18,7 +18,7 @@
 // action writes an action as its name and what decides its effect.
 func (m mask) action(a request.Action) string {
 	switch a := a.(type) {
-	case request.RequestSlot:
+	case request.AcquireSlot:
 		return fmt.Sprintf("ask_slot %s exclude=%s", owned(uint64(a.Attempt)), list(a.Exclude))
 	case request.CancelSlotRequest:
 		return "stop_asking " + owned(uint64(a.Attempt))
@@ -55,7 +55,7 @@
 		return fmt.Sprintf("void_claim proof=%t", a.Proof.Valid())
 	case request.SettleClaim:
 		return "settle_claim " + outcome(a.Outcome)
-	case request.RequestRetry:
+	case request.DecideRetry:
 		return fmt.Sprintf("ask_retry %s reason=%s replica=%s tried=%s execution=%s",
 			owned(uint64(a.Attempt)), a.Reason, a.Replica, list(a.Tried), a.Execution)
 	default:
--- a/trace/property_test.go
+++ b/trace/property_test.go
@@ -56,7 +56,7 @@
 	fate := rapid.IntRange(0, 9).Draw(o.t, "fate")
 	o.now = o.now.Add(time.Duration(rapid.Int64Range(0, 5e7).Draw(o.t, "time")))
 	switch a := a.(type) {
-	case request.RequestSlot:
+	case request.AcquireSlot:
 		switch fate {
 		case 8:
 			o.feed(request.SlotRefused{Reason: state.ReasonQueueFull, RetryAfter: 2})
@@ -72,7 +72,7 @@
 		o.feed(request.ClaimSettled{Result: request.ClaimRefused, Reason: state.ReasonStoreUnavailable})
 	case request.VoidClaim:
 		o.feed(request.VoidSettled{Voided: fate < 5})
-	case request.RequestRetry:
+	case request.DecideRetry:
 		o.feed(request.RetryDecided{
 			Allowed: fate < 8, At: o.now.Add(time.Duration(fate)), Exclude: []state.ReplicaID{"r1"}, Reason: state.ReasonRetriesExhausted,
 		})
