--- a/cmd/hibiscusctl/explain.go
+++ b/cmd/hibiscusctl/explain.go
@@ -39,7 +39,7 @@
 	}
 	story, err := log.Find(cmd.String("request"))
 	if err != nil {
-		return fail(exitFailed, "%v; %d lines were of no daemon", err, log.Other)
+		return fail(exitFailed, "%v; %d lines were of no daemon", err, log.Skipped)
 	}
 	if cmd.Bool("json") {
 		return printJSON(cmd.Writer, story)
--- a/explain/cause.go
+++ b/explain/cause.go
@@ -45,22 +45,22 @@
 
 // The values of Kind.
 const (
-	KindNone        Kind = "none"           // it was answered in time, or its end is not in the logs
-	KindHopDied     Kind = "hop_died"       // a server of its path died or was cut off
-	KindAnswerLost  Kind = "answer_lost"    // it may have run, and may not run again
-	KindStoreAway   Kind = "store_away"     // its daemon could not learn the configuration
-	KindStarting    Kind = "daemon_starts"  // the same, with the store in reach
-	KindNoRoom      Kind = "no_room"        // servers refused it
-	KindUncovered   Kind = "no_server"      // no server, or no path, was there
-	KindLimited     Kind = "server_limit"   // only servers that name a limit were there
-	KindStopping    Kind = "daemon_stops"   // its daemon was about to stop
-	KindCrashes     Kind = "crashes"        // its content has crashed servers
-	KindUsedUp      Kind = "attempts"       // as many servers have run it as its route allows
-	KindBudget      Kind = "retry_budget"   // the retry budget was used up
-	KindTime        Kind = "time_ran_out"   // its time was over
-	KindLate        Kind = "late"           // it was answered late
-	KindOther       Kind = "other"          // see the reason
-	recentlyStarted      = 30 * time.Second // a start that may explain a refusal
+	KindNone              Kind = "none"           // it was answered in time, or its end is not in the logs
+	KindHopDied           Kind = "hop_died"       // a server of its path died or was cut off
+	KindAnswerLost        Kind = "answer_lost"    // it may have run, and may not run again
+	KindStoreUnavailable  Kind = "store_away"     // its daemon could not learn the configuration
+	KindStarting          Kind = "daemon_starts"  // the same, with the store in reach
+	KindNoCapacity        Kind = "no_room"        // servers refused it
+	KindNoServer          Kind = "no_server"      // no server, or no path, was there
+	KindServerLimit       Kind = "server_limit"   // only servers that name a limit were there
+	KindStopping          Kind = "daemon_stops"   // its daemon was about to stop
+	KindCrashes           Kind = "crashes"        // its content has crashed servers
+	KindAttemptsExhausted Kind = "attempts"       // as many servers have run it as its route allows
+	KindRetryBudgetEmpty  Kind = "retry_budget"   // the retry budget was used up
+	KindTimeout           Kind = "time_ran_out"   // its time was over
+	KindLate              Kind = "late"           // it was answered late
+	KindOther             Kind = "other"          // see the reason
+	recentlyStarted            = 30 * time.Second // a start that may explain a refusal
 )
 
 // Cause is what the logs show.
@@ -71,7 +71,7 @@
 }
 
 // conclude finds the cause in a story.
-func (l *Log) conclude(s *Story) Cause {
+func (l *Log) conclude(s *Timeline) Cause {
 	end := s.end()
 	switch {
 	case end == nil:
@@ -87,7 +87,7 @@
 }
 
 // end is the line that ended the request, or nil.
-func (s *Story) end() *Line {
+func (s *Timeline) end() *Line {
 	for i := len(s.Steps) - 1; i >= 0; i-- {
 		switch x := &s.Steps[i].Line; x.Event {
 		case eventRefused, eventFailed, eventAnswered:
@@ -98,7 +98,7 @@
 }
 
 // first is the first line of an event, or nil.
-func (s *Story) first(event string) *Line {
+func (s *Timeline) first(event string) *Line {
 	for i := range s.Steps {
 		if s.Steps[i].Line.Event == event {
 			return &s.Steps[i].Line
@@ -108,35 +108,35 @@
 }
 
 // belief is what the daemon held of a matter at the request's end, or nil.
-func (s *Story) belief(about string) *Belief {
+func (s *Timeline) belief(about string) *CachedState {
 	last := &s.Steps[len(s.Steps)-1]
-	for i := range last.Beliefs {
-		if last.Beliefs[i].About == about {
-			return &last.Beliefs[i]
+	for i := range last.CachedState {
+		if last.CachedState[i].Subject == about {
+			return &last.CachedState[i]
 		}
 	}
 	return nil
 }
 
-func (s *Story) refused(end *Line) Cause {
+func (s *Timeline) refused(end *Line) Cause {
 	switch end.Detail {
 	case reasonNoConfig:
 		return s.noConfig()
 	case "draining":
 		return Cause{Kind: KindStopping, Summary: "its daemon was about to stop and took no new stream", Next: "who stopped it, and whether callers kept its address for longer than they were told"}
 	case string(relay.ReasonNoServer):
-		return Cause{Kind: KindUncovered, Summary: fmt.Sprintf("no server could take it for %.3f s", end.Seconds), Next: "layers_listed and order_sent of these seconds: which layers nobody held"}
+		return Cause{Kind: KindNoServer, Summary: fmt.Sprintf("no server could take it for %.3f s", end.Seconds), Next: "layers_listed and order_sent of these seconds: which layers nobody held"}
 	case string(relay.ReasonLimited):
-		return Cause{Kind: KindLimited, Summary: fmt.Sprintf("only servers that name a limit could take it, and there was no permit for %.3f s", end.Seconds), Next: "backend_limited of the seconds before: which servers are in need"}
+		return Cause{Kind: KindServerLimit, Summary: fmt.Sprintf("only servers that name a limit could take it, and there was no permit for %.3f s", end.Seconds), Next: "backend_limited of the seconds before: which servers are in need"}
 	}
 	if x := s.first(eventPathRefused); x != nil {
-		return Cause{Kind: KindNoRoom, Summary: fmt.Sprintf("server %s refused it with status %d: no room, or it was giving up its layers", x.Address, x.Count), Next: "layers_listed and backend_leaving of these seconds"}
+		return Cause{Kind: KindNoCapacity, Summary: fmt.Sprintf("server %s refused it with status %d: no room, or it was giving up its layers", x.Address, x.Count), Next: "layers_listed and backend_leaving of these seconds"}
 	}
 	return Cause{Kind: KindOther, Summary: "refused as not run: " + end.Detail}
 }
 
 // noConfig explains a daemon that knew no configuration.
-func (s *Story) noConfig() Cause {
+func (s *Timeline) noConfig() Cause {
 	since := ""
 	if b := s.belief("daemon"); b != nil && b.Line.Event == eventStarted && b.Age < recentlyStarted {
 		since = fmt.Sprintf(", %.1f s after its start", b.Age.Seconds())
@@ -144,7 +144,7 @@
 	for _, feed := range []string{"store: configuration", "store: servers"} {
 		if b := s.belief(feed); b != nil && b.Line.Event == eventStoreLost {
 			return Cause{
-				Kind:    KindStoreAway,
+				Kind:    KindStoreUnavailable,
 				Summary: fmt.Sprintf("its daemon knew no configuration%s: the store had not answered for %.1f s (%s)", since, b.Age.Seconds(), b.Line.Cause),
 				Next:    "store_recovered of the same daemon, and whether other daemons lost the store too",
 			}
@@ -153,7 +153,7 @@
 	return Cause{Kind: KindStarting, Summary: "its daemon knew no configuration" + since, Next: "document_applied of the same daemon"}
 }
 
-func (l *Log) failed(s *Story, end *Line) Cause {
+func (l *Log) failed(s *Timeline, end *Line) Cause {
 	switch {
 	case s.first(eventQuarantined) != nil:
 		return Cause{Kind: KindCrashes, Summary: "its content has crashed servers, and is sent to none for a while", Next: "request_implicated of the same content"}
@@ -162,9 +162,9 @@
 	case s.first(eventHopSilent) != nil:
 		return l.hopDied(s.first(eventHopSilent), end)
 	case end.Detail == string(relay.ReasonBudget):
-		return Cause{Kind: KindBudget, Summary: "it broke off, and the retry budget of its service was used up", Next: "what broke the many others: request_retried of these seconds"}
+		return Cause{Kind: KindRetryBudgetEmpty, Summary: "it broke off, and the retry budget of its service was used up", Next: "what broke the many others: request_retried of these seconds"}
 	case end.Detail == string(relay.ReasonDeadline):
-		return Cause{Kind: KindTime, Summary: fmt.Sprintf("its time was over after %.3f s in %d attempts", end.Seconds, end.Count), Next: "the server of its last attempt"}
+		return Cause{Kind: KindTimeout, Summary: fmt.Sprintf("its time was over after %.3f s in %d attempts", end.Seconds, end.Count), Next: "the server of its last attempt"}
 	}
 	if end.Detail == string(relay.ReasonAttempts) {
 		return s.usedUp(end)
@@ -173,7 +173,7 @@
 }
 
 // usedUp explains a request that as many servers have run as its route allows.
-func (s *Story) usedUp(end *Line) Cause {
+func (s *Timeline) usedUp(end *Line) Cause {
 	how := ""
 	for i := range s.Steps {
 		if x := &s.Steps[i].Line; x.Event == eventRetried {
@@ -181,13 +181,13 @@
 		}
 	}
 	return Cause{
-		Kind:    KindUsedUp,
+		Kind:    KindAttemptsExhausted,
 		Summary: fmt.Sprintf("%d attempts, and no further server may run it; those before the last ended: %s", end.Count, strings.TrimPrefix(how, ", ")),
 		Next:    "the servers of its request_sent lines: backend_dead, backend_leaving, or answers that others lost too",
 	}
 }
 
-func (s *Story) answerLost(end *Line) Cause {
+func (s *Timeline) answerLost(end *Line) Cause {
 	c := Cause{
 		Kind:    KindAnswerLost,
 		Summary: "it was sent, no whole answer came back, and it may run once only",
@@ -215,7 +215,7 @@
 	}
 }
 
-func (l *Log) late(s *Story, late *Line) Cause {
+func (l *Log) late(s *Timeline, late *Line) Cause {
 	c := Cause{Kind: KindLate, Summary: fmt.Sprintf("answered, but its caller waited %.3f s for one event", late.Seconds)}
 	if hop := s.first(eventHopSilent); hop != nil {
 		dead, gone := l.others(hop)
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	beliefs := s.Steps[0].Beliefs
+	beliefs := s.Steps[0].CachedState
 	if len(beliefs) != 2 || beliefs[0].Line.Version != 7 || beliefs[0].Age.Seconds() != 1 || beliefs[1].Line.Event != eventLeaving {
 		t.Fatalf("got %+v", beliefs)
 	}
@@ -93,15 +93,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Cause.Kind != KindUsedUp || !strings.Contains(s.Cause.Summary, "2 attempts") || !strings.HasSuffix(s.Cause.Summary, "ended: broken") {
+	if s.Cause.Kind != KindAttemptsExhausted || !strings.Contains(s.Cause.Summary, "2 attempts") || !strings.HasSuffix(s.Cause.Summary, "ended: broken") {
 		t.Fatalf("got %+v", s.Cause)
 	}
 }
 
 func TestReadPassesOverWhatIsNoLogLine(t *testing.T) {
 	log := read(t, "built in 3 s", "{broken", `{"a":1}`, "  10.0 node "+sent)
-	if len(log.Lines) != 1 || log.Other != 3 {
-		t.Fatalf("%d lines, %d others", len(log.Lines), log.Other)
+	if len(log.Lines) != 1 || log.Skipped != 3 {
+		t.Fatalf("%d lines, %d others", len(log.Lines), log.Skipped)
 	}
 	if _, err := log.Find("nobody"); err == nil {
 		t.Fatal("a story of a request that no line names")
--- a/explain/line.go
+++ b/explain/line.go
@@ -34,8 +34,8 @@
 
 // Log is what was read.
 type Log struct {
-	Lines []Line // in the order of their times
-	Other int    // lines that are none of a daemon's log
+	Lines   []Line // in the order of their times
+	Skipped int    // lines that are none of a daemon's log
 }
 
 // Read adds the lines of one daemon's or several daemons' logs.
@@ -45,7 +45,7 @@
 	for scanner.Scan() {
 		line, ok := parse(scanner.Bytes())
 		if !ok {
-			l.Other++
+			l.Skipped++
 			continue
 		}
 		l.Lines = append(l.Lines, line)
--- a/explain/story.go
+++ b/explain/story.go
@@ -8,7 +8,7 @@
 )
 
 // Story is what became of one request.
-type Story struct {
+type Timeline struct {
 	Request string `json:"request"`
 	Daemon  string `json:"daemon"` // that served it
 	Steps   []Step `json:"steps"`
@@ -17,15 +17,15 @@
 
 // Step is one line about the request, with what its daemon went by.
 type Step struct {
-	Line    Line     `json:"line"`
-	Beliefs []Belief `json:"beliefs,omitempty"`
+	Line        Line          `json:"line"`
+	CachedState []CachedState `json:"beliefs,omitempty"`
 }
 
 // Belief is something that a daemon held for true, since Line.
-type Belief struct {
-	About string        `json:"about"`
-	Line  Line          `json:"line"`
-	Age   time.Duration `json:"age_ns"`
+type CachedState struct {
+	Subject string        `json:"about"`
+	Line    Line          `json:"line"`
+	Age     time.Duration `json:"age_ns"`
 }
 
 // seenWithin is how long before and after a step other daemons' lines about the same
@@ -33,17 +33,17 @@
 const seenWithin = 6 * time.Second
 
 // Find tells the story of a request. Its error says that no line names it.
-func (l *Log) Find(request string) (Story, error) {
-	s := Story{Request: request}
+func (l *Log) Find(request string) (Timeline, error) {
+	s := Timeline{Request: request}
 	for i, line := range l.Lines {
 		if line.Request != request {
 			continue
 		}
 		s.Daemon = line.Daemon
-		s.Steps = append(s.Steps, Step{Line: line, Beliefs: l.beliefs(i)})
+		s.Steps = append(s.Steps, Step{Line: line, CachedState: l.beliefs(i)})
 	}
 	if len(s.Steps) == 0 {
-		return Story{}, fmt.Errorf("no line of %d names request %s", len(l.Lines), request)
+		return Timeline{}, fmt.Errorf("no line of %d names request %s", len(l.Lines), request)
 	}
 	s.Cause = l.conclude(&s)
 	return s, nil
@@ -51,12 +51,12 @@
 
 // beliefs lists what the daemon of line i went by then, where the line is of a
 // decision that depends on it.
-func (l *Log) beliefs(i int) []Belief {
+func (l *Log) beliefs(i int) []CachedState {
 	line := l.Lines[i]
-	var out []Belief
+	var out []CachedState
 	add := func(about string, known *Line) {
 		if known != nil {
-			out = append(out, Belief{About: about, Line: *known, Age: line.Time.Sub(known.Time)})
+			out = append(out, CachedState{Subject: about, Line: *known, Age: line.Time.Sub(known.Time)})
 		}
 	}
 	switch line.Event {
--- a/explain/text.go
+++ b/explain/text.go
@@ -9,14 +9,14 @@
 
 // WriteText writes a story for people: the steps in order, what was believed under
 // each, and the cause.
-func (s *Story) WriteText(w io.Writer) error {
+func (s *Timeline) WriteText(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "request %s at %s\n\n", s.Request, s.Daemon)
 	start := s.Steps[0].Line.Time
 	for _, step := range s.Steps {
 		fmt.Fprintf(&b, "%8.3f s  %s\n", step.Line.Time.Sub(start).Seconds(), step.Line.brief())
-		for _, belief := range step.Beliefs {
-			fmt.Fprintf(&b, "             %-28s %s, known for %s\n", belief.About, belief.Line.brief(), belief.Age.Round(time.Millisecond))
+		for _, belief := range step.CachedState {
+			fmt.Fprintf(&b, "             %-28s %s, known for %s\n", belief.Subject, belief.Line.brief(), belief.Age.Round(time.Millisecond))
 		}
 	}
 	fmt.Fprintf(&b, "\ncause: %s (%s)\n", s.Cause.Summary, s.Cause.Kind)
--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -31,12 +31,12 @@
 }
 
 // storyOf returns the story of a request from the collected lines alone.
-func (l *logBuffer) storyOf(request string) explain.Story {
+func (l *logBuffer) storyOf(request string) explain.Timeline {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var log explain.Log
 	Expect(log.Read(bytes.NewReader(l.b.Bytes()))).To(Succeed())
-	Expect(log.Other).To(BeZero())
+	Expect(log.Skipped).To(BeZero())
 	s, err := log.Find(request)
 	Expect(err).NotTo(HaveOccurred())
 	return s
@@ -72,8 +72,8 @@
 		Expect(s.Daemon).To(Equal("g1"))
 		Expect(s.Cause.Kind).To(Equal(explain.KindHopDied))
 		Expect(s.Cause.Summary).To(ContainSubstring(string(hop.Server.ID)))
-		Expect(s.Steps[0].Beliefs).To(ContainElement(HaveField("About", "configuration")))
-		Expect(s.Steps[0].Beliefs).To(ContainElement(HaveField("About", "server "+hop.Address)))
+		Expect(s.Steps[0].CachedState).To(ContainElement(HaveField("About", "configuration")))
+		Expect(s.Steps[0].CachedState).To(ContainElement(HaveField("About", "server "+hop.Address)))
 	})
 
 	// A caller gets 502 for a request that may run only once, because its answer was lost.
@@ -98,7 +98,7 @@
 		Expect(res.Outcome).To(Equal(gateway.Refused))
 		s := logs.storyOf("r1")
 		Expect(s.Daemon).To(Equal("g2"))
-		Expect(s.Cause.Kind).To(Equal(explain.KindStoreAway))
+		Expect(s.Cause.Kind).To(Equal(explain.KindStoreUnavailable))
 		Expect(s.Cause.Summary).To(ContainSubstring("after its start"))
 	})
 })
