--- a/client/client_test.go
+++ b/client/client_test.go
@@ -268,7 +268,7 @@
 }
 
 func (d *twoDaemons) Addresses(context.Context, caller.AddressQuery) caller.AddressAnswer {
-	return caller.AddressAnswer{Addresses: d.addresses, Valid: time.Minute}
+	return caller.AddressAnswer{Addresses: d.addresses, TTL: time.Minute}
 }
 
 func (d *twoDaemons) Submit(context.Context, caller.Submission) (caller.Stream, state.Outcome) {
--- a/daemon/addresses.go
+++ b/daemon/addresses.go
@@ -39,7 +39,7 @@
 	}, candidates)
 	return caller.AddressAnswer{
 		Addresses: lo.Map(a.Daemons, func(c address.Candidate, _ int) string { return c.Address }),
-		Valid:     a.TTL,
+		TTL:       a.TTL,
 	}
 }
 
--- a/daemon/failure_test.go
+++ b/daemon/failure_test.go
@@ -56,8 +56,8 @@
 			again, outcome := r.Daemons[0].Attach(r.ctx, stream.ID(), first[len(first)-1].Index)
 			Expect(outcome).To(BeNil())
 			rest, outcome := r.read(again, -1)
-			expectWhole(append(first, rest...), outcome, string(submission.Key))
-			Expect(r.runs(string(submission.Key))).To(Equal(1), "the stages were resumed, nothing ran again")
+			expectWhole(append(first, rest...), outcome, string(submission.IdempotencyKey))
+			Expect(r.runs(string(submission.IdempotencyKey))).To(Equal(1), "the stages were resumed, nothing ran again")
 			r.replaceDaemon(1, nil)
 		}
 		r.expectSound()
--- a/daemon/placement_test.go
+++ b/daemon/placement_test.go
@@ -203,8 +203,8 @@
 					s.Class = "note"
 				}
 				tokens, outcome := r.read(r.submit(i%len(r.Daemons), s), -1)
-				expectWhole(tokens, outcome, string(s.Key))
-				Expect(r.runs(string(s.Key))).To(Equal(1))
+				expectWhole(tokens, outcome, string(s.IdempotencyKey))
+				Expect(r.runs(string(s.IdempotencyKey))).To(Equal(1))
 			}
 		}()
 	}
--- a/daemon/rig_test.go
+++ b/daemon/rig_test.go
@@ -169,7 +169,7 @@
 
 // note is a request that is never to be repeated; summary one that may be.
 func note(key string) caller.Submission {
-	return caller.Submission{Service: drafts, Customer: advocates, Class: "note", Key: state.IdempotencyKey(key), Prompt: promptOf(key), After: -1}
+	return caller.Submission{Service: drafts, Customer: advocates, Class: "note", IdempotencyKey: state.IdempotencyKey(key), Prompt: promptOf(key), After: -1}
 }
 
 func summary(key string) caller.Submission {
--- a/daemon/submit.go
+++ b/daemon/submit.go
@@ -72,7 +72,7 @@
 		return request.Spec{}, state.ReasonUnknownCustomer
 	}
 	class, ok := doc.Document.Class(s.Class)
-	if !ok || class.NeverRepeat && s.Key == "" {
+	if !ok || class.NeverRepeat && s.IdempotencyKey == "" {
 		return request.Spec{}, state.ReasonBadRequest
 	}
 	return d.specOf(s, doc, class), ""
@@ -96,7 +96,7 @@
 		Service:            s.Service,
 		Customer:           s.Customer,
 		Class:              s.Class,
-		Key:                s.Key,
+		Key:                s.IdempotencyKey,
 		Priority:           class.Priority,
 		Plain:              plain,
 		NeverRepeat:        class.NeverRepeat,
@@ -141,7 +141,7 @@
 // comes as a repeat of its key, so that its claim row decides.
 func (d *Daemon) takeOver(a *answer, rec streams.Record) {
 	spec, reason := d.specify(caller.Submission{
-		Service: rec.Service, Customer: rec.Customer, Class: rec.Class, Key: rec.Key,
+		Service: rec.Service, Customer: rec.Customer, Class: rec.Class, IdempotencyKey: rec.Key,
 		Prompt: rec.Prompt, Adapter: rec.Adapter, MaxTokens: rec.MaxTokens, Deadline: rec.Deadline,
 	})
 	if reason != "" {
--- a/protocol/caller/caller.go
+++ b/protocol/caller/caller.go
@@ -21,16 +21,16 @@
 // AddressAnswer orders daemons for one caller.
 type AddressAnswer struct {
 	Addresses []string      // base URLs, best first
-	Valid     time.Duration // how long the answer holds
+	TTL       time.Duration // how long the answer holds
 }
 
 // Submission is one request of a caller.
 type Submission struct {
-	Service  state.ServiceID
-	Customer state.CustomerID
-	Class    state.ClassID
-	Key      state.IdempotencyKey // needed where the class is never to be repeated
-	Deadline time.Duration        // to the first token; 0 takes the class's
+	Service        state.ServiceID
+	Customer       state.CustomerID
+	Class          state.ClassID
+	IdempotencyKey state.IdempotencyKey // needed where the class is never to be repeated
+	Deadline       time.Duration        // to the first token; 0 takes the class's
 
 	// Prompt is the model's input, or the body for a plain service.
 	Prompt    string
--- a/protocol/caller/wire.go
+++ b/protocol/caller/wire.go
@@ -73,7 +73,7 @@
 }
 
 // EndOf describes o.
-func EndOf(o state.Outcome) EndEvent {
+func NewEndEvent(o state.Outcome) EndEvent {
 	switch o := o.(type) {
 	case state.Completed:
 		return EndEvent{Outcome: EndCompleted, Tokens: o.Tokens}
--- a/trace/make/caller.go
+++ b/trace/make/caller.go
@@ -17,8 +17,8 @@
 	n := r.sent[class]
 	s := caller.Submission{
 		Service: drafts, Customer: customer, Class: class, After: -1,
-		Prompt: fmt.Sprintf("%s of consignment %d", class, n),
-		Key:    state.IdempotencyKey(fmt.Sprintf("%s-%d", class, n)),
+		Prompt:         fmt.Sprintf("%s of consignment %d", class, n),
+		IdempotencyKey: state.IdempotencyKey(fmt.Sprintf("%s-%d", class, n)),
 	}
 	if class == classAlert {
 		s.Service = alerts
@@ -26,7 +26,7 @@
 	at := n
 	r.callers.Go(func() {
 		if err := r.call(s, at); err != nil {
-			err = fmt.Errorf("%s: %w", s.Key, err)
+			err = fmt.Errorf("%s: %w", s.IdempotencyKey, err)
 			r.failed.CompareAndSwap(nil, &err)
 		}
 	})
--- a/transport/front/fake_test.go
+++ b/transport/front/fake_test.go
@@ -123,7 +123,7 @@
 func (d *fakeDaemon) Addresses(_ context.Context, q caller.AddressQuery) caller.AddressAnswer {
 	return caller.AddressAnswer{
 		Addresses: []string{"http://127.0.0.1:1/" + string(q.Service)},
-		Valid:     5 * time.Second,
+		TTL:       5 * time.Second,
 	}
 }
 
--- a/transport/front/front_test.go
+++ b/transport/front/front_test.go
@@ -72,7 +72,7 @@
 			"id: 1\nevent: token\ndata: {\"index\":1,\"value\":101,\"text\":\"two\"}\n\n" +
 			"event: end\ndata: {\"outcome\":\"completed\",\"tokens\":2}\n\n"))
 		Expect(d.submissions()).To(HaveLen(1))
-		Expect(d.submissions()[0].Key).To(Equal(state.IdempotencyKey("k")))
+		Expect(d.submissions()[0].IdempotencyKey).To(Equal(state.IdempotencyKey("k")))
 		Expect(d.submissions()[0].After).To(Equal(-1))
 	})
 
--- a/transport/front/problem.go
+++ b/transport/front/problem.go
@@ -79,7 +79,7 @@
 
 // outcomeProblem describes a request that ended before its answer began.
 func outcomeProblem(id state.RequestID, o state.Outcome) *Problem {
-	end := caller.EndOf(o)
+	end := caller.NewEndEvent(o)
 	p := newProblem(statusOf(end.Reason), end.Reason, detailOf(end))
 	p.Execution = end.Execution
 	p.Request = id
--- a/transport/front/requests.go
+++ b/transport/front/requests.go
@@ -94,7 +94,7 @@
 	})
 	return &addressesOutput{Body: Addresses{
 		Addresses: append([]string{}, a.Addresses...),
-		ValidFor:  service.Duration(a.Valid),
+		ValidFor:  service.Duration(a.TTL),
 	}}, nil
 }
 
@@ -167,15 +167,15 @@
 func (in *submitInput) submission(after int) caller.Submission {
 	b := &in.Body
 	return caller.Submission{
-		Service:   state.ServiceID(b.Service),
-		Customer:  state.CustomerID(b.Customer),
-		Class:     state.ClassID(b.Class),
-		Key:       state.IdempotencyKey(in.Key),
-		Deadline:  b.Deadline.Std(),
-		Prompt:    b.Prompt,
-		Adapter:   b.Adapter,
-		MaxTokens: b.MaxTokens,
-		After:     after,
+		Service:        state.ServiceID(b.Service),
+		Customer:       state.CustomerID(b.Customer),
+		Class:          state.ClassID(b.Class),
+		IdempotencyKey: state.IdempotencyKey(in.Key),
+		Deadline:       b.Deadline.Std(),
+		Prompt:         b.Prompt,
+		Adapter:        b.Adapter,
+		MaxTokens:      b.MaxTokens,
+		After:          after,
 	}
 }
 
@@ -255,7 +255,7 @@
 	}
 	out := &statusOutput{Body: Status{Request: s.Request, Phase: s.Phase, Tokens: s.Tokens}}
 	if s.Phase == caller.PhaseEnded {
-		end := caller.EndOf(s.Outcome)
+		end := caller.NewEndEvent(s.Outcome)
 		out.Body.End = &end
 	}
 	return out, nil
--- a/transport/front/stream.go
+++ b/transport/front/stream.go
@@ -104,7 +104,7 @@
 // item writes a token or the end.
 func (v *view) item(i caller.Item) (done bool, err error) {
 	if i.Token == nil {
-		return true, v.event(EventEnd, nil, caller.EndOf(i.Outcome))
+		return true, v.event(EventEnd, nil, caller.NewEndEvent(i.Outcome))
 	}
 	v.front.metrics.tokens.Inc(1)
 	t := Token(*i.Token)
