--- a/daemon/backends.go
+++ b/daemon/backends.go
@@ -94,7 +94,7 @@
 	}
 	e := d.clients.engine(address)
 	rep.load, rep.err = e.Load(ctx)
-	e.seen(rep.load.Life)
+	e.seen(rep.load.BootID)
 	if rep.err == nil && rep.replica != "" {
 		// Cache events only steer; without them requests go where they may.
 		rep.events, _ = e.CacheEvents(ctx, seq)
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -38,7 +38,7 @@
 	s.noteOrder(a)
 	d := s.c.d
 	o := engine.Order{
-		Kind: orderKinds[a.Kind], Fencing: a.Fencing, Service: s.service,
+		Kind: orderKinds[a.Kind], FencingNumber: a.Fencing, Service: s.service,
 		Model: a.Assignment.Model, Version: a.Assignment.Version, Adapters: a.Assignment.Adapters,
 		Layers: a.Assignment.Layers, Role: a.Assignment.Role,
 	}
@@ -115,7 +115,7 @@
 		Loaded: controller.Assignment{
 			Model: st.Model, Version: st.Version, Adapters: st.Adapters, Layers: st.Layers, Role: st.Role,
 		},
-		Fencing: st.Fencing,
+		Fencing: st.FencingNumber,
 		Loading: st.Loading,
 	}
 }
--- a/daemon/steps.go
+++ b/daemon/steps.go
@@ -44,7 +44,7 @@
 		r.post(request.StepDone{Step: a.Step, Output: res.Output, Value: res.Token, Final: res.Final})
 	case res.Status == engine.StepNotRun:
 		r.post(request.StepNotRun{Step: a.Step})
-	case res.Status == engine.StepOvertaken:
+	case res.Status == engine.StepSuperseded:
 		r.post(request.StepNotRun{Step: a.Step, Superseded: true})
 	default:
 		r.post(request.StepFailed{Step: a.Step})
@@ -54,19 +54,19 @@
 func (r *runner) stepRequest(a request.RunStep) engine.StepRequest {
 	spec := r.spec
 	return engine.StepRequest{
-		Request:   *r.execution.Load(),
-		Attempt:   a.Step.Attempt,
-		Life:      a.Stage.Life,
-		Epoch:     a.Step.Epoch,
-		Token:     a.Step.Token,
-		Layers:    a.Stage.Layers,
-		Prompt:    a.Prompt,
-		Given:     a.PriorTokens,
-		Input:     a.Input,
-		Last:      a.LastToken,
-		Priority:  spec.Priority,
-		Adapter:   spec.Adapter,
-		MaxTokens: spec.MaxTokens,
+		Request:     *r.execution.Load(),
+		Attempt:     a.Step.Attempt,
+		BootID:      a.Stage.Life,
+		Epoch:       a.Step.Epoch,
+		Token:       a.Step.Token,
+		Layers:      a.Stage.Layers,
+		Prompt:      a.Prompt,
+		PriorTokens: a.PriorTokens,
+		Input:       a.Input,
+		LastToken:   a.LastToken,
+		Priority:    spec.Priority,
+		Adapter:     spec.Adapter,
+		MaxTokens:   spec.MaxTokens,
 	}
 }
 
@@ -110,16 +110,16 @@
 		}
 		r.fateUnknown.Store(!engine.NotSent(err))
 		r.post(request.StageQueryFailed{
-			Step: a.Step, Superseded: errors.Is(err, engine.ErrEpoch), NotSent: engine.NotSent(err),
+			Step: a.Step, Superseded: errors.Is(err, engine.ErrStaleEpoch), NotSent: engine.NotSent(err),
 		})
 		return
 	}
-	if a.Stage.Life != "" && held.Life != a.Stage.Life {
+	if a.Stage.Life != "" && held.BootID != a.Stage.Life {
 		r.stageDied(a.Step.Stage) // and is back already
 	}
 	r.post(request.StageState{
 		Step:       a.Step,
-		Life:       held.Life,
+		Life:       held.BootID,
 		Known:      held.Known,
 		Canceled:   held.Canceled,
 		NextToken:  held.NextToken,
@@ -222,8 +222,8 @@
 	if err != nil {
 		return "", err
 	}
-	e.seen(load.Life)
-	return load.Life, nil
+	e.seen(load.BootID)
+	return load.BootID, nil
 }
 
 // askRecorded asks the backend servers of a claimed attempt, whose owner is gone,
@@ -246,13 +246,13 @@
 		if err != nil {
 			// A process that is gone has lost what it held; one that only
 			// doesn't answer may be asked again.
-			if !engine.NotSent(err) && !errors.Is(err, engine.ErrEpoch) {
+			if !engine.NotSent(err) && !errors.Is(err, engine.ErrStaleEpoch) {
 				ev.Kind = claims.EvidenceUnavailable
 			}
 			answer(ev)
 			return
 		}
-		ev.BootIDs = append(ev.BootIDs, h.Life)
+		ev.BootIDs = append(ev.BootIDs, h.BootID)
 		if h.Known && !h.Canceled {
 			held++
 		}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -284,7 +284,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	load := e.life.load.at(time.Now())
-	load.Life = e.life.name
+	load.BootID = e.life.name
 	return load, nil
 }
 
--- a/internal/standin/engine_admit.go
+++ b/internal/standin/engine_admit.go
@@ -15,7 +15,7 @@
 		return engine.StepResult{Status: engine.StepNotRun, Detail: why}, true
 	}
 	switch {
-	case s.Life != "" && s.Life != l.name:
+	case s.BootID != "" && s.BootID != l.name:
 		return notRun("meant for another life")
 	case l.loading(time.Now()):
 		return notRun("loading")
@@ -30,7 +30,7 @@
 		case a.canceled:
 			return notRun("canceled")
 		case s.Epoch < a.epoch:
-			return engine.StepResult{Status: engine.StepOvertaken, Detail: "epoch was overtaken"}, true
+			return engine.StepResult{Status: engine.StepSuperseded, Detail: "epoch was overtaken"}, true
 		case a.running:
 			return notRun("another step of the attempt is running")
 		case a.final:
@@ -52,11 +52,11 @@
 		return engine.StepResult{Status: engine.StepNotRun, Detail: why}, true
 	}
 	if s.Layers.First == 0 {
-		if s.Prompt == "" || len(s.Given) != s.Token {
+		if s.Prompt == "" || len(s.PriorTokens) != s.Token {
 			return notRun("no cache for the attempt")
 		}
 		seed := promptSeed(s.Prompt)
-		for _, t := range s.Given {
+		for _, t := range s.PriorTokens {
 			seed = nextSeed(seed, t)
 		}
 		p.act = startActivation(seed, 0, s.Token, answerLength(s.Prompt))
@@ -98,7 +98,7 @@
 	}
 	if s.Layers.First == 0 {
 		last := a.act
-		p.act = startActivation(nextSeed(last.seed, s.Last), s.Token, s.Token, int(last.length))
+		p.act = startActivation(nextSeed(last.seed, s.LastToken), s.Token, s.Token, int(last.length))
 	} else {
 		act, ok := decodeActivation(s.Input)
 		if !ok || int(act.token) != s.Token {
--- a/internal/standin/engine_kv.go
+++ b/internal/standin/engine_kv.go
@@ -91,8 +91,8 @@
 }
 
 // held is the answer about a.
-func (a *attempt) held(l *life) engine.Held {
-	h := engine.Held{Life: l.name, Known: a.started && !a.broken, Canceled: a.canceled}
+func (a *attempt) held(l *life) engine.AttemptState {
+	h := engine.AttemptState{BootID: l.name, Known: a.started && !a.broken, Canceled: a.canceled}
 	if !h.Known {
 		return h
 	}
@@ -115,25 +115,25 @@
 	return !l.dead
 }
 
-func (e *Engine) resume(c engine.ResumeCall) (engine.Held, error) {
+func (e *Engine) resume(c engine.ResumeCall) (engine.AttemptState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l := e.life
 	a := l.known(attemptID{c.Request, c.Attempt})
 	if c.Epoch < a.epoch {
-		return engine.Held{}, &statusError{http.StatusConflict, "epoch was overtaken"}
+		return engine.AttemptState{}, &statusError{http.StatusConflict, "epoch was overtaken"}
 	}
 	a.epoch = c.Epoch
 	if !e.settled(l, a) {
-		return engine.Held{}, errAborted
+		return engine.AttemptState{}, errAborted
 	}
 	if c.Epoch < a.epoch {
-		return engine.Held{}, &statusError{http.StatusConflict, "epoch was overtaken"}
+		return engine.AttemptState{}, &statusError{http.StatusConflict, "epoch was overtaken"}
 	}
 	return a.held(l), nil
 }
 
-func (e *Engine) cancel(c engine.AttemptCall) (engine.Held, error) {
+func (e *Engine) cancel(c engine.AttemptCall) (engine.AttemptState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l := e.life
@@ -141,7 +141,7 @@
 	a := l.known(id)
 	a.canceled = true
 	if !e.settled(l, a) {
-		return engine.Held{}, errAborted
+		return engine.AttemptState{}, errAborted
 	}
 	l.release(id, a)
 	l.report(!e.left.IsZero())
--- a/internal/standin/engine_orders.go
+++ b/internal/standin/engine_orders.go
@@ -43,10 +43,10 @@
 	defer e.mu.Unlock()
 	l := e.life
 	if e.cfg.ChecksFencing {
-		if o.Fencing < l.held.Fencing {
+		if o.FencingNumber < l.held.FencingNumber {
 			return engine.OrderResult{Status: engine.OrderStale, State: l.state(time.Now())}, nil
 		}
-		l.held.Fencing = o.Fencing
+		l.held.FencingNumber = o.FencingNumber
 	}
 	if o.Kind == engine.OrderLoad && (o.Layers.First < 0 || o.Layers.Len() <= 0) {
 		return engine.OrderResult{Status: engine.OrderRefused, State: l.state(time.Now()), Detail: "no such layers"}, nil
@@ -56,7 +56,7 @@
 	case engine.OrderLoad:
 		e.loadWeights(l, o)
 	case engine.OrderUnload:
-		l.hold(engine.State{Role: l.held.Role, Fencing: l.held.Fencing})
+		l.hold(engine.State{Role: l.held.Role, FencingNumber: l.held.FencingNumber})
 	case engine.OrderSetRole:
 		l.held.Role = o.Role
 	default:
@@ -82,7 +82,7 @@
 	l.ready = own
 	l.hold(engine.State{
 		Service: o.Service, Model: o.Model, Version: o.Version, Adapters: slices.Clone(o.Adapters),
-		Layers: o.Layers, Role: l.held.Role, Fencing: l.held.Fencing,
+		Layers: o.Layers, Role: l.held.Role, FencingNumber: l.held.FencingNumber,
 	})
 }
 
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -69,7 +69,7 @@
 		c.servers[0].Slow(1)
 
 		a.epoch++
-		var held engine.Held
+		var held engine.AttemptState
 		Eventually(func() (err error) { // the stage answers when the step has ended
 			held, err = client.Resume(ctx, a.request, a.attempt, a.epoch)
 			return err
@@ -164,10 +164,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(held.NextToken).To(Equal(1))
 		release()
-		Expect((<-late).Status).To(Equal(engine.StepOvertaken))
+		Expect((<-late).Status).To(Equal(engine.StepSuperseded))
 		finish(ctx)
 		_, err = c.clients[0].Resume(ctx, a.request, a.attempt, a.epoch-1)
-		Expect(err).To(MatchError(engine.ErrEpoch))
+		Expect(err).To(MatchError(engine.ErrStaleEpoch))
 	}, SpecTimeout(generous))
 
 	// A caller gives its request up and is told that it was not run; the first
@@ -189,7 +189,7 @@
 		c.servers[0].Kill()
 		Expect(c.servers[0].Restart()).To(Succeed())
 		step := c.step(a, 0, nil)
-		step.Life = held.Life
+		step.BootID = held.BootID
 		// A new client: the old one's connection may not know yet that it is
 		// dead, and a step on it is rightly unanswered.
 		results, err := dial(c.servers[0].Address(), generous).Step(ctx, []engine.StepRequest{step})
@@ -219,11 +219,11 @@
 		_, err = c.clients[1].Cancel(ctx, a.request, a.attempt)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = c.clients[1].ExportKV(ctx, a.request, a.attempt)
-		Expect(err).To(MatchError(engine.ErrNotHeld))
+		Expect(err).To(MatchError(engine.ErrCacheNotHeld))
 
 		client := dial(spare.Address(), generous)
 		Expect(client.ImportKV(ctx, a.request, a.attempt, kv)).To(Succeed())
-		Expect(client.ImportKV(ctx, a.request, a.attempt, kv)).To(MatchError(engine.ErrNotHeld))
+		Expect(client.ImportKV(ctx, a.request, a.attempt, kv)).To(MatchError(engine.ErrCacheNotHeld))
 		c.servers[1], c.clients[1] = spare, client
 		finish(ctx)
 		Expect(c.ledger.Executions("r")).To(Equal(1))
@@ -273,7 +273,7 @@
 		return client
 	}
 	load := func(number state.FencingNumber, first, end int) engine.Order {
-		return engine.Order{Kind: engine.OrderLoad, Fencing: number, Model: "m", Version: "1", Layers: state.LayerRange{First: first, End: end}}
+		return engine.Order{Kind: engine.OrderLoad, FencingNumber: number, Model: "m", Version: "1", Layers: state.LayerRange{First: first, End: end}}
 	}
 
 	It("are refused with an old fencing number only where it is checked", func(ctx SpecContext) {
@@ -286,11 +286,11 @@
 			if checks {
 				Expect(got.Status).To(Equal(engine.OrderStale))
 				Expect(got.State.Layers.End).To(Equal(4))
-				Expect(got.State.Fencing).To(Equal(state.FencingNumber(7)))
+				Expect(got.State.FencingNumber).To(Equal(state.FencingNumber(7)))
 			} else {
 				Expect(got.Status).To(Equal(engine.OrderApplied))
 				Expect(got.State.Layers.End).To(Equal(8))
-				Expect(got.State.Fencing).To(BeZero())
+				Expect(got.State.FencingNumber).To(BeZero())
 			}
 		}
 	}, SpecTimeout(generous))
--- a/internal/standin/pipeline_test.go
+++ b/internal/standin/pipeline_test.go
@@ -62,9 +62,9 @@
 	case stage > 0:
 	case len(a.tokens) == a.begin:
 		s.Prompt = a.prompt
-		s.Given = a.tokens
+		s.PriorTokens = a.tokens
 	default:
-		s.Last = a.tokens[len(a.tokens)-1]
+		s.LastToken = a.tokens[len(a.tokens)-1]
 	}
 	return s
 }
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -110,7 +110,7 @@
 func (s *PlainServer) load(struct{}) (engine.Load, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return engine.Load{Life: s.life(), Running: s.running, Queued: s.queued, Leaving: !s.left.IsZero()}, nil
+	return engine.Load{BootID: s.life(), Running: s.running, Queued: s.queued, Leaving: !s.left.IsZero()}, nil
 }
 
 // life names the present life of the process. The caller holds mu.
--- a/measure/baseline.go
+++ b/measure/baseline.go
@@ -144,7 +144,7 @@
 	for i, s := range r.replica.stages {
 		step := engine.StepRequest{
 			Request: r.id, Attempt: r.attempt, Token: token, Layers: s.layers,
-			Input: res.Output, Last: r.last, Priority: r.work.priority, MaxTokens: r.work.tokens,
+			Input: res.Output, LastToken: r.last, Priority: r.work.priority, MaxTokens: r.work.tokens,
 		}
 		if token == 0 && i == 0 {
 			step.Prompt = r.work.prompt
--- a/protocol/engine/engine.go
+++ b/protocol/engine/engine.go
@@ -24,20 +24,20 @@
 	// Prompt is set on an attempt's first step in the first stage only. With
 	// Given, the tokens that earlier attempts gave the caller, it rebuilds
 	// the KV cache up to Token.
-	Prompt string  `json:"prompt,omitempty"`
-	Given  []int64 `json:"given,omitempty"`
+	Prompt      string  `json:"prompt,omitempty"`
+	PriorTokens []int64 `json:"given,omitempty"`
 
 	// Input is the activation of the stage before, or, on the first stage,
 	// empty.
 	Input []byte `json:"input,omitempty"`
 
 	// Last is the token before Token, for the first stage of later tokens.
-	Last int64 `json:"last"`
+	LastToken int64 `json:"last"`
 
 	// Life is the life of the engine's process that the step is meant for;
 	// empty for any. An engine of another life answers StepNotRun: the bars
 	// that a Resume set are gone with the process that held them.
-	Life string `json:"life,omitempty"`
+	BootID string `json:"life,omitempty"`
 
 	// Epoch is the stream owner's; see Engine.Resume.
 	Epoch state.Epoch `json:"epoch"`
@@ -59,7 +59,7 @@
 	StepNotRun StepStatus = "not_run"
 	// StepOvertaken: like StepNotRun, because another owner of the attempt
 	// has barred the step's epoch. That owner may have run it.
-	StepOvertaken StepStatus = "overtaken"
+	StepSuperseded StepStatus = "overtaken"
 	// StepFailed: the stage may have run part of the step. Its KV cache for
 	// the attempt is not to be used again.
 	StepFailed StepStatus = "failed"
@@ -75,9 +75,9 @@
 }
 
 // Held is what one stage holds of one attempt.
-type Held struct {
+type AttemptState struct {
 	// Life names the life of the engine's process, unlike any other life's.
-	Life string `json:"life"`
+	BootID string `json:"life"`
 
 	Known     bool `json:"known"`
 	NextToken int  `json:"next_token"` // the first token that it did not run
@@ -96,7 +96,7 @@
 // Load is an engine's own report; it is older than it looks by the engine's
 // reporting lag.
 type Load struct {
-	Life    string `json:"life"` // of the process; see Held
+	BootID  string `json:"life"` // of the process; see Held
 	Running int    `json:"running"`
 	Queued  int    `json:"queued"`
 	Leaving bool   `json:"leaving"`
@@ -122,14 +122,14 @@
 
 // Order changes what an engine holds or does.
 type Order struct {
-	Kind     OrderKind           `json:"kind"`
-	Fencing  state.FencingNumber `json:"fencing"`
-	Service  state.ServiceID     `json:"service"`
-	Model    string              `json:"model"`
-	Version  string              `json:"version"`
-	Adapters []string            `json:"adapters,omitempty"`
-	Layers   state.LayerRange    `json:"layers"`
-	Role     string              `json:"role,omitempty"`
+	Kind          OrderKind           `json:"kind"`
+	FencingNumber state.FencingNumber `json:"fencing"`
+	Service       state.ServiceID     `json:"service"`
+	Model         string              `json:"model"`
+	Version       string              `json:"version"`
+	Adapters      []string            `json:"adapters,omitempty"`
+	Layers        state.LayerRange    `json:"layers"`
+	Role          string              `json:"role,omitempty"`
 }
 
 // OrderStatus is what became of an order.
@@ -151,14 +151,14 @@
 
 // State is what an engine holds.
 type State struct {
-	Service  state.ServiceID     `json:"service"`
-	Model    string              `json:"model"`
-	Version  string              `json:"version"`
-	Adapters []string            `json:"adapters,omitempty"`
-	Layers   state.LayerRange    `json:"layers"`
-	Role     string              `json:"role,omitempty"`
-	Fencing  state.FencingNumber `json:"fencing"` // the highest seen, 0 where ignored
-	Loading  bool                `json:"loading"`
+	Service       state.ServiceID     `json:"service"`
+	Model         string              `json:"model"`
+	Version       string              `json:"version"`
+	Adapters      []string            `json:"adapters,omitempty"`
+	Layers        state.LayerRange    `json:"layers"`
+	Role          string              `json:"role,omitempty"`
+	FencingNumber state.FencingNumber `json:"fencing"` // the highest seen, 0 where ignored
+	Loading       bool                `json:"loading"`
 }
 
 // Engine is one model engine as seen by a daemon. All methods may be called by
@@ -178,11 +178,11 @@
 	// Resume returns stays true until a step of this epoch is sent, and an
 	// owner that was paused while another took its stream over can't run a
 	// step. An epoch below one seen before is answered ErrEpoch.
-	Resume(ctx context.Context, request state.RequestID, attempt state.Attempt, epoch state.Epoch) (Held, error)
+	Resume(ctx context.Context, request state.RequestID, attempt state.Attempt, epoch state.Epoch) (AttemptState, error)
 
 	// Cancel ends an attempt. When it succeeds, no step of the attempt runs
 	// after it, even one that is still under way to the engine.
-	Cancel(ctx context.Context, request state.RequestID, attempt state.Attempt) (Held, error)
+	Cancel(ctx context.Context, request state.RequestID, attempt state.Attempt) (AttemptState, error)
 
 	// ExportKV and ImportKV move an attempt's cache between two engines that
 	// hold the same layers.
--- a/protocol/engine/errors.go
+++ b/protocol/engine/errors.go
@@ -7,11 +7,11 @@
 
 // ErrEpoch answers a Resume whose epoch is below one seen before: another owner
 // has taken the stream over.
-var ErrEpoch = errors.New("epoch was overtaken")
+var ErrStaleEpoch = errors.New("epoch was overtaken")
 
 // ErrNotHeld answers ExportKV and ImportKV of an attempt whose cache the engine
 // does not hold or can't take. It is proof that nothing changed.
-var ErrNotHeld = errors.New("attempt's cache is not held")
+var ErrCacheNotHeld = errors.New("attempt's cache is not held")
 
 // MarkNotSent wraps err as proof that the call never left this daemon, such as
 // a refused connection.
--- a/transport/enginehttp/chain_bench_test.go
+++ b/transport/enginehttp/chain_bench_test.go
@@ -96,7 +96,7 @@
 		for i, stage := range stages {
 			step := engine.StepRequest{
 				Request: state.RequestID(name), Attempt: 1, Epoch: 1, Token: token,
-				Layers: engines[i].Config().Layers, Input: input, Last: last,
+				Layers: engines[i].Config().Layers, Input: input, LastToken: last,
 			}
 			if i == 0 {
 				step.Prompt = prompt
--- a/transport/enginehttp/client.go
+++ b/transport/enginehttp/client.go
@@ -69,30 +69,30 @@
 }
 
 // Resume implements engine.Engine.
-func (c *Client) Resume(ctx context.Context, request state.RequestID, attempt state.Attempt, epoch state.Epoch) (engine.Held, error) {
+func (c *Client) Resume(ctx context.Context, request state.RequestID, attempt state.Attempt, epoch state.Epoch) (engine.AttemptState, error) {
 	body := engine.ResumeCall{Request: request, Attempt: attempt, Epoch: epoch}
-	held, err := call[engine.Held](ctx, c.caller, http.MethodPost, c.base+engine.PathResume, body)
-	return held, replace(err, http.StatusConflict, engine.ErrEpoch)
+	held, err := call[engine.AttemptState](ctx, c.caller, http.MethodPost, c.base+engine.PathResume, body)
+	return held, replace(err, http.StatusConflict, engine.ErrStaleEpoch)
 }
 
 // Cancel implements engine.Engine.
-func (c *Client) Cancel(ctx context.Context, request state.RequestID, attempt state.Attempt) (engine.Held, error) {
+func (c *Client) Cancel(ctx context.Context, request state.RequestID, attempt state.Attempt) (engine.AttemptState, error) {
 	body := engine.AttemptCall{Request: request, Attempt: attempt}
-	return call[engine.Held](ctx, c.caller, http.MethodPost, c.base+engine.PathCancel, body)
+	return call[engine.AttemptState](ctx, c.caller, http.MethodPost, c.base+engine.PathCancel, body)
 }
 
 // ExportKV implements engine.Engine.
 func (c *Client) ExportKV(ctx context.Context, request state.RequestID, attempt state.Attempt) ([]byte, error) {
 	body := engine.AttemptCall{Request: request, Attempt: attempt}
 	kv, err := call[engine.KV](ctx, c.caller, http.MethodPost, c.base+engine.PathExportKV, body)
-	return kv.KV, replace(err, http.StatusConflict, engine.ErrNotHeld)
+	return kv.KV, replace(err, http.StatusConflict, engine.ErrCacheNotHeld)
 }
 
 // ImportKV implements engine.Engine.
 func (c *Client) ImportKV(ctx context.Context, request state.RequestID, attempt state.Attempt, kv []byte) error {
 	body := engine.KV{Request: request, Attempt: attempt, KV: kv}
 	_, err := call[struct{}](ctx, c.caller, http.MethodPost, c.base+engine.PathImportKV, body)
-	return replace(err, http.StatusConflict, engine.ErrNotHeld)
+	return replace(err, http.StatusConflict, engine.ErrCacheNotHeld)
 }
 
 // Load implements engine.Engine.
