--- a/daemon/instances.go
+++ b/daemon/instances.go
@@ -118,11 +118,11 @@
 	defer cancel()
 	var list []platform.Instance
 	for {
-		res, err := d.node.Call(ctx, address, platform.ListAsk{From: len(list)})
+		res, err := d.node.Call(ctx, address, platform.InstanceListRequest{From: len(list)})
 		if err != nil {
 			return nil, err
 		}
-		told, ok := res.Msg.(platform.ListTold)
+		told, ok := res.Msg.(platform.InstanceListPage)
 		if !ok || told.Total == 0 {
 			return nil, platform.ErrNotFound
 		}
@@ -134,11 +134,11 @@
 }
 
 // told answers a peer that has no list.
-func (p *instancesPart) told(from int) platform.ListTold {
+func (p *instancesPart) told(from int) platform.InstanceListPage {
 	ids := lo.Keys(p.byID)
 	slices.Sort(ids)
-	end := min(from+platform.MaxListRows, len(ids))
-	told := platform.ListTold{Total: len(ids)}
+	end := min(from+platform.MaxInstanceListPage, len(ids))
+	told := platform.InstanceListPage{Total: len(ids)}
 	for _, id := range ids[min(from, end):end] {
 		told.Rows = append(told.Rows, p.byID[id])
 	}
--- a/daemon/messages.go
+++ b/daemon/messages.go
@@ -72,8 +72,8 @@
 	peer.Register[streams.CancelRequest](r, kindStreams+5)
 	peer.Register[streams.Canceled](r, kindStreams+6)
 
-	peer.Register[platform.ListAsk](r, kindPlatform)
-	peer.Register[platform.ListTold](r, kindPlatform+1)
+	peer.Register[platform.InstanceListRequest](r, kindPlatform)
+	peer.Register[platform.InstanceListPage](r, kindPlatform+1)
 
 	peer.Register[quarantine.FactUpdate](r, kindQuarantine)
 	peer.Register[quarantine.Ack](r, kindQuarantine+1)
@@ -151,8 +151,8 @@
 	case controller.RequestCountQuery:
 		told, _ := ask(ctx, d.control, func() controller.RequestCountReply { return d.control.slots.counts(msg) })
 		return told, nil
-	case platform.ListAsk:
-		told, _ := ask(ctx, d.control, func() platform.ListTold { return d.control.instances.told(msg.From) })
+	case platform.InstanceListRequest:
+		told, _ := ask(ctx, d.control, func() platform.InstanceListPage { return d.control.instances.told(msg.From) })
 		return told, nil
 	case streams.Pull:
 		return d.servePull(ctx, msg), nil
