--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -34,7 +34,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 		res, err := d.node.Call(ctx, address, streams.Pull{Request: id, From: len(from), Wait: pullWait})
 		cancel()
-		got, ok := res.Msg.(streams.Pulled)
+		got, ok := res.Msg.(streams.PullResult)
 		switch {
 		case err != nil || !ok:
 			silent++
@@ -57,26 +57,26 @@
 }
 
 // servePull answers another daemon that follows a request of this one.
-func (d *Daemon) servePull(ctx context.Context, p streams.Pull) streams.Pulled {
+func (d *Daemon) servePull(ctx context.Context, p streams.Pull) streams.PullResult {
 	a := d.requests.answer(p.Request)
 	if a == nil {
-		return streams.Pulled{}
+		return streams.PullResult{}
 	}
 	wait := time.NewTimer(min(p.Wait, pullWait))
 	defer wait.Stop()
 	for {
 		tokens, outcome, changed := a.after(p.From)
 		if len(tokens) > 0 || outcome != nil {
-			return streams.Pulled{Known: true, Answer: streams.Answer{
-				From: p.From, Tokens: tokens, Outcome: streams.OutcomeOf(outcome),
+			return streams.PullResult{Known: true, Answer: streams.Answer{
+				From: p.From, Tokens: tokens, Outcome: streams.NewOutcome(outcome),
 			}}
 		}
 		select {
 		case <-changed:
 		case <-wait.C:
-			return streams.Pulled{Known: true, Answer: streams.Answer{From: p.From}}
+			return streams.PullResult{Known: true, Answer: streams.Answer{From: p.From}}
 		case <-ctx.Done():
-			return streams.Pulled{}
+			return streams.PullResult{}
 		}
 	}
 }
--- a/daemon/messages.go
+++ b/daemon/messages.go
@@ -65,12 +65,12 @@
 	peer.Register[claims.WriteReply](r, kindClaims+1)
 
 	peer.Register[streams.Register](r, kindStreams)
-	peer.Register[streams.LookUp](r, kindStreams+1)
-	peer.Register[streams.LookedUp](r, kindStreams+2)
+	peer.Register[streams.Lookup](r, kindStreams+1)
+	peer.Register[streams.LookupResult](r, kindStreams+2)
 	peer.Register[streams.Pull](r, kindStreams+3)
-	peer.Register[streams.Pulled](r, kindStreams+4)
+	peer.Register[streams.PullResult](r, kindStreams+4)
 	peer.Register[streams.CancelRequest](r, kindStreams+5)
-	peer.Register[streams.Canceled](r, kindStreams+6)
+	peer.Register[streams.CancelResult](r, kindStreams+6)
 
 	peer.Register[platform.InstanceListRequest](r, kindPlatform)
 	peer.Register[platform.InstanceListPage](r, kindPlatform+1)
@@ -142,10 +142,10 @@
 	switch msg := msg.(type) {
 	case claims.WriteRequest:
 		return d.control.batcher.serve(ctx, msg)
-	case streams.LookUp:
-		found, _ := ask(ctx, d.control, func() streams.LookedUp {
+	case streams.Lookup:
+		found, _ := ask(ctx, d.control, func() streams.LookupResult {
 			rec, known := d.control.streams.records.Get(d.control.now, msg.Request)
-			return streams.LookedUp{Known: known, Record: rec}
+			return streams.LookupResult{Known: known, Record: rec}
 		})
 		return found, nil
 	case controller.RequestCountQuery:
@@ -161,7 +161,7 @@
 		if r != nil {
 			r.post(request.Cancel{})
 		}
-		return streams.Canceled{Known: r != nil}, nil
+		return streams.CancelResult{Known: r != nil}, nil
 	}
 	return nil, fmt.Errorf("%T is no call", msg)
 }
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -306,7 +306,7 @@
 	rec := recordOf(r, r.began)
 	rec.Prompt = ""
 	tokens, _, _ := r.answer.after(0)
-	rec.Answer = &streams.Answer{Tokens: tokens, Outcome: streams.OutcomeOf(o)}
+	rec.Answer = &streams.Answer{Tokens: tokens, Outcome: streams.NewOutcome(o)}
 	c := r.d.control
 	c.post(func() { c.streams.register(rec) })
 }
--- a/daemon/streams.go
+++ b/daemon/streams.go
@@ -103,11 +103,11 @@
 	if !ok {
 		return streams.Record{}, false
 	}
-	answers := make(chan streams.LookedUp, len(got.addresses))
+	answers := make(chan streams.LookupResult, len(got.addresses))
 	for _, address := range got.addresses {
 		go func() {
-			res, err := d.node.Call(ctx, address, streams.LookUp{Request: id})
-			found, _ := res.Msg.(streams.LookedUp)
+			res, err := d.node.Call(ctx, address, streams.Lookup{Request: id})
+			found, _ := res.Msg.(streams.LookupResult)
 			found.Known = found.Known && err == nil
 			answers <- found
 		}()
--- a/protocol/streams/streams.go
+++ b/protocol/streams/streams.go
@@ -69,12 +69,12 @@
 }
 
 // LookUp asks a registrar for a record.
-type LookUp struct {
+type Lookup struct {
 	Request state.RequestID `msgpack:"r"`
 }
 
 // LookedUp answers LookUp.
-type LookedUp struct {
+type LookupResult struct {
 	Known  bool   `msgpack:"k"`
 	Record Record `msgpack:"r"`
 }
@@ -89,7 +89,7 @@
 
 // Pulled answers Pull. Known is false where the receiver does not have the
 // request.
-type Pulled struct {
+type PullResult struct {
 	Known  bool   `msgpack:"k"`
 	Answer Answer `msgpack:"a"`
 }
@@ -100,12 +100,12 @@
 }
 
 // Canceled answers CancelRequest.
-type Canceled struct {
+type CancelResult struct {
 	Known bool `msgpack:"k"`
 }
 
 // OutcomeOf describes o for another daemon.
-func OutcomeOf(o state.Outcome) *Outcome {
+func NewOutcome(o state.Outcome) *Outcome {
 	switch o := o.(type) {
 	case state.Completed:
 		return &Outcome{Kind: Completed, Tokens: o.Tokens}
