--- a/coordination/claims/world_test.go
+++ b/coordination/claims/world_test.go
@@ -175,7 +175,7 @@
 		}})
 	case claims.Dispatch:
 		k.dispatched = true
-		k.dispatches.Sent(a.Record.Slot.Attempt)
+		k.dispatches.MarkSent(a.Record.Slot.Attempt)
 		sim.firstSteps = append(sim.firstSteps, firstStep{n, k, a.Record})
 	case claims.Continue:
 		k.dispatched = true
--- a/coordination/claims/worldsteps_test.go
+++ b/coordination/claims/worldsteps_test.go
@@ -53,7 +53,7 @@
 // handleNotStarted makes the owner dispatch the request in another slot or give it
 // up.
 func (sim *simulation) handleNotStarted(s firstStep) {
-	s.claim.dispatches.Unstarted(s.record.Slot.Attempt)
+	s.claim.dispatches.MarkNotStarted(s.record.Slot.Attempt)
 	proof, _ := s.claim.dispatches.NotRun()
 	if sim.pick(2, "move") == 1 {
 		sim.nonces++
--- a/coordination/cover/cover.go
+++ b/coordination/cover/cover.go
@@ -69,7 +69,7 @@
 // Repair assigns layers to the engines that have none. If a group of engines lacks a layer and too
 // few other groups are complete, it also moves one of the group's engines whose layers are all held
 // by others of the group. Engines in pending are carrying out an order.
-func Repair(e *fleet.Engine, servers []fleet.Server, pending map[state.Life]PendingOrder) []Assignment {
+func Repair(e *fleet.Engine, servers []fleet.Server, pending map[state.BackendIncarnation]PendingOrder) []Assignment {
 	layers := capacityFor(e, servers)
 	all := fleet.NewCover(e.Layers)
 	var out []Assignment
@@ -102,7 +102,7 @@
 // layers. Where engines are replaced, each that shuts down has a successor: if an engine in use is
 // moved into its place, its own layers are missing. With 14 of 38 engines replaced in 16 s, callers
 // got 0.59 of the full credit with such moves and 0.89 without, in the mean of six runs each.
-func hasNewEngine(servers []fleet.Server, pending map[state.Life]PendingOrder) bool {
+func hasNewEngine(servers []fleet.Server, pending map[state.BackendIncarnation]PendingOrder) bool {
 	return slices.ContainsFunc(servers, func(s fleet.Server) bool {
 		o, busy := pending[s.Life()]
 		if busy {
@@ -113,7 +113,7 @@
 }
 
 // copiesOf counts the copies of each layer that a group's engines hold or are loading.
-func copiesOf(e *fleet.Engine, servers []fleet.Server, pending map[state.Life]PendingOrder) fleet.Cover {
+func copiesOf(e *fleet.Engine, servers []fleet.Server, pending map[state.BackendIncarnation]PendingOrder) fleet.Cover {
 	copies := fleet.NewCover(e.Layers)
 	for _, s := range servers {
 		copies.Add(heldLayers(s, pending), 1)
@@ -144,7 +144,7 @@
 }
 
 // heldLayers returns the layers that an engine holds or is loading.
-func heldLayers(s fleet.Server, pending map[state.Life]PendingOrder) fleet.Range {
+func heldLayers(s fleet.Server, pending map[state.BackendIncarnation]PendingOrder) fleet.Range {
 	if o, ok := pending[s.Life()]; ok {
 		return o.Layers
 	}
@@ -171,7 +171,7 @@
 }
 
 // assignGroup assigns layers within one group.
-func (p *plan) assignGroup(servers []fleet.Server, pending map[state.Life]PendingOrder) {
+func (p *plan) assignGroup(servers []fleet.Server, pending map[state.BackendIncarnation]PendingOrder) {
 	var idle, settled []fleet.Server
 	for _, s := range servers {
 		_, busy := pending[s.Life()]
--- a/coordination/cover/cover_test.go
+++ b/coordination/cover/cover_test.go
@@ -138,7 +138,7 @@
 		as := cover.Repair(engine, append(servers, successor), nil)
 		Expect(as).To(HaveLen(1))
 		Expect(as[0].Server.ID).To(BeEquivalentTo("new"))
-		loading := map[state.Life]cover.PendingOrder{successor.Life(): {Layers: as[0].Layers}}
+		loading := map[state.BackendIncarnation]cover.PendingOrder{successor.Life(): {Layers: as[0].Layers}}
 		Expect(cover.Repair(engine, append(servers, successor), loading)).To(BeEmpty())
 		successor.Layers = as[0].Layers
 		Expect(cover.Repair(engine, append(servers, successor), nil)).NotTo(BeEmpty(), "the new engine has its layers, and others are still missing")
@@ -146,7 +146,7 @@
 
 	It("orders nothing for an engine that is carrying out an order", func() {
 		servers := site()
-		pending := make(map[state.Life]cover.PendingOrder)
+		pending := make(map[state.BackendIncarnation]cover.PendingOrder)
 		for _, a := range cover.Plan(engine, servers) {
 			pending[a.Server.Life()] = cover.PendingOrder{Layers: a.Layers}
 		}
--- a/coordination/crashes/crashes.go
+++ b/coordination/crashes/crashes.go
@@ -22,8 +22,8 @@
 
 // Implication is the message to other daemons that servers died while running a content.
 type Implication struct {
-	Fingerprint Fingerprint  `msgpack:"f"`
-	Servers     []state.Life `msgpack:"s"`
+	Fingerprint Fingerprint                `msgpack:"f"`
+	Servers     []state.BackendIncarnation `msgpack:"s"`
 }
 
 // Tracker holds the implicated contents known to one daemon. It is not safe for concurrent use.
@@ -33,8 +33,8 @@
 
 // content is the state of one content.
 type content struct {
-	servers []state.Life // incarnations that died while running it
-	at      time.Time    // time of the last implication
+	servers []state.BackendIncarnation // incarnations that died while running it
+	at      time.Time                  // time of the last implication
 }
 
 // NewTracker returns an empty tracker.
@@ -44,7 +44,7 @@
 
 // Implicate records that servers died while running a content. It returns the message for the other
 // daemons, and false if all of it was known.
-func (t *Tracker) Implicate(now time.Time, fp Fingerprint, servers ...state.Life) (Implication, bool) {
+func (t *Tracker) Implicate(now time.Time, fp Fingerprint, servers ...state.BackendIncarnation) (Implication, bool) {
 	c, ok := t.contents[fp]
 	if !ok {
 		t.makeRoom(now)
@@ -62,7 +62,7 @@
 	return Implication{Fingerprint: fp, Servers: c.servers}, isNew
 }
 
-func (c *content) has(s state.Life) bool {
+func (c *content) has(s state.BackendIncarnation) bool {
 	for _, have := range c.servers {
 		if have == s {
 			return true
--- a/coordination/home/choose_test.go
+++ b/coordination/home/choose_test.go
@@ -107,12 +107,12 @@
 	// came from, or the replica is never used again.
 	It("gives a replica work again after its processes were replaced", Label("failure:backend-leaving"), func() {
 		specs := replicas(1, 2)
-		specs[0].Stages = []state.Stage{{Backend: "b1", Life: "one"}}
+		specs[0].Stages = []state.Stage{{Backend: "b1", BootID: "one"}}
 		for _, returns := range []func(*simulation){
 			func(w *simulation) { w.step(home.ReplicaReturned{Replica: replicaID(0)}) },
 			func(w *simulation) {
 				again := replicas(1, 2)
-				again[0].Stages = []state.Stage{{Backend: "b1", Life: "two"}}
+				again[0].Stages = []state.Stage{{Backend: "b1", BootID: "two"}}
 				w.assign(again)
 			},
 		} {
--- a/coordination/layering/layering.go
+++ b/coordination/layering/layering.go
@@ -88,7 +88,7 @@
 // OrderResult answers an Order action. OrderCount is the number of orders that the engine reports
 // to have started, if Known is set.
 type OrderResult struct {
-	Server     state.Life
+	Server     state.BackendIncarnation
 	Outcome    OrderOutcome
 	Known      bool
 	OrderCount uint64
@@ -134,7 +134,7 @@
 	newLists      map[state.ServiceID]ServersListed // received but not yet processed
 	lastProcessed time.Time                         // time of the last processing
 	pending       pendingOrders
-	orderCounts   map[state.Life]uint64 // known number of orders that each engine has started
+	orderCounts   map[state.BackendIncarnation]uint64 // known number of orders that each engine has started
 
 	daemonsAhead     int // daemons that try first
 	neededSince      time.Time
@@ -161,7 +161,7 @@
 		services:    make(map[state.ServiceID]*service),
 		newLists:    make(map[state.ServiceID]ServersListed),
 		pending:     newPendingOrders(),
-		orderCounts: make(map[state.Life]uint64),
+		orderCounts: make(map[state.BackendIncarnation]uint64),
 	}
 }
 
@@ -281,7 +281,7 @@
 // sameEngines reports whether two lists have the same engines with the same layers and draining
 // states.
 func sameEngines(a, b []fleet.Server) bool {
-	have := make(map[state.Life]fleet.Server, len(a))
+	have := make(map[state.BackendIncarnation]fleet.Server, len(a))
 	for _, s := range a {
 		have[s.Life()] = s
 	}
@@ -301,15 +301,15 @@
 	if m.pending.len() == 0 && len(m.orderCounts) == 0 {
 		return
 	}
-	listed := make(map[state.Life]bool)
+	listed := make(map[state.BackendIncarnation]bool)
 	for _, s := range m.services {
 		for _, srv := range s.servers {
 			listed[srv.Life()] = true
 		}
 	}
-	gone := func(id state.Life) bool { return !listed[id] }
+	gone := func(id state.BackendIncarnation) bool { return !listed[id] }
 	m.pending.removeAll(gone)
-	maps.DeleteFunc(m.orderCounts, func(id state.Life, _ uint64) bool { return gone(id) })
+	maps.DeleteFunc(m.orderCounts, func(id state.BackendIncarnation, _ uint64) bool { return gone(id) })
 }
 
 func (m *Machine) handleResult(ev OrderResult) {
@@ -440,7 +440,7 @@
 	return out
 }
 
-func (m *Machine) assignments(s *service, pending map[state.Life]cover.PendingOrder) []cover.Assignment {
+func (m *Machine) assignments(s *service, pending map[state.BackendIncarnation]cover.PendingOrder) []cover.Assignment {
 	return cover.Repair(s.engine, s.servers, pending)
 }
 
--- a/coordination/layering/plan_test.go
+++ b/coordination/layering/plan_test.go
@@ -106,7 +106,7 @@
 		m := newMachine(largeSite())
 		m.Step(at(2000), layering.Tick{})
 		waiting := orders(acquireLease(m, 2010))
-		ordered := make(map[state.Life]bool)
+		ordered := make(map[state.BackendIncarnation]bool)
 		for now := at(2011); len(waiting) > 0; now = now.Add(100 * time.Microsecond) {
 			Expect(len(waiting)).To(BeNumerically("<=", 256))
 			Expect(ordered).NotTo(HaveKey(waiting[0].Server.Life()))
--- a/coordination/layering/underway.go
+++ b/coordination/layering/underway.go
@@ -20,24 +20,24 @@
 // pendingOrders holds the orders that engines are believed to be carrying out. The operations that
 // run at every event take constant time, even with thousands of orders.
 type pendingOrders struct {
-	byIncarnation map[state.Life]pendingOrder
+	byIncarnation map[state.BackendIncarnation]pendingOrder
 	unanswered    int
 	// earliest is no later than any retryAt; zero if there are no orders.
 	earliest time.Time
 }
 
 func newPendingOrders() pendingOrders {
-	return pendingOrders{byIncarnation: make(map[state.Life]pendingOrder)}
+	return pendingOrders{byIncarnation: make(map[state.BackendIncarnation]pendingOrder)}
 }
 
 func (o *pendingOrders) len() int { return len(o.byIncarnation) }
 
-func (o *pendingOrders) get(id state.Life) (pendingOrder, bool) {
+func (o *pendingOrders) get(id state.BackendIncarnation) (pendingOrder, bool) {
 	p, ok := o.byIncarnation[id]
 	return p, ok
 }
 
-func (o *pendingOrders) add(id state.Life, p pendingOrder) {
+func (o *pendingOrders) add(id state.BackendIncarnation, p pendingOrder) {
 	o.remove(id)
 	o.byIncarnation[id] = p
 	o.unanswered++
@@ -45,7 +45,7 @@
 }
 
 // markAnswered records that the answer to an order is no longer awaited.
-func (o *pendingOrders) markAnswered(id state.Life) {
+func (o *pendingOrders) markAnswered(id state.BackendIncarnation) {
 	p, ok := o.byIncarnation[id]
 	if !ok || p.answered {
 		return
@@ -56,7 +56,7 @@
 }
 
 // extend changes when an order is planned again.
-func (o *pendingOrders) extend(id state.Life, until time.Time) {
+func (o *pendingOrders) extend(id state.BackendIncarnation, until time.Time) {
 	p, ok := o.byIncarnation[id]
 	if !ok {
 		return
@@ -66,13 +66,13 @@
 	o.earliest = earlierNonZero(o.earliest, until)
 }
 
-func (o *pendingOrders) remove(id state.Life) {
+func (o *pendingOrders) remove(id state.BackendIncarnation) {
 	o.markAnswered(id)
 	delete(o.byIncarnation, id)
 }
 
 // removeAll removes the orders to the selected engines.
-func (o *pendingOrders) removeAll(which func(state.Life) bool) {
+func (o *pendingOrders) removeAll(which func(state.BackendIncarnation) bool) {
 	for id := range o.byIncarnation {
 		if which(id) {
 			o.remove(id)
@@ -101,8 +101,8 @@
 }
 
 // orders returns the orders as input of a layout.
-func (o *pendingOrders) orders() map[state.Life]cover.PendingOrder {
-	out := make(map[state.Life]cover.PendingOrder, len(o.byIncarnation))
+func (o *pendingOrders) orders() map[state.BackendIncarnation]cover.PendingOrder {
+	out := make(map[state.BackendIncarnation]cover.PendingOrder, len(o.byIncarnation))
 	for id, p := range o.byIncarnation {
 		out[id] = cover.PendingOrder{Layers: p.layers, Moved: p.moved}
 	}
--- a/coordination/pathing/roster.go
+++ b/coordination/pathing/roster.go
@@ -22,7 +22,7 @@
 	domains        []state.FailureDomain
 	kinds          []string
 	estimateInputs []estimateInput // by candidate
-	byIncarnation  map[state.Life]int
+	byIncarnation  map[state.BackendIncarnation]int
 	byAddress      map[string]int
 }
 
@@ -48,7 +48,7 @@
 
 // NewRoster indexes the engines that hold layers and are not draining.
 func NewRoster(e *fleet.Engine, servers []fleet.Server) *Roster {
-	r := &Roster{engine: e, byIncarnation: make(map[state.Life]int, len(servers)), byAddress: make(map[string]int, len(servers))}
+	r := &Roster{engine: e, byIncarnation: make(map[state.BackendIncarnation]int, len(servers)), byAddress: make(map[string]int, len(servers))}
 	index := make(map[groupKey]int)
 	for i := range servers {
 		s := &servers[i]
@@ -92,7 +92,7 @@
 func (r *Roster) Server(i int) *fleet.Server { return r.candidates[i].Server }
 
 // IndexOf returns the candidate of a server incarnation; false for none.
-func (r *Roster) IndexOf(l state.Life) (int, bool) {
+func (r *Roster) IndexOf(l state.BackendIncarnation) (int, bool) {
 	i, ok := r.byIncarnation[l]
 	return i, ok
 }
--- a/coordination/permits/event.go
+++ b/coordination/permits/event.go
@@ -23,7 +23,7 @@
 
 // LimitObserved reports the limit in a server's answer.
 type LimitObserved struct {
-	Server state.Life
+	Server state.BackendIncarnation
 	Limit  fleet.RateLimit
 	Sent   time.Time // when the request was sent
 }
--- a/coordination/permits/holder.go
+++ b/coordination/permits/holder.go
@@ -100,7 +100,7 @@
 }
 
 // EachUnavailable calls f for each server to which no request may be sent now for lack of a permit.
-func (l *Limiter) EachUnavailable(now time.Time, f func(server state.Life)) {
+func (l *Limiter) EachUnavailable(now time.Time, f func(server state.BackendIncarnation)) {
 	for incarnation := range l.servers {
 		if l.Unavailable(now, incarnation) {
 			f(incarnation)
@@ -109,7 +109,7 @@
 }
 
 // Unavailable reports whether no request may be sent to a server now for lack of a permit.
-func (l *Limiter) Unavailable(now time.Time, incarnation state.Life) bool {
+func (l *Limiter) Unavailable(now time.Time, incarnation state.BackendIncarnation) bool {
 	s, ok := l.servers[incarnation]
 	if !ok || !s.limit.Named {
 		return false
@@ -119,13 +119,13 @@
 }
 
 // Limited reports whether a server declares a limit.
-func (l *Limiter) Limited(incarnation state.Life) bool {
+func (l *Limiter) Limited(incarnation state.BackendIncarnation) bool {
 	s, ok := l.servers[incarnation]
 	return ok && s.limit.Named
 }
 
 // LimitOf returns the known limit of a server.
-func (l *Limiter) LimitOf(incarnation state.Life) fleet.RateLimit {
+func (l *Limiter) LimitOf(incarnation state.BackendIncarnation) fleet.RateLimit {
 	if s, ok := l.servers[incarnation]; ok {
 		return s.limit
 	}
@@ -134,7 +134,7 @@
 
 // Take spends a permit for a request to a server; false if there is none. A server without a limit
 // needs no permits. tickDue is true if a Tick is to follow at once.
-func (l *Limiter) Take(now time.Time, incarnation state.Life) (ok, tickDue bool) {
+func (l *Limiter) Take(now time.Time, incarnation state.BackendIncarnation) (ok, tickDue bool) {
 	if !l.Limited(incarnation) {
 		return true, false
 	}
@@ -150,7 +150,7 @@
 
 // RecordDemand records a request that had no permit for a server; retry is set for one that is
 // already counted. It returns true if a Tick is to follow at once.
-func (l *Limiter) RecordDemand(now time.Time, incarnation state.Life, retry bool) bool {
+func (l *Limiter) RecordDemand(now time.Time, incarnation state.BackendIncarnation, retry bool) bool {
 	if !l.Limited(incarnation) {
 		return false
 	}
@@ -162,7 +162,7 @@
 }
 
 // Enqueue adds a request that waits for a permit of a server, and returns how many wait before it.
-func (l *Limiter) Enqueue(incarnation state.Life) int {
+func (l *Limiter) Enqueue(incarnation state.BackendIncarnation) int {
 	s, ok := l.servers[incarnation]
 	if !ok {
 		return 0
@@ -172,26 +172,26 @@
 }
 
 // Dequeue removes a request that Enqueue has added.
-func (l *Limiter) Dequeue(incarnation state.Life) {
+func (l *Limiter) Dequeue(incarnation state.BackendIncarnation) {
 	if s, ok := l.servers[incarnation]; ok && s.holder.waiting > 0 {
 		s.holder.waiting--
 	}
 }
 
 // AnsweredSince reports whether the owner of a server's permits has answered since a given time.
-func (l *Limiter) AnsweredSince(incarnation state.Life, since time.Time) bool {
+func (l *Limiter) AnsweredSince(incarnation state.BackendIncarnation, since time.Time) bool {
 	s, ok := l.servers[incarnation]
 	return ok && !s.holder.answeredAt.Before(since)
 }
 
 // ExpectedWait returns the expected time until this daemon gets the next permit of a server; 0 if
 // its owner has not answered yet.
-func (l *Limiter) ExpectedWait(now time.Time, incarnation state.Life) time.Duration {
+func (l *Limiter) ExpectedWait(now time.Time, incarnation state.BackendIncarnation) time.Duration {
 	return l.ExpectedWaitBehind(now, incarnation, 0)
 }
 
 // ExpectedWaitBehind is the same for a request that waits behind a number of others.
-func (l *Limiter) ExpectedWaitBehind(now time.Time, incarnation state.Life, before int) time.Duration {
+func (l *Limiter) ExpectedWaitBehind(now time.Time, incarnation state.BackendIncarnation, before int) time.Duration {
 	s, ok := l.servers[incarnation]
 	if !ok || s.holder.nextPermitAt.IsZero() {
 		return 0
--- a/coordination/permits/message.go
+++ b/coordination/permits/message.go
@@ -15,8 +15,8 @@
 // PermitRequest asks the owner of a server's permits for some, or only reports its sender's known
 // limit.
 type PermitRequest struct {
-	Server state.Life `msgpack:"server"`
-	Count  int        `msgpack:"want"` // number of permits; 0 for none
+	Server state.BackendIncarnation `msgpack:"server"`
+	Count  int                      `msgpack:"want"` // number of permits; 0 for none
 	// AcceptLater reports whether permits that cannot be issued at once are of use later because
 	// requests wait for them. Otherwise the requests have gone elsewhere by then, and the permits
 	// would expire unused.
@@ -27,9 +27,9 @@
 // PermitGrant answers a PermitRequest. It is repeated while the requested permits are issued one by
 // one.
 type PermitGrant struct {
-	Server  state.Life  `msgpack:"server"`
-	Permits int         `msgpack:"permits"`
-	Known   LimitReport `msgpack:"known"`
+	Server  state.BackendIncarnation `msgpack:"server"`
+	Permits int                      `msgpack:"permits"`
+	Known   LimitReport              `msgpack:"known"`
 	// NextIn is the expected time until the next permit for this daemon, Interval the expected time
 	// between further ones, based on the daemons that ask.
 	NextIn   time.Duration `msgpack:"first"`
@@ -46,8 +46,8 @@
 
 // LimitNotice is a limit that is announced to all daemons.
 type LimitNotice struct {
-	Server state.Life      `msgpack:"server"`
-	Limit  fleet.RateLimit `msgpack:"limit"`
+	Server state.BackendIncarnation `msgpack:"server"`
+	Limit  fleet.RateLimit          `msgpack:"limit"`
 }
 
 func (PermitRequest) permitsMessage() {}
--- a/coordination/permits/permits.go
+++ b/coordination/permits/permits.go
@@ -25,14 +25,14 @@
 type Limiter struct {
 	membership  Membership
 	stableSince time.Time // since when the set of participating daemons is unchanged
-	servers     map[state.Life]*server
+	servers     map[state.BackendIncarnation]*server
 	out         []Action
 	now         time.Time
 }
 
 // server is the state of one server that has declared a limit.
 type server struct {
-	incarnation state.Life
+	incarnation state.BackendIncarnation
 	limit       fleet.RateLimit
 	// observedAt is when the limit was last confirmed: when an answer declared it, or when the
 	// request was sent whose answer declared none.
@@ -46,7 +46,7 @@
 
 // New returns a limiter that knows no limits.
 func New() *Limiter {
-	return &Limiter{servers: make(map[state.Life]*server)}
+	return &Limiter{servers: make(map[state.BackendIncarnation]*server)}
 }
 
 // Step processes an event and returns the resulting actions.
@@ -104,7 +104,7 @@
 	}
 }
 
-func (l *Limiter) ownerOf(incarnation state.Life) state.DaemonID {
+func (l *Limiter) ownerOf(incarnation state.BackendIncarnation) state.DaemonID {
 	owner, _ := rendezvous.Owner(incarnation.String(), l.membership.Daemons)
 	return owner
 }
@@ -124,7 +124,7 @@
 }
 
 // server returns the state of a server, and creates it if necessary.
-func (l *Limiter) server(incarnation state.Life) *server {
+func (l *Limiter) server(incarnation state.BackendIncarnation) *server {
 	s, ok := l.servers[incarnation]
 	if !ok {
 		s = &server{incarnation: incarnation}
@@ -306,7 +306,7 @@
 }
 
 // Owns reports whether this daemon issues a server's permits.
-func (l *Limiter) Owns(incarnation state.Life) bool {
+func (l *Limiter) Owns(incarnation state.BackendIncarnation) bool {
 	s, ok := l.servers[incarnation]
 	return ok && s.limit.Named && s.owner == l.membership.Self
 }
--- a/coordination/permits/world_test.go
+++ b/coordination/permits/world_test.go
@@ -14,7 +14,7 @@
 
 var (
 	epoch  = time.Unix(1_000_000, 0)
-	engine = state.Life{ID: "e1", Born: 1}
+	engine = state.BackendIncarnation{ID: "e1", Born: 1}
 )
 
 const (
--- a/coordination/request/adopt.go
+++ b/coordination/request/adopt.go
@@ -12,7 +12,7 @@
 	r.replica = t.Replica
 	r.attempt = t.Attempt
 	r.epoch = t.Epoch.TakeOver(r.spec.Owner)
-	r.dispatches.Began(t.Attempt)
+	r.dispatches.MarkStarted(t.Attempt)
 	r.queryStages()
 }
 
@@ -24,7 +24,7 @@
 	r.replica = t.Replica
 	r.attempt = t.Attempt
 	r.epoch = t.Epoch
-	r.dispatches.Sent(t.Attempt)
+	r.dispatches.MarkSent(t.Attempt)
 	r.queryStages()
 }
 
@@ -99,7 +99,7 @@
 		if i < stage {
 			want = token + 1
 		}
-		if h.Canceled || h.Life != r.replica.Stages[i].Life || h.NextToken != want || !h.Known && want > 0 {
+		if h.Canceled || h.Life != r.replica.Stages[i].BootID || h.NextToken != want || !h.Known && want > 0 {
 			return 0, 0, false
 		}
 	}
--- a/coordination/request/recover.go
+++ b/coordination/request/recover.go
@@ -28,8 +28,8 @@
 // and returns RetryUnstarted; otherwise it returns reason.
 func (r *Request) clearUnstarted(reason state.RetryReason) state.RetryReason {
 	if r.firstToken && r.stage == 0 {
-		r.dispatches.Unstarted(r.attempt)
-		return state.RetryUnstarted
+		r.dispatches.MarkNotStarted(r.attempt)
+		return state.RetryNotStarted
 	}
 	return reason
 }
@@ -78,7 +78,7 @@
 func (r *Request) resumeFrom(h StageState) {
 	last := r.stage == len(r.replica.Stages)-1
 	switch {
-	case h.Canceled, h.Life != r.replica.Stages[r.stage].Life:
+	case h.Canceled, h.Life != r.replica.Stages[r.stage].BootID:
 		// A restarted process has no record of what it ran before, so the fact that it
 		// does not know the step proves nothing.
 		r.abandonAttempt(state.RetryStageUnknown)
@@ -102,7 +102,7 @@
 // and the earlier dispatch is fenced.
 func (r *Request) resend() {
 	if r.firstToken && r.stage == 0 {
-		r.dispatches.Unstarted(r.attempt)
+		r.dispatches.MarkNotStarted(r.attempt)
 	}
 	r.sendStep()
 }
@@ -133,7 +133,7 @@
 // superseded ends this owner's part: another daemon drives the stream now, so the
 // outcome of the request is unknown here.
 func (r *Request) superseded() {
-	r.dispatches.MayRunElsewhere()
+	r.dispatches.MarkMayRunElsewhere()
 	r.claimed = false
 	r.releaseSlot(false)
 	r.finish(state.Unknown{Reason: state.ReasonDuplicate})
--- a/coordination/request/request.go
+++ b/coordination/request/request.go
@@ -252,7 +252,7 @@
 	case ClaimHeldElsewhere:
 		// The same key may have run under another request, so this record alone no
 		// longer proves anything.
-		r.dispatches.MayRunElsewhere()
+		r.dispatches.MarkMayRunElsewhere()
 		r.claimed = false
 	case ClaimRefused:
 		// The row may still name this owner, from an earlier attempt.
@@ -260,7 +260,7 @@
 	switch {
 	case r.pending != nil:
 		if ev.Result == ClaimTakenOver {
-			r.dispatches.MayRunElsewhere()
+			r.dispatches.MarkMayRunElsewhere()
 		}
 		r.conclude(r.pending.reason, r.pending.after)
 	case ev.Result == ClaimTakenOver:
@@ -324,7 +324,7 @@
 	}
 	r.claimed = false
 	if !ev.Voided {
-		r.dispatches.MayRunElsewhere()
+		r.dispatches.MarkMayRunElsewhere()
 	}
 	r.conclude(r.pending.reason, r.pending.after)
 }
--- a/coordination/request/run.go
+++ b/coordination/request/run.go
@@ -27,7 +27,7 @@
 func (r *Request) sendStep() {
 	r.phase = phaseRunning
 	if r.firstToken && r.stage == 0 {
-		r.dispatches.Sent(r.attempt)
+		r.dispatches.MarkSent(r.attempt)
 	}
 	step := RunStep{Step: r.stepRef(), Stage: r.replica.Stages[r.stage], Input: r.input}
 	if r.stage == 0 && r.firstToken {
@@ -81,7 +81,7 @@
 		return
 	}
 	r.started = true
-	r.dispatches.Began(r.attempt)
+	r.dispatches.MarkStarted(r.attempt)
 	r.issue(AttemptStarted{Attempt: r.attempt, Epoch: r.epoch, Replica: r.replica})
 }
 
--- a/coordination/request/world_test.go
+++ b/coordination/request/world_test.go
@@ -198,7 +198,7 @@
 		return request.StepDone{Step: a.Step, Value: value(0), Text: "done", Final: true}
 	}
 	c := s.cache(a.Step.Attempt)
-	if a.Stage.Life != s.incarnationName() || c.canceled {
+	if a.Stage.BootID != s.incarnationName() || c.canceled {
 		return request.StepNotRun{Step: a.Step}
 	}
 	if a.Step.Epoch < c.epoch {
@@ -275,7 +275,7 @@
 // withIncarnations returns r with the current incarnations of its stages.
 func (w *simulation) withIncarnations(r state.Replica) state.Replica {
 	for i, s := range r.Stages {
-		r.Stages[i].Life = w.stages[s.Address].incarnationName()
+		r.Stages[i].BootID = w.stages[s.Address].incarnationName()
 	}
 	return r
 }
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -179,7 +179,7 @@
 var _ = Describe("A request that may run only once", func() {
 	It("is retried if and only if no attempt ran", func() {
 		b := newBudgets(retry.Config{})
-		f := retry.Failure{Service: "s", Customer: "c", Attempts: 1, Cause: state.RetryUnstarted, Execution: state.ExecutionNotRun}
+		f := retry.Failure{Service: "s", Customer: "c", Attempts: 1, Cause: state.RetryNotStarted, Execution: state.ExecutionNotRun}
 		Expect(b.Decide(epoch, f)).To(BeAssignableToTypeOf(retry.Allow{}))
 		f.Execution = state.ExecutionUnknown
 		Expect(b.Decide(epoch, f)).To(Equal(retry.Deny{Denial: retry.DenialNotRepeatable}))
--- a/coordination/suspect/leaving.go
+++ b/coordination/suspect/leaving.go
@@ -22,7 +22,7 @@
 // LeavingNotice announces to the other daemons that a server refuses requests although it has
 // capacity for them: it is about to shut down, or to release its layers.
 type LeavingNotice struct {
-	Server state.Life `msgpack:"server"`
+	Server state.BackendIncarnation `msgpack:"server"`
 }
 
 // RefusalNotice announces to the other daemons that a server refused one request although it has
@@ -68,12 +68,12 @@
 }
 
 // IsLeaving reports whether a server should be avoided because it is leaving.
-func (t *Tracker) IsLeaving(now time.Time, server state.Life) bool {
+func (t *Tracker) IsLeaving(now time.Time, server state.BackendIncarnation) bool {
 	return now.Before(t.leaving[server])
 }
 
 // EachLeaving calls f for each server that should be avoided because it is leaving.
-func (t *Tracker) EachLeaving(now time.Time, f func(state.Life)) {
+func (t *Tracker) EachLeaving(now time.Time, f func(state.BackendIncarnation)) {
 	for server, until := range t.leaving {
 		if now.Before(until) {
 			f(server)
--- a/coordination/suspect/outdated.go
+++ b/coordination/suspect/outdated.go
@@ -15,8 +15,8 @@
 // OutdatedNotice announces to the other daemons that a list entry has been contradicted by its
 // server: another incarnation runs at its address, or it does not hold these layers.
 type OutdatedNotice struct {
-	Server state.Life  `msgpack:"server"`
-	Layers fleet.Range `msgpack:"layers"`
+	Server state.BackendIncarnation `msgpack:"server"`
+	Layers fleet.Range              `msgpack:"layers"`
 }
 
 // MarkOutdated records an outdated entry. It returns false if that was known.
--- a/coordination/suspect/suspect.go
+++ b/coordination/suspect/suspect.go
@@ -24,7 +24,7 @@
 	// outdated holds list entries that are ignored, with the expiry of each.
 	outdated map[OutdatedNotice]time.Time
 	// leaving holds servers that refuse requests, with the expiry of each.
-	leaving map[state.Life]time.Time
+	leaving map[state.BackendIncarnation]time.Time
 }
 
 // record holds the observations of one server.
@@ -46,7 +46,7 @@
 
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
-	return &Tracker{servers: make(map[string]*record), outdated: make(map[OutdatedNotice]time.Time), leaving: make(map[state.Life]time.Time)}
+	return &Tracker{servers: make(map[string]*record), outdated: make(map[OutdatedNotice]time.Time), leaving: make(map[state.BackendIncarnation]time.Time)}
 }
 
 func (t *Tracker) record(now time.Time, address string) *record {
--- a/coordination/suspect/suspect_test.go
+++ b/coordination/suspect/suspect_test.go
@@ -115,11 +115,11 @@
 
 	It("avoids a leaving server for a while, but not its next incarnation", func() {
 		t := suspect.NewTracker()
-		incarnation := state.Life{ID: "i-1"}
+		incarnation := state.BackendIncarnation{ID: "i-1"}
 		Expect(t.MarkLeaving(at(0), suspect.LeavingNotice{Server: incarnation})).To(BeTrue())
 		Expect(t.MarkLeaving(at(1), suspect.LeavingNotice{Server: incarnation})).To(BeFalse())
 		Expect(t.IsLeaving(at(9000), incarnation)).To(BeTrue())
-		Expect(t.IsLeaving(at(9000), state.Life{ID: "i-1", Born: 7})).To(BeFalse())
+		Expect(t.IsLeaving(at(9000), state.BackendIncarnation{ID: "i-1", Born: 7})).To(BeFalse())
 		Expect(t.IsLeaving(at(10000), incarnation)).To(BeFalse())
 	})
 
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -109,7 +109,7 @@
 		Attempt: a.Attempt,
 		Replica: a.Replica.ID,
 		Backends: lo.Map(a.Replica.Stages, func(s state.Stage, _ int) claims.Backend {
-			return claims.Backend{ID: s.Backend, BootID: s.Life}
+			return claims.Backend{ID: s.Backend, BootID: s.BootID}
 		}),
 	}
 }
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -199,10 +199,10 @@
 // before the runs that it ended are reported as over.
 func (p *quarantinePart) died(replica state.Replica, stage int) {
 	s := replica.Stages[stage]
-	if last, ok := p.dead[s.Backend]; ok && last == s.Life {
+	if last, ok := p.dead[s.Backend]; ok && last == s.BootID {
 		return
 	}
-	p.dead[s.Backend] = s.Life
+	p.dead[s.Backend] = s.BootID
 	p.c.d.log.Emit(telemetry.EventBackendDied, telemetry.Backend(s.Backend), telemetry.Replica(replica.ID))
 	p.step(quarantine.BackendDied{Replica: replica.ID, Domain: replica.FailureDomain})
 }
--- a/daemon/slots.go
+++ b/daemon/slots.go
@@ -402,7 +402,7 @@
 		if r.Stages[i].Backend != b.ID {
 			return state.Replica{}, false
 		}
-		r.Stages[i].Life = b.BootID
+		r.Stages[i].BootID = b.BootID
 	}
 	return r, true
 }
--- a/daemon/steps.go
+++ b/daemon/steps.go
@@ -56,7 +56,7 @@
 	return engine.StepRequest{
 		Request:     *r.execution.Load(),
 		Attempt:     a.Step.Attempt,
-		BootID:      a.Stage.Life,
+		BootID:      a.Stage.BootID,
 		Epoch:       a.Step.Epoch,
 		Token:       a.Step.Token,
 		Layers:      a.Stage.Layers,
@@ -114,7 +114,7 @@
 		})
 		return
 	}
-	if a.Stage.Life != "" && held.BootID != a.Stage.Life {
+	if a.Stage.BootID != "" && held.BootID != a.Stage.BootID {
 		r.stageDied(a.Step.Stage) // and is back already
 	}
 	r.post(request.StageState{
@@ -198,14 +198,14 @@
 	var wg sync.WaitGroup
 	for i := range out {
 		e := d.clients.engine(out[i].Address)
-		if out[i].Life = e.lastLife(); out[i].Life != "" && !fresh {
+		if out[i].BootID = e.lastLife(); out[i].BootID != "" && !fresh {
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			life, err := d.askLife(ctx, e)
-			out[i].Life = life
+			out[i].BootID = life
 			if err != nil {
 				silent.Store(true)
 			}
--- a/gateway/book.go
+++ b/gateway/book.go
@@ -18,7 +18,7 @@
 // microseconds.
 type sharedState struct {
 	mu            sync.Mutex
-	loads         map[state.Life]*pathing.Load // this daemon's own requests by server
+	loads         map[state.BackendIncarnation]*pathing.Load // this daemon's own requests by server
 	suspects      *suspect.Tracker
 	dead          map[string]bool // addresses of servers that answer no probe
 	refusalChecks map[string]bool // addresses of servers with a pending refusal check
@@ -33,7 +33,7 @@
 
 func newSharedState(set Settings) *sharedState {
 	return &sharedState{
-		loads:         make(map[state.Life]*pathing.Load),
+		loads:         make(map[state.BackendIncarnation]*pathing.Load),
 		suspects:      suspect.NewTracker(),
 		dead:          make(map[string]bool),
 		refusalChecks: make(map[string]bool),
@@ -58,7 +58,7 @@
 }
 
 // loadOn returns the load that this daemon puts on a server.
-func (s *sharedState) loadOn(server state.Life) pathing.Load {
+func (s *sharedState) loadOn(server state.BackendIncarnation) pathing.Load {
 	if l, ok := s.loads[server]; ok {
 		return *l
 	}
@@ -67,7 +67,7 @@
 
 // addLoad changes the load of a server. The entry of a server without requests is deleted,
 // since servers come and go.
-func (s *sharedState) addLoad(server state.Life, requests, first, tokens float64) {
+func (s *sharedState) addLoad(server state.BackendIncarnation, requests, first, tokens float64) {
 	l, ok := s.loads[server]
 	if !ok {
 		l = &pathing.Load{}
@@ -103,7 +103,7 @@
 func (s *sharedState) pickServer(now time.Time, v *view, svc state.ServiceID, domain state.FailureDomain, avoid map[string]bool, permit *permitRequest) (fleet.Server, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var limited []state.Life // servers passed over for lack of a permit
+	var limited []state.BackendIncarnation // servers passed over for lack of a permit
 	best, ok := s.leastLoaded(now, v.servers[svc], domain, avoid, limited)
 	for ok && s.needsPermit(now, best.Life(), permit) {
 		if !permit.skips(now, best.Life(), s.permits) {
@@ -111,7 +111,7 @@
 		}
 		limited = append(limited, best.Life())
 		if permit.full() {
-			s.permits.EachUnavailable(now, func(server state.Life) { limited = append(limited, server) })
+			s.permits.EachUnavailable(now, func(server state.BackendIncarnation) { limited = append(limited, server) })
 		}
 		best, ok = s.leastLoaded(now, v.servers[svc], domain, avoid, limited)
 		permit.blocked = !ok
@@ -125,7 +125,7 @@
 
 // leastLoaded returns the server with the fewest of this daemon's requests among the usable
 // ones, except some.
-func (s *sharedState) leastLoaded(now time.Time, servers []fleet.Server, domain state.FailureDomain, avoid map[string]bool, except []state.Life) (fleet.Server, bool) {
+func (s *sharedState) leastLoaded(now time.Time, servers []fleet.Server, domain state.FailureDomain, avoid map[string]bool, except []state.BackendIncarnation) (fleet.Server, bool) {
 	suspects := s.suspects.Avoided(now)
 	best, bestCost := -1, 0.0
 	for i := range servers {
@@ -161,7 +161,7 @@
 	suspectCost = 1000
 )
 
-func (s *sharedState) releaseServer(server state.Life) {
+func (s *sharedState) releaseServer(server state.BackendIncarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addLoad(server, -1, 0, 0)
--- a/gateway/choice.go
+++ b/gateway/choice.go
@@ -47,8 +47,8 @@
 
 // excludeFirstHops excludes a server for which a request has no permit as first hop, and
 // every other such server once the request has asked for as many permits as it may.
-func (s *sharedState) excludeFirstHops(now time.Time, roster *pathing.Roster, states []pathing.ServerState, server state.Life, permit *permitRequest) {
-	exclude := func(server state.Life) {
+func (s *sharedState) excludeFirstHops(now time.Time, roster *pathing.Roster, states []pathing.ServerState, server state.BackendIncarnation, permit *permitRequest) {
+	exclude := func(server state.BackendIncarnation) {
 		if i, ok := roster.IndexOf(server); ok {
 			states[i].NotFirstHop = true
 		}
@@ -104,7 +104,7 @@
 			found = found || avoided
 		}
 	})
-	s.suspects.EachLeaving(now, func(server state.Life) {
+	s.suspects.EachLeaving(now, func(server state.BackendIncarnation) {
 		if i, ok := roster.IndexOf(server); ok {
 			states[i].Suspect, found = true, true
 		}
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -23,7 +23,7 @@
 
 // implicate checks whether a server died while it ran this request, before the answer had
 // begun, and if so notifies all daemons.
-func (r *requestHandler) implicate(server state.Life, address string) {
+func (r *requestHandler) implicate(server state.BackendIncarnation, address string) {
 	if r.headSent || r.g.prober.alive(server, address) {
 		return
 	}
@@ -41,7 +41,7 @@
 	r.g.shared.clearImplication(r.fingerprint)
 }
 
-func (s *sharedState) implicate(now time.Time, fp crashes.Fingerprint, servers ...state.Life) (crashes.Implication, bool) {
+func (s *sharedState) implicate(now time.Time, fp crashes.Fingerprint, servers ...state.BackendIncarnation) (crashes.Implication, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.crashes.Implicate(now, fp, servers...)
--- a/gateway/listing.go
+++ b/gateway/listing.go
@@ -30,9 +30,9 @@
 	// formerIncarnations are incarnations that another one of the same name has followed.
 	// Their entries may still arrive, since a delayed write can take effect after the new
 	// incarnation's.
-	formerIncarnations map[state.Life]bool
+	formerIncarnations map[state.BackendIncarnation]bool
 	// newIncarnations are incarnations that were first listed since the last publication.
-	newIncarnations []state.Life
+	newIncarnations []state.BackendIncarnation
 	// firstRead is when the list was first read, lastAdded when a server was last added.
 	firstRead, lastAdded time.Time
 	// unreadable are entries that can't be decoded, with the revision that was logged.
@@ -58,7 +58,7 @@
 		servers:            make(map[state.BackendID]fleet.Server),
 		revisions:          make(map[state.BackendID]uint64),
 		missing:            make(map[state.BackendID]time.Time),
-		formerIncarnations: make(map[state.Life]bool),
+		formerIncarnations: make(map[state.BackendIncarnation]bool),
 		unreadable:         make(map[state.BackendID]uint64),
 		latestByAddress:    make(map[string]state.BackendID),
 		serviceSizes:       make(map[state.ServiceID]int),
--- a/gateway/lives.go
+++ b/gateway/lives.go
@@ -11,7 +11,7 @@
 // incarnation. The list lags by a heartbeat: for more than a second, a server that has
 // restarted under its name and is still listed with its old layers would be given paths,
 // and orders counted by its old incarnation.
-func (g *Gateway) checkIncarnation(expected state.Life, address string, startTime int64) {
+func (g *Gateway) checkIncarnation(expected state.BackendIncarnation, address string, startTime int64) {
 	if startTime == 0 || startTime == expected.Born {
 		return
 	}
@@ -21,12 +21,12 @@
 // handleOtherIncarnation handles a server that turns out to be another incarnation than the
 // listed one. It does nothing if the list has changed since the server was contacted, or if
 // a former incarnation answered.
-func (l *listingState) handleOtherIncarnation(expected state.Life, address string, startTime int64) {
+func (l *listingState) handleOtherIncarnation(expected state.BackendIncarnation, address string, startTime int64) {
 	listed, ok := l.servers[expected.ID]
 	if !ok || listed.Life() != expected || listed.Address != address {
 		return
 	}
-	if l.formerIncarnations[state.Life{ID: expected.ID, Born: startTime}] {
+	if l.formerIncarnations[state.BackendIncarnation{ID: expected.ID, Born: startTime}] {
 		return
 	}
 	notice := suspect.OutdatedNotice{Server: expected, Layers: listed.Layers}
@@ -70,7 +70,7 @@
 
 // resetAddress removes the failures recorded for a former incarnation at an address. It
 // returns the streams through that incarnation.
-func (s *sharedState) resetAddress(address string, incarnation state.Life) []lostHop {
+func (s *sharedState) resetAddress(address string, incarnation state.BackendIncarnation) []lostHop {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.suspects.Forget(address)
--- a/gateway/permitrequest.go
+++ b/gateway/permitrequest.go
@@ -23,22 +23,22 @@
 
 // permitRequest is the state of one attempt's search for a permit.
 type permitRequest struct {
-	wants       []permitWant // servers without a permit that suit the request, the best one first
-	queryOwner  bool         // the owner of a permit has to be queried at once
-	blocked     bool         // no server can take the request without a permit
-	queuedFor   state.Life   // the server for whose permit the request is queued; zero for none
-	queuedAhead int          // number of requests queued before it
+	wants       []permitWant             // servers without a permit that suit the request, the best one first
+	queryOwner  bool                     // the owner of a permit has to be queried at once
+	blocked     bool                     // no server can take the request without a permit
+	queuedFor   state.BackendIncarnation // the server for whose permit the request is queued; zero for none
+	queuedAhead int                      // number of requests queued before it
 }
 
 // permitWant is a server for which a request has no permit.
 type permitWant struct {
-	server state.Life
+	server state.BackendIncarnation
 	since  time.Time
 }
 
 // skips reports whether a request skips a server because the owner of its permits granted
 // none or takes too long to answer.
-func (q *permitRequest) skips(now time.Time, server state.Life, p *permits.Limiter) bool {
+func (q *permitRequest) skips(now time.Time, server state.BackendIncarnation, p *permits.Limiter) bool {
 	i := q.index(server)
 	if i < 0 || q.queued() {
 		return true
@@ -48,12 +48,12 @@
 }
 
 // queued reports whether the request is queued for a permit.
-func (q *permitRequest) queued() bool { return q.queuedFor != state.Life{} }
+func (q *permitRequest) queued() bool { return q.queuedFor != state.BackendIncarnation{} }
 
 // full reports whether the request may ask for no further server's permits.
 func (q *permitRequest) full() bool { return len(q.wants) >= maxPermitWants }
 
-func (q *permitRequest) index(server state.Life) int {
+func (q *permitRequest) index(server state.BackendIncarnation) int {
 	return slices.IndexFunc(q.wants, func(w permitWant) bool { return w.server == server })
 }
 
@@ -67,7 +67,7 @@
 
 // needsPermit reports whether no request may be sent to a server now, and if so records the
 // demand for a permit.
-func (s *sharedState) needsPermit(now time.Time, server state.Life, q *permitRequest) bool {
+func (s *sharedState) needsPermit(now time.Time, server state.BackendIncarnation, q *permitRequest) bool {
 	if !s.permits.Unavailable(now, server) {
 		return false
 	}
@@ -83,7 +83,7 @@
 }
 
 // spendPermit takes the permit for a request to a server that names a limit.
-func (s *sharedState) spendPermit(now time.Time, server state.Life, q *permitRequest) {
+func (s *sharedState) spendPermit(now time.Time, server state.BackendIncarnation, q *permitRequest) {
 	ok, queryOwner := s.permits.Take(now, server)
 	if !ok {
 		panic("gateway: available permit could not be taken")
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -105,7 +105,7 @@
 // observeLimit applies the limit that a server names in an answer to a request. The absence
 // of a limit counts only in the server's own answers, since refusals may come from
 // elsewhere.
-func (g *Gateway) observeLimit(server state.Life, a *backend.Answer, sent time.Time) {
+func (g *Gateway) observeLimit(server state.BackendIncarnation, a *backend.Answer, sent time.Time) {
 	if a.LimitUnreadable || !a.Limit.Named && (!a.Signed || a.NotRun) {
 		return
 	}
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -69,10 +69,12 @@
 }
 
 // alive reports whether a server answers.
-func (p *prober) alive(server state.Life, address string) bool { return p.probe(server, address).alive }
+func (p *prober) alive(server state.BackendIncarnation, address string) bool {
+	return p.probe(server, address).alive
+}
 
 // probe requests a server's report, unless there is a recent result.
-func (p *prober) probe(server state.Life, address string) probeResult {
+func (p *prober) probe(server state.BackendIncarnation, address string) probeResult {
 	p.mu.Lock()
 	old, ok := p.results[address]
 	p.mu.Unlock()
@@ -89,7 +91,7 @@
 }
 
 // sendProbe sends one probe and stores its result.
-func (p *prober) sendProbe(server state.Life, address string) probeResult {
+func (p *prober) sendProbe(server state.BackendIncarnation, address string) probeResult {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), serverProbeTimeout)
 	defer cancel()
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -323,7 +323,7 @@
 
 // handleSendError returns the outcome of an attempt whose call to a server failed. A call
 // that was canceled by this daemon or by its caller does not count against the server.
-func (r *requestHandler) handleSendError(ctx context.Context, err error, server state.Life, address string) relay.Outcome {
+func (r *requestHandler) handleSendError(ctx context.Context, err error, server state.BackendIncarnation, address string) relay.Outcome {
 	outcome := relay.Broken
 	if errors.Is(err, backend.ErrNotSent) {
 		outcome = relay.NotSent
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -327,7 +327,7 @@
 		DeferCleanup(e.Close)
 		client := dial(e.Address(), generous)
 
-		prompt := string(make([]byte, 4*state.PrefixBlock))
+		prompt := string(make([]byte, 4*state.PrefixBlockSize))
 		begin := time.Now()
 		_, err = client.Step(ctx, []engine.StepRequest{{Request: "r", Attempt: 1, Layers: state.LayerRange{End: 2}, Prompt: prompt}})
 		Expect(err).NotTo(HaveOccurred())
--- a/protocol/streams/bench_test.go
+++ b/protocol/streams/bench_test.go
@@ -25,7 +25,7 @@
 	for s := range 4 {
 		r.Replica.Stages = append(r.Replica.Stages, state.Stage{
 			Backend: state.BackendID(fmt.Sprintf("drafter-017-%d", s)), Address: "10.1.17.1:9000",
-			Layers: state.LayerRange{First: 12 * s, End: 12 * (s + 1)}, Life: "drafter-017-1@1796238445714110191",
+			Layers: state.LayerRange{First: 12 * s, End: 12 * (s + 1)}, BootID: "drafter-017-1@1796238445714110191",
 		})
 	}
 	if tokens < 0 {
--- a/scenario/claim.go
+++ b/scenario/claim.go
@@ -57,7 +57,7 @@
 func (n *node) putClaim(r *run, a request.PutClaim) {
 	slot := claims.Slot{Attempt: a.Attempt, Replica: a.Replica.ID}
 	for _, s := range a.Replica.Stages {
-		slot.Backends = append(slot.Backends, claims.Backend{ID: s.Backend, BootID: s.Life})
+		slot.Backends = append(slot.Backends, claims.Backend{ID: s.Backend, BootID: s.BootID})
 	}
 	c := n.claim(keyOf(r))
 	switch {
@@ -204,7 +204,7 @@
 	}
 	replica.Stages = slices.Clone(replica.Stages)
 	for i, b := range rec.Slot.Backends {
-		replica.Stages[i].Life = b.BootID
+		replica.Stages[i].BootID = b.BootID
 	}
 	c.r.execution = rec.Request
 	c.answer(request.ClaimSettled{
--- a/scenario/engine.go
+++ b/scenario/engine.go
@@ -88,7 +88,7 @@
 func (e *engine) run(id state.RequestID, a request.RunStep, maxTokens int) request.Event {
 	c := e.cache(work{request: id, attempt: a.Step.Attempt})
 	switch {
-	case a.Stage.Life != e.lifeName() || c.canceled:
+	case a.Stage.BootID != e.lifeName() || c.canceled:
 		return request.StepNotRun{Step: a.Step}
 	case a.Step.Epoch < c.epoch:
 		e.w.say("%s bars a step of token %d: its sender was overtaken", e.name, a.Step.Token)
--- a/scenario/pool.go
+++ b/scenario/pool.go
@@ -131,7 +131,7 @@
 			r.later(hop, request.SlotUnusable{Grant: m.ID.Attempt, Replica: replica.ID})
 			return
 		}
-		replica.Stages[i].Life = e.lifeName()
+		replica.Stages[i].BootID = e.lifeName()
 	}
 	if q := r.n.quarantine; q != nil {
 		q.granted(r, replica)
--- a/scenario/quarantine.go
+++ b/scenario/quarantine.go
@@ -86,7 +86,7 @@
 func (q *quarantined) looked(r *run) {
 	for _, s := range q.runs[r].replica.Stages {
 		e := q.n.w.engine(s.Address)
-		if e.lifeName() == s.Life || q.dead[e.name] == e.life {
+		if e.lifeName() == s.BootID || q.dead[e.name] == e.life {
 			continue
 		}
 		q.dead[e.name] = e.life
--- a/state/dispatch.go
+++ b/state/dispatch.go
@@ -15,25 +15,25 @@
 }
 
 // Sent notes, before the first byte leaves, that a may reach a backend server.
-func (d *Dispatches) Sent(a Attempt) {
+func (d *Dispatches) MarkSent(a Attempt) {
 	d.sent[a] = true
 }
 
 // Began notes that a backend server answered for a, so it surely began.
-func (d *Dispatches) Began(a Attempt) {
+func (d *Dispatches) MarkStarted(a Attempt) {
 	d.sent[a] = true
 	d.began = true
 }
 
 // Unstarted notes proof that a never began: the connection was refused before
 // a byte was sent, or the backend server said so itself.
-func (d *Dispatches) Unstarted(a Attempt) {
+func (d *Dispatches) MarkNotStarted(a Attempt) {
 	d.sent[a] = false
 }
 
 // MayRunElsewhere notes that another daemon holds or may hold the request, so
 // that this record alone can prove nothing.
-func (d *Dispatches) MayRunElsewhere() {
+func (d *Dispatches) MarkMayRunElsewhere() {
 	d.poisoned = true
 }
 
--- a/state/fleet/server.go
+++ b/state/fleet/server.go
@@ -37,7 +37,9 @@
 }
 
 // Life is the start of the server that this entry is of.
-func (s *Server) Life() state.Life { return state.Life{ID: s.ID, Born: s.Born} }
+func (s *Server) Life() state.BackendIncarnation {
+	return state.BackendIncarnation{ID: s.ID, Born: s.Born}
+}
 
 // Holds reports whether the server holds layer l.
 func (s *Server) Holds(l int) bool {
@@ -46,7 +48,7 @@
 
 // Hop is one backend server's part of a path.
 type Hop struct {
-	Server  state.Life
+	Server  state.BackendIncarnation
 	Address string
 	Domain  state.FailureDomain
 	Layers  Range
--- a/state/ids.go
+++ b/state/ids.go
@@ -48,7 +48,7 @@
 
 // Life is one start of one backend server. A server that starts again may keep its
 // name; it then holds nothing that it held, and knows nothing of what it was told.
-type Life struct {
+type BackendIncarnation struct {
 	ID BackendID `msgpack:"id"`
 	// Born is when it started, in Unix ms by its own clock. It tells two lives of one
 	// name apart and does not order them, since clocks differ; 0 if it does not say.
@@ -56,7 +56,7 @@
 }
 
 // String gives the name, and the start where it is known.
-func (l Life) String() string {
+func (l BackendIncarnation) String() string {
 	if l.Born == 0 {
 		return string(l.ID)
 	}
--- a/state/replica.go
+++ b/state/replica.go
@@ -28,7 +28,7 @@
 	// seen in; empty where it is not known. A server that restarted knows
 	// nothing of what it ran before, so that its "never heard of it" proves
 	// something only within one life.
-	Life string `msgpack:"life" json:"life,omitempty"`
+	BootID string `msgpack:"life" json:"life,omitempty"`
 }
 
 // Replica is a chain of stages that together hold layers [0, n) of one model
--- a/state/retry_reason.go
+++ b/state/retry_reason.go
@@ -6,7 +6,7 @@
 
 // The values of RetryReason.
 const (
-	RetryUnstarted        RetryReason = "unstarted"         // the backend server proved that it did not begin
+	RetryNotStarted       RetryReason = "unstarted"         // the backend server proved that it did not begin
 	RetryStageFailed      RetryReason = "stage_failed"      // a stage died or lost its KV cache
 	RetrySilentConnection RetryReason = "silent_connection" // a connection stopped answering
 	RetryStageUnknown     RetryReason = "stage_unknown"     // a stage no longer knows the attempt
@@ -17,7 +17,7 @@
 // RetryReasons lists every RetryReason once.
 func RetryReasons() []RetryReason {
 	return []RetryReason{
-		RetryUnstarted, RetryStageFailed, RetrySilentConnection,
+		RetryNotStarted, RetryStageFailed, RetrySilentConnection,
 		RetryStageUnknown, RetrySlotLost, RetryTakeover,
 	}
 }
--- a/trace/event.go
+++ b/trace/event.go
@@ -140,7 +140,7 @@
 
 func replicaLine(r state.Replica) *Replica {
 	return &Replica{ID: r.ID, Stages: lo.Map(r.Stages, func(s state.Stage, _ int) Stage {
-		return Stage{Backend: s.Backend, Life: s.Life}
+		return Stage{Backend: s.Backend, Life: s.BootID}
 	})}
 }
 
--- a/trace/property_test.go
+++ b/trace/property_test.go
@@ -46,7 +46,7 @@
 	n := rapid.IntRange(1, 3).Draw(o.t, "replica")
 	r := state.Replica{ID: state.ReplicaID(fmt.Sprintf("r%d", n))}
 	for s := range 2 {
-		r.Stages = append(r.Stages, state.Stage{Backend: state.BackendID(fmt.Sprintf("r%d-%d", n, s)), Life: "one"})
+		r.Stages = append(r.Stages, state.Stage{Backend: state.BackendID(fmt.Sprintf("r%d-%d", n, s)), BootID: "one"})
 	}
 	return r
 }
--- a/trace/restore.go
+++ b/trace/restore.go
@@ -86,7 +86,7 @@
 
 func (r *Replica) restore() state.Replica {
 	return state.Replica{ID: r.ID, Stages: lo.Map(r.Stages, func(s Stage, _ int) state.Stage {
-		return state.Stage{Backend: s.Backend, Life: s.Life}
+		return state.Stage{Backend: s.Backend, BootID: s.Life}
 	})}
 }
 
