--- a/coordination/cover/cover.go
+++ b/coordination/cover/cover.go
@@ -35,7 +35,7 @@
 	out := make(map[string]int, len(e.Kinds))
 	for name, k := range e.Kinds {
 		n := 0
-		for n < e.Layers && e.Room(k, n+1) >= int(share*float64(e.KVTokens)) && float64(n+1)*e.LayerMB <= k.MemoryMB {
+		for n < e.Layers && e.KVCapacity(k, n+1) >= int(share*float64(e.KVTokens)) && float64(n+1)*e.LayerMB <= k.MemoryMB {
 			n++
 		}
 		out[name] = n
@@ -77,7 +77,7 @@
 	complete := 0
 	for _, g := range groups {
 		copies := copiesOf(e, g, pending)
-		if copies.Whole() {
+		if copies.Complete() {
 			complete++
 		}
 		for l, n := range copies {
@@ -104,7 +104,7 @@
 // got 0.59 of the full credit with such moves and 0.89 without, in the mean of six runs each.
 func hasNewEngine(servers []fleet.Server, pending map[state.BackendIncarnation]PendingOrder) bool {
 	return slices.ContainsFunc(servers, func(s fleet.Server) bool {
-		o, busy := pending[s.Life()]
+		o, busy := pending[s.Incarnation()]
 		if busy {
 			return !o.Moved
 		}
@@ -145,7 +145,7 @@
 
 // heldLayers returns the layers that an engine holds or is loading.
 func heldLayers(s fleet.Server, pending map[state.BackendIncarnation]PendingOrder) fleet.Range {
-	if o, ok := pending[s.Life()]; ok {
+	if o, ok := pending[s.Incarnation()]; ok {
 		return o.Layers
 	}
 	return s.Layers
@@ -174,7 +174,7 @@
 func (p *plan) assignGroup(servers []fleet.Server, pending map[state.BackendIncarnation]PendingOrder) {
 	var idle, settled []fleet.Server
 	for _, s := range servers {
-		_, busy := pending[s.Life()]
+		_, busy := pending[s.Incarnation()]
 		r := heldLayers(s, pending)
 		switch {
 		case r.Len() == 0:
--- a/coordination/cover/cover_test.go
+++ b/coordination/cover/cover_test.go
@@ -17,7 +17,7 @@
 // engine is a model of 80 layers of 1.75 GB on three accelerator kinds.
 var engine = &fleet.Engine{
 	Layers: 80, LayerMB: 1750, KVTokens: 100000, TokenKB: 459, LoadTime: 14 * time.Second,
-	Kinds: map[string]fleet.CardKind{
+	Kinds: map[string]fleet.AcceleratorKind{
 		"big": {MemoryMB: 36000}, "middle": {MemoryMB: 21600}, "small": {MemoryMB: 14400},
 	},
 }
@@ -77,7 +77,7 @@
 
 	It("keeps the nominal KV-cache capacity on each engine", func() {
 		for _, a := range cover.Plan(engine, site()) {
-			Expect(engine.Room(engine.Kinds[a.Server.Kind], a.Layers.Len())).To(BeNumerically(">=", engine.KVTokens))
+			Expect(engine.KVCapacity(engine.Kinds[a.Server.Kind], a.Layers.Len())).To(BeNumerically(">=", engine.KVTokens))
 		}
 	})
 
@@ -138,7 +138,7 @@
 		as := cover.Repair(engine, append(servers, successor), nil)
 		Expect(as).To(HaveLen(1))
 		Expect(as[0].Server.ID).To(BeEquivalentTo("new"))
-		loading := map[state.BackendIncarnation]cover.PendingOrder{successor.Life(): {Layers: as[0].Layers}}
+		loading := map[state.BackendIncarnation]cover.PendingOrder{successor.Incarnation(): {Layers: as[0].Layers}}
 		Expect(cover.Repair(engine, append(servers, successor), loading)).To(BeEmpty())
 		successor.Layers = as[0].Layers
 		Expect(cover.Repair(engine, append(servers, successor), nil)).NotTo(BeEmpty(), "the new engine has its layers, and others are still missing")
@@ -148,7 +148,7 @@
 		servers := site()
 		pending := make(map[state.BackendIncarnation]cover.PendingOrder)
 		for _, a := range cover.Plan(engine, servers) {
-			pending[a.Server.Life()] = cover.PendingOrder{Layers: a.Layers}
+			pending[a.Server.Incarnation()] = cover.PendingOrder{Layers: a.Layers}
 		}
 		Expect(cover.Repair(engine, servers, pending)).To(BeEmpty())
 	})
@@ -208,7 +208,7 @@
 		for _, n := range copies {
 			sum += n
 		}
-		Expect(copies.Least()).To(BeNumerically(">", 0.9*float64(sum)/float64(len(copies))), "of %v", copies)
+		Expect(copies.MinCopies()).To(BeNumerically(">", 0.9*float64(sum)/float64(len(copies))), "of %v", copies)
 	})
 })
 
--- a/coordination/layering/layering.go
+++ b/coordination/layering/layering.go
@@ -271,8 +271,8 @@
 	s.noLayers = !slices.ContainsFunc(s.servers, func(srv fleet.Server) bool { return srv.Layers.Len() > 0 })
 	m.planStale = true
 	for _, srv := range ev.Servers {
-		if p, ok := m.pending.get(srv.Life()); ok && srv.Layers == p.layers {
-			m.pending.remove(srv.Life())
+		if p, ok := m.pending.get(srv.Incarnation()); ok && srv.Layers == p.layers {
+			m.pending.remove(srv.Incarnation())
 		}
 	}
 	m.dropUnlisted()
@@ -283,13 +283,13 @@
 func sameEngines(a, b []fleet.Server) bool {
 	have := make(map[state.BackendIncarnation]fleet.Server, len(a))
 	for _, s := range a {
-		have[s.Life()] = s
+		have[s.Incarnation()] = s
 	}
 	if len(a) != len(b) {
 		return false
 	}
 	for _, s := range b {
-		if old, ok := have[s.Life()]; !ok || old.Layers != s.Layers || old.Draining != s.Draining {
+		if old, ok := have[s.Incarnation()]; !ok || old.Layers != s.Layers || old.Draining != s.Draining {
 			return false
 		}
 	}
@@ -304,7 +304,7 @@
 	listed := make(map[state.BackendIncarnation]bool)
 	for _, s := range m.services {
 		for _, srv := range s.servers {
-			listed[srv.Life()] = true
+			listed[srv.Incarnation()] = true
 		}
 	}
 	gone := func(id state.BackendIncarnation) bool { return !listed[id] }
@@ -448,9 +448,9 @@
 	if o.Server.Layers == o.Layers {
 		return
 	}
-	orderCount := m.orderCounts[o.Server.Life()]
+	orderCount := m.orderCounts[o.Server.Incarnation()]
 	share := float64(o.Layers.Len()) / float64(o.engine.Layers)
 	loadTime := time.Duration(float64(o.engine.LoadTime) * share)
-	m.pending.add(o.Server.Life(), pendingOrder{layers: o.Layers, orderCount: orderCount, retryAt: m.now.Add(2*loadTime + loadSlack), moved: o.Server.Layers.Len() > 0})
+	m.pending.add(o.Server.Incarnation(), pendingOrder{layers: o.Layers, orderCount: orderCount, retryAt: m.now.Add(2*loadTime + loadSlack), moved: o.Server.Layers.Len() > 0})
 	m.out = append(m.out, Order{Server: o.Server, Layers: o.Layers, Fence: m.fence, OrderCount: orderCount, SendBefore: m.leaseUntil})
 }
--- a/coordination/layering/layering_test.go
+++ b/coordination/layering/layering_test.go
@@ -17,7 +17,7 @@
 	start  = time.Unix(1000, 0)
 	engine = &fleet.Engine{
 		Layers: 8, LayerMB: 1000, KVTokens: 10, TokenKB: 1, LoadTime: 8 * time.Second,
-		Kinds: map[string]fleet.CardKind{"card": {MemoryMB: 4000}},
+		Kinds: map[string]fleet.AcceleratorKind{"card": {MemoryMB: 4000}},
 	}
 )
 
@@ -99,7 +99,7 @@
 		m.Step(at(2000), layering.Tick{})
 		first := orders(acquireLease(m, 2010))
 		for _, o := range first {
-			m.Step(at(2020), layering.OrderResult{Server: o.Server.Life(), Outcome: layering.Unanswered})
+			m.Step(at(2020), layering.OrderResult{Server: o.Server.Incarnation(), Outcome: layering.Unanswered})
 			Expect(o.SendBefore).To(BeTemporally("<", at(2010).Add(layering.LeaseDuration)))
 		}
 		resumed := m.Step(at(7000), layering.Tick{})
@@ -115,10 +115,10 @@
 		m.Step(at(2000), layering.Tick{})
 		first := orders(acquireLease(m, 2010))
 		Expect(first).To(HaveLen(2))
-		m.Step(at(2020), layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Unanswered})
+		m.Step(at(2020), layering.OrderResult{Server: first[0].Server.Incarnation(), Outcome: layering.Unanswered})
 		again := orders(m.Step(at(2800), layering.Tick{}))
 		Expect(again).To(HaveLen(1))
-		Expect(again[0].Server.Life()).To(Equal(first[0].Server.Life()))
+		Expect(again[0].Server.Incarnation()).To(Equal(first[0].Server.Incarnation()))
 		Expect(again[0].OrderCount).To(Equal(first[0].OrderCount))
 		Expect(again[0].Layers).To(Equal(first[0].Layers))
 	})
@@ -130,9 +130,9 @@
 		m := newMachine(emptyEngines(2))
 		m.Step(at(2000), layering.Tick{})
 		first := orders(acquireLease(m, 2010))
-		again := orders(m.Step(at(2020), layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Conflict, Known: true, OrderCount: 3}))
+		again := orders(m.Step(at(2020), layering.OrderResult{Server: first[0].Server.Incarnation(), Outcome: layering.Conflict, Known: true, OrderCount: 3}))
 		Expect(again).To(HaveLen(1))
-		Expect(again[0].Server.Life()).To(Equal(first[0].Server.Life()))
+		Expect(again[0].Server.Incarnation()).To(Equal(first[0].Server.Incarnation()))
 		Expect(again[0].OrderCount).To(Equal(uint64(3)))
 	})
 
@@ -144,8 +144,8 @@
 		m := newMachine(slices.Clone(engines))
 		m.Step(at(2000), layering.Tick{})
 		first := orders(acquireLease(m, 2010))
-		m.Step(at(2020), layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Accepted})
-		m.Step(at(2021), layering.OrderResult{Server: first[1].Server.Life(), Outcome: layering.Accepted})
+		m.Step(at(2020), layering.OrderResult{Server: first[0].Server.Incarnation(), Outcome: layering.Accepted})
+		m.Step(at(2021), layering.OrderResult{Server: first[1].Server.Incarnation(), Outcome: layering.Accepted})
 		for i := range engines {
 			if engines[i].ID == first[0].Server.ID {
 				engines[i].Born++
@@ -163,11 +163,11 @@
 		m := newMachine(emptyEngines(2))
 		m.Step(at(2000), layering.Tick{})
 		first := orders(acquireLease(m, 2010))
-		conflict := layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Conflict, Known: true, OrderCount: 3}
+		conflict := layering.OrderResult{Server: first[0].Server.Incarnation(), Outcome: layering.Conflict, Known: true, OrderCount: 3}
 		m.Step(at(2020), conflict)
 		Expect(orders(m.Step(at(2030), conflict))).To(BeEmpty())
 		Expect(orders(m.Step(at(2800), layering.Tick{}))).To(HaveLen(1))
-		busy := layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Conflict, Known: true, OrderCount: 4, Busy: true}
+		busy := layering.OrderResult{Server: first[0].Server.Incarnation(), Outcome: layering.Conflict, Known: true, OrderCount: 4, Busy: true}
 		Expect(orders(m.Step(at(2810), busy))).To(BeEmpty())
 	})
 
@@ -175,7 +175,7 @@
 		m := newMachine(emptyEngines(2))
 		m.Step(at(2000), layering.Tick{})
 		first := orders(acquireLease(m, 2010))
-		m.Step(at(2020), layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Fenced})
+		m.Step(at(2020), layering.OrderResult{Server: first[0].Server.Incarnation(), Outcome: layering.Fenced})
 		Expect(m.HoldsLease(at(2021))).To(BeFalse())
 	})
 
--- a/coordination/layering/plan_test.go
+++ b/coordination/layering/plan_test.go
@@ -58,7 +58,7 @@
 		m.Step(at(2011), layering.Tick{})
 		now, i := at(2020), 0
 		answer := func() {
-			sent = append(sent, orders(m.Step(now, layering.OrderResult{Server: sent[i].Server.Life(), Outcome: layering.Accepted}))...)
+			sent = append(sent, orders(m.Step(now, layering.OrderResult{Server: sent[i].Server.Incarnation(), Outcome: layering.Accepted}))...)
 			i++
 		}
 		Expect(testing.AllocsPerRun(200, answer)).To(BeNumerically("<", 10))
@@ -87,7 +87,7 @@
 			used := eventTime + time.Duration(m.PlanCount()-before)*layoutTime
 			now = now.Add(time.Duration(float64(used) / share))
 			for _, o := range sent {
-				answers = append(answers, arrival{now.Add(answerTime), layering.OrderResult{Server: o.Server.Life(), Outcome: layering.Accepted}})
+				answers = append(answers, arrival{now.Add(answerTime), layering.OrderResult{Server: o.Server.Incarnation(), Outcome: layering.Accepted}})
 			}
 		}
 		step(layering.LeaseAcquired{Fence: 7, Sent: start})
@@ -109,9 +109,9 @@
 		ordered := make(map[state.BackendIncarnation]bool)
 		for now := at(2011); len(waiting) > 0; now = now.Add(100 * time.Microsecond) {
 			Expect(len(waiting)).To(BeNumerically("<=", 256))
-			Expect(ordered).NotTo(HaveKey(waiting[0].Server.Life()))
-			ordered[waiting[0].Server.Life()] = true
-			waiting = append(waiting[1:], orders(m.Step(now, layering.OrderResult{Server: waiting[0].Server.Life(), Outcome: layering.Accepted}))...)
+			Expect(ordered).NotTo(HaveKey(waiting[0].Server.Incarnation()))
+			ordered[waiting[0].Server.Incarnation()] = true
+			waiting = append(waiting[1:], orders(m.Step(now, layering.OrderResult{Server: waiting[0].Server.Incarnation(), Outcome: layering.Accepted}))...)
 		}
 		Expect(ordered).To(HaveLen(3000))
 	})
@@ -169,11 +169,11 @@
 		m := newMachine(emptyEngines(2))
 		m.Step(at(2000), layering.Tick{})
 		first := orders(acquireLease(m, 2010))
-		late := m.Step(at(5000), layering.OrderResult{Server: first[0].Server.Life(), Outcome: layering.Expired})
+		late := m.Step(at(5000), layering.OrderResult{Server: first[0].Server.Incarnation(), Outcome: layering.Expired})
 		Expect(late).To(ContainElement(layering.AcquireLease{}))
 		again := orders(m.Step(at(5010), layering.LeaseAcquired{Fence: 8, Sent: at(5000)}))
 		Expect(again).To(HaveLen(1))
-		Expect(again[0].Server.Life()).To(Equal(first[0].Server.Life()))
+		Expect(again[0].Server.Incarnation()).To(Equal(first[0].Server.Incarnation()))
 		Expect(again[0].OrderCount).To(Equal(first[0].OrderCount))
 	})
 })
@@ -233,7 +233,7 @@
 		if len(sent) > 0 {
 			o := rapid.SampledFrom(sent).Draw(t, "order")
 			return layering.OrderResult{
-				Server: o.Server.Life(), Outcome: rapid.SampledFrom([]layering.OrderOutcome{layering.Accepted, layering.Unanswered, layering.Conflict, layering.Fenced}).Draw(t, "end"),
+				Server: o.Server.Incarnation(), Outcome: rapid.SampledFrom([]layering.OrderOutcome{layering.Accepted, layering.Unanswered, layering.Conflict, layering.Fenced}).Draw(t, "end"),
 				Known: rapid.Bool().Draw(t, "known"), OrderCount: rapid.Uint64Range(0, 3).Draw(t, "orders"),
 			}
 		}
--- a/coordination/pathing/choose.go
+++ b/coordination/pathing/choose.go
@@ -194,7 +194,7 @@
 		p := sr.paths[i]
 		s := sr.r.candidates[p.candidate].Server
 		path[n] = fleet.Hop{
-			Server: s.Life(), Address: s.Address, Domain: s.Domain,
+			Server: s.Incarnation(), Address: s.Address, Domain: s.Domain,
 			Layers: fleet.Range{From: p.fromLayer, To: min(s.Layers.To, to)},
 		}
 		to, i = p.fromLayer, p.prevGroup
--- a/coordination/pathing/estimate_test.go
+++ b/coordination/pathing/estimate_test.go
@@ -15,7 +15,7 @@
 var mixedModel = &fleet.Engine{
 	Layers: 80, LayerMB: 1750, KVTokens: 100000, TokenKB: 590, ActivateKB: 29.5, PipeMbps: 11000,
 	StepMS: 1.02, SeqMS: 0.00459, ContextMS: 0.00615, ReadPerS: 164000,
-	Kinds: map[string]fleet.CardKind{
+	Kinds: map[string]fleet.AcceleratorKind{
 		"large": {MemoryMB: 72000, Pace: 2.4, ReadPace: 3.2}, "middle": {MemoryMB: 43200, Pace: 5.6, ReadPace: 2.7},
 		"small": {MemoryMB: 21600, Pace: 16, ReadPace: 8.2},
 	},
--- a/coordination/pathing/pathing.go
+++ b/coordination/pathing/pathing.go
@@ -8,7 +8,7 @@
 // Candidate is one backend server that holds layers.
 type Candidate struct {
 	Server     *fleet.Server
-	Kind       fleet.CardKind
+	Kind       fleet.AcceleratorKind
 	KVCapacity int // KV-cache tokens that fit in addition to its weights
 }
 
--- a/coordination/pathing/pathing_test.go
+++ b/coordination/pathing/pathing_test.go
@@ -16,7 +16,7 @@
 // engine has a KV cache of more than 10,000 tokens in addition to the layers of an engine.
 var engine = &fleet.Engine{
 	Layers: 12, StepMS: 1, ActivateKB: 20, PipeMbps: 8000, LayerMB: 1, TokenKB: 1,
-	Kinds: map[string]fleet.CardKind{"card": {Pace: 1, MemoryMB: 22}},
+	Kinds: map[string]fleet.AcceleratorKind{"card": {Pace: 1, MemoryMB: 22}},
 }
 
 // testServer is a server with its state.
@@ -134,7 +134,7 @@
 				t.Fatalf("path over a layer that no engine holds: %v", addresses(path))
 			}
 		}
-		if ok && !path.Whole(engine.Layers) {
+		if ok && !path.Complete(engine.Layers) {
 			t.Fatalf("incomplete path: %v", addresses(path))
 		}
 		all := true
--- a/coordination/pathing/reference_test.go
+++ b/coordination/pathing/reference_test.go
@@ -13,7 +13,7 @@
 
 var bigModel = &fleet.Engine{
 	Layers: 80, LayerMB: 1750, TokenKB: 459, StepMS: 0.85, SeqMS: 0.0046, ContextMS: 0.006, ReadPerS: 252000, ActivateKB: 22.9, PipeMbps: 7900,
-	Kinds: map[string]fleet.CardKind{
+	Kinds: map[string]fleet.AcceleratorKind{
 		"fast": {Pace: 3.1, ReadPace: 3.2, MemoryMB: 36000}, "middle": {Pace: 15, ReadPace: 8.2, MemoryMB: 21600}, "slow": {Pace: 16, ReadPace: 15, MemoryMB: 14400},
 	},
 }
@@ -125,7 +125,7 @@
 		if !ok {
 			return
 		}
-		if !got.Whole(bigModel.Layers) {
+		if !got.Complete(bigModel.Layers) {
 			t.Fatalf("incomplete path: %v", got)
 		}
 		if cost := costOf(roster, r, states, got); math.Abs(cost-want) > 1e-6 {
--- a/coordination/pathing/roster.go
+++ b/coordination/pathing/roster.go
@@ -56,10 +56,10 @@
 			continue
 		}
 		kind := e.Kinds[s.Kind]
-		c := Candidate{Server: s, Kind: kind, KVCapacity: e.Room(kind, s.Layers.Len())}
+		c := Candidate{Server: s, Kind: kind, KVCapacity: e.KVCapacity(kind, s.Layers.Len())}
 		at := len(r.candidates)
 		r.candidates = append(r.candidates, c)
-		r.byIncarnation[s.Life()], r.byAddress[s.Address] = at, at
+		r.byIncarnation[s.Incarnation()], r.byAddress[s.Address] = at, at
 		r.estimateInputs = append(r.estimateInputs, estimateInput{
 			domain: indexOf(&r.domains, s.Domain), kind: indexOf(&r.kinds, s.Kind), layers: float64(s.Layers.Len()),
 		})
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -157,13 +157,13 @@
 		return true
 	}
 	_, exhausted := r.Exhausted()
-	return exhausted && (r.Repeat != fleet.RunOn || !r.partDelivered)
+	return exhausted && (r.Repeat != fleet.Resumable || !r.partDelivered)
 }
 
 // resumable reports whether this is a resumable stream whose caller has received part of it. Such a
 // stream is not ended by servers that lack capacity for the rest; the caller of the package spaces
 // the attempts.
-func (r *Retrier) resumable() bool { return r.partDelivered && r.Repeat == fleet.RunOn }
+func (r *Retrier) resumable() bool { return r.partDelivered && r.Repeat == fleet.Resumable }
 
 // denyReason returns the reason that rules out another attempt. The budget is checked last, so that
 // a retry is spent only on an attempt that follows.
@@ -171,9 +171,9 @@
 	switch {
 	case !r.Deadline.IsZero() && !now.Before(r.Deadline):
 		return ReasonDeadline
-	case r.runs > 0 && r.Repeat == fleet.RunOnce:
+	case r.runs > 0 && r.Repeat == fleet.AtMostOnce:
 		return ReasonRunOnce
-	case r.partDelivered && r.Repeat != fleet.RunOn:
+	case r.partDelivered && r.Repeat != fleet.Resumable:
 		return ReasonRunOnce
 	case r.runsExhausted(), r.proofs > maxProofs && !r.resumable():
 		return ReasonAttempts
--- a/coordination/relay/relay_test.go
+++ b/coordination/relay/relay_test.go
@@ -25,13 +25,13 @@
 	// the request and its answer is lost. The caller gets 502, which promises nothing. A refusal
 	// would claim that the request has not run, and a second server would run it again.
 	It("neither retries nor refuses a run-once request that may have run", Label("failure:answer-lost"), func() {
-		r.Repeat = fleet.RunOnce
+		r.Repeat = fleet.AtMostOnce
 		d := r.AttemptEnded(now, relay.Broken, "a")
 		Expect(d).To(Equal(relay.Decision{Reason: relay.ReasonRunOnce}))
 	})
 
 	It("tries another server after proof that the request did not run", func() {
-		r.Repeat = fleet.RunOnce
+		r.Repeat = fleet.AtMostOnce
 		Expect(r.AttemptEnded(now, relay.NotRun, "a").Retry).To(BeTrue())
 		Expect(r.AttemptEnded(now, relay.NotSent, "a").Retry).To(BeTrue())
 		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeFalse())
@@ -50,7 +50,7 @@
 	// budget is used up, each for less than a second. The limits for requests that have not started
 	// were applied to these streams.
 	It("does not end a started stream for lack of capacity or retries", Label("failure:begun-answer-cut"), func() {
-		r.Repeat = fleet.RunOn
+		r.Repeat = fleet.Resumable
 		r.MarkPartDelivered()
 		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeTrue())
 		for range 5 {
@@ -66,7 +66,7 @@
 	})
 
 	It("never refuses after a run, whatever the earlier outcomes", func() {
-		r.Repeat = fleet.RunAgain
+		r.Repeat = fleet.Idempotent
 		r.AttemptEnded(now, relay.Broken, "a")
 		d := r.AttemptEnded(now, relay.Broken, "b")
 		Expect(d.Retry).To(BeFalse())
@@ -77,7 +77,7 @@
 	// server of its path died, and the retry budget is used up. The answer was ended before it was
 	// known whether another attempt may follow.
 	It("reports before an answer is given up whether another attempt follows", Label("failure:silent-without-budget"), func() {
-		r.Repeat = fleet.RunOn
+		r.Repeat = fleet.Resumable
 		budget = 0
 		Expect(r.ReserveRetry(now, "a")).To(BeFalse())
 		budget = 1
@@ -89,13 +89,13 @@
 	})
 
 	It("reserves no retry for an attempt that may not follow", func() {
-		r.Repeat = fleet.RunOnce
+		r.Repeat = fleet.AtMostOnce
 		Expect(r.ReserveRetry(now, "a")).To(BeFalse())
 		Expect(budget).To(Equal(10))
 	})
 
 	It("bounds the number of servers that run one request", func() {
-		r.Repeat = fleet.RunOn
+		r.Repeat = fleet.Resumable
 		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeTrue())
 		Expect(r.AttemptEnded(now, relay.Broken, "b")).To(Equal(relay.Decision{Reason: relay.ReasonAttempts}))
 	})
@@ -104,7 +104,7 @@
 	// times while engines are replaced one after the other. Each time it is resumed on an engine
 	// that has run it before, so that no further engine runs it.
 	It("resumes a stream on the servers that have run it", Label("failure:hops-replaced"), func() {
-		r.Repeat = fleet.RunOn
+		r.Repeat = fleet.Resumable
 		r.MarkPartDelivered()
 		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeTrue())
 		_, exhausted := r.Exhausted()
@@ -118,24 +118,24 @@
 	})
 
 	It("passes on a server's own failure if no other server may be tried", func() {
-		r.Repeat = fleet.RunOnce
+		r.Repeat = fleet.AtMostOnce
 		Expect(r.AttemptEnded(now, relay.Errored, "a").PassFailure).To(BeTrue())
 	})
 
 	It("retries after events reached the caller only if the stream is resumable", func() {
-		r.Repeat = fleet.RunAgain
+		r.Repeat = fleet.Idempotent
 		r.MarkPartDelivered()
 		Expect(r.AttemptEnded(now, relay.Broken, "a").Retry).To(BeFalse())
 	})
 
 	It("takes a retry from the budget only if an attempt would follow", func() {
-		r.Repeat = fleet.RunOnce
+		r.Repeat = fleet.AtMostOnce
 		r.AttemptEnded(now, relay.Broken, "a")
 		Expect(budget).To(Equal(10))
 	})
 
 	It("stops at the deadline", func() {
-		r.Repeat, r.Deadline = fleet.RunAgain, now
+		r.Repeat, r.Deadline = fleet.Idempotent, now
 		Expect(r.AttemptEnded(now, relay.NotRun, "a")).To(Equal(relay.Decision{Refuse: true, Reason: relay.ReasonDeadline}))
 	})
 })
--- a/coordination/suspect/outdated.go
+++ b/coordination/suspect/outdated.go
@@ -35,7 +35,7 @@
 
 // IsOutdated reports whether a server's list entry has been contradicted.
 func (t *Tracker) IsOutdated(now time.Time, s *fleet.Server) bool {
-	until, ok := t.outdated[OutdatedNotice{Server: s.Life(), Layers: s.Layers}]
+	until, ok := t.outdated[OutdatedNotice{Server: s.Incarnation(), Layers: s.Layers}]
 	return ok && now.Before(until)
 }
 
--- a/coordination/suspect/suspect_test.go
+++ b/coordination/suspect/suspect_test.go
@@ -126,7 +126,7 @@
 	It("ignores an entry that its server has contradicted until the entry changes", func() {
 		t := suspect.NewTracker()
 		s := fleet.Server{ID: "i-1", Layers: fleet.Range{From: 0, To: 4}}
-		o := suspect.OutdatedNotice{Server: s.Life(), Layers: s.Layers}
+		o := suspect.OutdatedNotice{Server: s.Incarnation(), Layers: s.Layers}
 		now := time.Unix(1000, 0)
 		Expect(t.MarkOutdated(now, o)).To(BeTrue())
 		Expect(t.MarkOutdated(now, o)).To(BeFalse(), "it is announced once")
--- a/gateway/book.go
+++ b/gateway/book.go
@@ -105,11 +105,11 @@
 	defer s.mu.Unlock()
 	var limited []state.BackendIncarnation // servers passed over for lack of a permit
 	best, ok := s.leastLoaded(now, v.servers[svc], domain, avoid, limited)
-	for ok && s.needsPermit(now, best.Life(), permit) {
-		if !permit.skips(now, best.Life(), s.permits) {
+	for ok && s.needsPermit(now, best.Incarnation(), permit) {
+		if !permit.skips(now, best.Incarnation(), s.permits) {
 			return fleet.Server{}, false
 		}
-		limited = append(limited, best.Life())
+		limited = append(limited, best.Incarnation())
 		if permit.full() {
 			s.permits.EachUnavailable(now, func(server state.BackendIncarnation) { limited = append(limited, server) })
 		}
@@ -117,8 +117,8 @@
 		permit.blocked = !ok
 	}
 	if ok {
-		s.spendPermit(now, best.Life(), permit)
-		s.addLoad(best.Life(), 1, 0, 0)
+		s.spendPermit(now, best.Incarnation(), permit)
+		s.addLoad(best.Incarnation(), 1, 0, 0)
 	}
 	return best, ok
 }
@@ -133,10 +133,10 @@
 		if candidate.Draining || avoid[candidate.Address] || s.dead[candidate.Address] || s.suspects.IsOutdated(now, candidate) {
 			continue
 		}
-		if slices.Contains(except, candidate.Life()) {
+		if slices.Contains(except, candidate.Incarnation()) {
 			continue
 		}
-		cost := s.loadOn(candidate.Life()).Requests
+		cost := s.loadOn(candidate.Incarnation()).Requests
 		if candidate.Domain != domain {
 			cost += crossDomainCost
 		}
--- a/gateway/control_internal_test.go
+++ b/gateway/control_internal_test.go
@@ -36,7 +36,7 @@
 	return &fleet.Engine{
 		Layers: 80, LayerMB: 1750, KVTokens: 100000, TokenKB: 459, StepMS: 1, LoadTime: 14 * time.Second,
 		PipeMbps: 11000, ActivateKB: 23,
-		Kinds: map[string]fleet.CardKind{
+		Kinds: map[string]fleet.AcceleratorKind{
 			"large": {MemoryMB: 72000, Pace: 2.4}, "middle": {MemoryMB: 43000, Pace: 5.6}, "small": {MemoryMB: 22000, Pace: 16},
 		},
 	}
--- a/gateway/duty.go
+++ b/gateway/duty.go
@@ -157,7 +157,7 @@
 func (s *assignmentState) sendOrder(a layering.Order) {
 	g := s.c.g
 	if !time.Now().Before(a.SendBefore) {
-		s.c.post(func() { s.step(layering.OrderResult{Server: a.Server.Life(), Outcome: layering.Expired}) })
+		s.c.post(func() { s.step(layering.OrderResult{Server: a.Server.Incarnation(), Outcome: layering.Expired}) })
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
@@ -165,11 +165,11 @@
 	answer, err := g.backends.Order(ctx, backend.Order{
 		Server: a.Server.ID, Address: a.Server.Address, Layers: a.Layers, FencingNumber: a.Fence, OrderCount: a.OrderCount,
 	})
-	g.checkIncarnation(a.Server.Life(), a.Server.Address, answer.StartTime)
-	ev := layering.OrderResult{Server: a.Server.Life(), Outcome: orderOutcome(answer.Result)}
+	g.checkIncarnation(a.Server.Incarnation(), a.Server.Address, answer.StartTime)
+	ev := layering.OrderResult{Server: a.Server.Incarnation(), Outcome: orderOutcome(answer.Result)}
 	if ev.Outcome == layering.Conflict {
 		if report, rerr := g.backends.Report(ctx, a.Server.Address); rerr == nil {
-			g.checkIncarnation(a.Server.Life(), a.Server.Address, report.StartTime)
+			g.checkIncarnation(a.Server.Incarnation(), a.Server.Address, report.StartTime)
 			ev.Known, ev.OrderCount, ev.Busy = true, report.OrderCount, report.Busy
 		}
 	}
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -259,14 +259,14 @@
 	return &fleet.Config{
 		Version: version,
 		Hosts: map[string][]fleet.Route{"h": {
-			{Name: "stream", Prefix: "/stream/", Stream: true, Repeat: fleet.RunOn, MaxAttempts: 2, Target: time.Second, Gap: 200 * time.Millisecond, Split: []fleet.Share{{Service: "llm", Weight: 1}}},
-			{Name: "again", Prefix: "/again/", Repeat: fleet.RunAgain, MaxAttempts: 2, Target: time.Second, Split: []fleet.Share{{Service: "app", Weight: 1}}},
-			{Name: "once", Prefix: "/once/", Repeat: fleet.RunOnce, MaxAttempts: 2, Target: time.Second, Split: []fleet.Share{{Service: "app", Weight: 1}}},
+			{Name: "stream", Prefix: "/stream/", Stream: true, Repeat: fleet.Resumable, MaxAttempts: 2, Target: time.Second, Gap: 200 * time.Millisecond, Split: []fleet.Share{{Service: "llm", Weight: 1}}},
+			{Name: "again", Prefix: "/again/", Repeat: fleet.Idempotent, MaxAttempts: 2, Target: time.Second, Split: []fleet.Share{{Service: "app", Weight: 1}}},
+			{Name: "once", Prefix: "/once/", Repeat: fleet.AtMostOnce, MaxAttempts: 2, Target: time.Second, Split: []fleet.Share{{Service: "app", Weight: 1}}},
 		}},
 		Services: map[state.ServiceID]fleet.Service{
 			"llm": {ID: "llm", Engine: &fleet.Engine{
 				Layers: 8, LayerMB: 1000, KVTokens: 10, TokenKB: 1, StepMS: 1,
-				Kinds: map[string]fleet.CardKind{"card": {MemoryMB: 4500, Pace: 1}},
+				Kinds: map[string]fleet.AcceleratorKind{"card": {MemoryMB: 4500, Pace: 1}},
 			}},
 			"app": {ID: "app"},
 		},
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -106,7 +106,7 @@
 func withRoute(version uint64, prefix string) *fleet.Config {
 	c := config(version)
 	c.Hosts["h"] = append(c.Hosts["h"], fleet.Route{
-		Prefix: prefix, Repeat: fleet.RunAgain, MaxAttempts: 1, Split: []fleet.Share{{Service: "app", Weight: 1}},
+		Prefix: prefix, Repeat: fleet.Idempotent, MaxAttempts: 1, Split: []fleet.Share{{Service: "app", Weight: 1}},
 	})
 	return c
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -68,7 +68,7 @@
 		Expect(res.Outcome).To(Equal(gateway.Answered))
 		Expect(got.body.String()).To(Equal(eventText(5)))
 		path := h.servers.sent()[0].Path
-		Expect(path.Whole(8)).To(BeTrue())
+		Expect(path.Complete(8)).To(BeTrue())
 		Expect(path[0].Domain).To(BeEquivalentTo("a"))
 	})
 
@@ -266,7 +266,7 @@
 	It("never reverts to an older configuration", Label("failure:store-behind"), func() {
 		h.populate()
 		newer := config(9)
-		newer.Hosts["h"] = append(newer.Hosts["h"], fleet.Route{Prefix: "/nine/", Repeat: fleet.RunAgain, MaxAttempts: 1, Split: []fleet.Share{{Service: "app", Weight: 1}}})
+		newer.Hosts["h"] = append(newer.Hosts["h"], fleet.Route{Prefix: "/nine/", Repeat: fleet.Idempotent, MaxAttempts: 1, Split: []fleet.Share{{Service: "app", Weight: 1}}})
 		h.configs.set("config", newer)
 		Eventually(func() gateway.Outcome { _, res := h.serve("/nine/x"); return res.Outcome }).
 			WithTimeout(eventuallyTimeout).Should(Equal(gateway.Answered), "the newer one is active")
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -75,8 +75,8 @@
 	tokens, capacity := 0.0, 0
 	for i := range v.servers[svc.ID] {
 		srv := &v.servers[svc.ID][i]
-		tokens += s.loadOn(srv.Life()).Tokens
-		capacity += svc.Engine.Room(svc.Engine.Kinds[srv.Kind], srv.Layers.Len())
+		tokens += s.loadOn(srv.Incarnation()).Tokens
+		capacity += svc.Engine.KVCapacity(svc.Engine.Kinds[srv.Kind], srv.Layers.Len())
 	}
 	return retries, tokens * float64(max(v.live, 1)) / float64(max(capacity, 1))
 }
--- a/gateway/listing.go
+++ b/gateway/listing.go
@@ -98,7 +98,7 @@
 			l.handleMissing(id)
 		case it.Err != nil:
 			l.handleUnreadable(id, it.Revision, it.Err)
-		case l.formerIncarnations[it.Value.Life()]:
+		case l.formerIncarnations[it.Value.Incarnation()]:
 			// A delayed write of the former incarnation; the new one's follows.
 		default:
 			delete(l.unreadable, id)
@@ -197,7 +197,7 @@
 		if svc.Engine == nil {
 			continue
 		}
-		list.MinCopies = layerCoverage(svc.Engine, v.servers[id]).Least()
+		list.MinCopies = layerCoverage(svc.Engine, v.servers[id]).MinCopies()
 		if list.Populating(l.c.now) {
 			return true
 		}
@@ -211,11 +211,11 @@
 	l.servers[s.ID] = s
 	if !known {
 		l.lastAdded = l.c.now
-		l.newIncarnations = append(l.newIncarnations, s.Life())
+		l.newIncarnations = append(l.newIncarnations, s.Incarnation())
 		l.c.g.log.Emit(telemetry.EventBackendJoined, telemetry.Backend(s.ID), telemetry.Address(s.Address))
 		return
 	}
-	if s.Life() != old.Life() {
+	if s.Incarnation() != old.Incarnation() {
 		l.recordRestart(old, s)
 		return
 	}
--- a/gateway/lives.go
+++ b/gateway/lives.go
@@ -23,7 +23,7 @@
 // a former incarnation answered.
 func (l *listingState) handleOtherIncarnation(expected state.BackendIncarnation, address string, startTime int64) {
 	listed, ok := l.servers[expected.ID]
-	if !ok || listed.Life() != expected || listed.Address != address {
+	if !ok || listed.Incarnation() != expected || listed.Address != address {
 		return
 	}
 	if l.formerIncarnations[state.BackendIncarnation{ID: expected.ID, Born: startTime}] {
@@ -40,10 +40,10 @@
 
 // recordRestart records that a server runs as another incarnation under the same name.
 func (l *listingState) recordRestart(old, s fleet.Server) {
-	l.formerIncarnations[old.Life()] = true
-	l.newIncarnations = append(l.newIncarnations, s.Life())
+	l.formerIncarnations[old.Incarnation()] = true
+	l.newIncarnations = append(l.newIncarnations, s.Incarnation())
 	l.c.g.log.Emit(telemetry.EventBackendRestarted, telemetry.Backend(s.ID), telemetry.Address(s.Address),
-		telemetry.Detail(old.Life().String()+" -> "+s.Life().String()))
+		telemetry.Detail(old.Incarnation().String()+" -> "+s.Incarnation().String()))
 }
 
 // resetNewIncarnations drops the suspicions about addresses at which a new incarnation is
@@ -52,7 +52,7 @@
 func (l *listingState) resetNewIncarnations(latest map[string]state.BackendID) {
 	for _, incarnation := range l.newIncarnations {
 		s, ok := l.servers[incarnation.ID]
-		if !ok || s.Life() != incarnation || latest[s.Address] != s.ID {
+		if !ok || s.Incarnation() != incarnation || latest[s.Address] != s.ID {
 			continue
 		}
 		for _, lost := range l.c.g.shared.resetAddress(s.Address, incarnation) {
--- a/gateway/outdated.go
+++ b/gateway/outdated.go
@@ -19,7 +19,7 @@
 	if !ok {
 		return
 	}
-	notice := suspect.OutdatedNotice{Server: s.Life(), Layers: s.Layers}
+	notice := suspect.OutdatedNotice{Server: s.Incarnation(), Layers: s.Layers}
 	if !r.g.shared.markOutdated(time.Now(), notice) {
 		return
 	}
--- a/gateway/path.go
+++ b/gateway/path.go
@@ -31,7 +31,7 @@
 		return r.noServerResult(admission.Uncovered)
 	}
 	defer r.g.shared.releasePath(path, pathReq.ExpectedTokens())
-	if !path.Whole(r.service.Engine.Layers) {
+	if !path.Complete(r.service.Engine.Layers) {
 		panic("gateway: path does not contain each layer exactly once")
 	}
 	r.address = path[0].Address
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -27,7 +27,7 @@
 	if !found {
 		return r.noServerResult(admission.Busy)
 	}
-	defer r.g.shared.releaseServer(server.Life())
+	defer r.g.shared.releaseServer(server.Incarnation())
 	r.address = server.Address
 	r.logSent(string(server.ID))
 	ctx, cancel := context.WithCancel(ctx)
@@ -36,10 +36,10 @@
 	sent := time.Now()
 	answer, err := r.g.backends.Send(ctx, r.newCall(server.ID, server.Address))
 	if err != nil {
-		return r.handleSendError(ctx, err, server.Life(), server.Address), Result{}
+		return r.handleSendError(ctx, err, server.Incarnation(), server.Address), Result{}
 	}
 	defer func() { _ = answer.Body.Close() }()
-	r.g.observeLimit(server.Life(), answer, sent)
+	r.g.observeLimit(server.Incarnation(), answer, sent)
 	r.g.shared.recordFirstEvent(time.Now(), r.service.ID, time.Since(sent))
 	return r.handlePlainAnswer(server.Address, answer)
 }
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -48,7 +48,7 @@
 // daemons if the server had capacity. It returns false if it had none.
 func (g *Gateway) checkRefusal(r *requestHandler, hop fleet.Hop) bool {
 	s, ok := g.currentView.Load().serverAt(r.service.ID, hop.Address)
-	if !ok || s.Life() != hop.Server || s.Draining {
+	if !ok || s.Incarnation() != hop.Server || s.Draining {
 		return true // the list has changed since
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), serverProbeTimeout)
@@ -65,7 +65,7 @@
 		g.broadcast(suspect.RefusalNotice{Address: s.Address})
 		return true
 	}
-	notice := suspect.LeavingNotice{Server: s.Life()}
+	notice := suspect.LeavingNotice{Server: s.Incarnation()}
 	if g.shared.markLeaving(time.Now(), notice) {
 		g.log.Emit(telemetry.EventBackendRefusing, telemetry.Request(r.req.ID), telemetry.Backend(s.ID),
 			telemetry.Address(s.Address), telemetry.Layers(s.Layers))
--- a/gateway/rows_test.go
+++ b/gateway/rows_test.go
@@ -17,11 +17,11 @@
 	items := []site.Item[*fleet.Config]{{Key: "config", Revision: 7, Value: &fleet.Config{
 		Version: 3,
 		Hosts: map[string][]fleet.Route{"h": {{
-			Name: "n", Prefix: "/p/", Repeat: fleet.RunOn, Stream: true, Timeout: time.Second, Target: time.Minute,
+			Name: "n", Prefix: "/p/", Repeat: fleet.Resumable, Stream: true, Timeout: time.Second, Target: time.Minute,
 			Gap: time.Millisecond, Rank: 2, Anonymous: true, MaxAttempts: 4, Split: []fleet.Share{{Service: "s", Weight: 5}},
 		}}},
 		Services: map[state.ServiceID]fleet.Service{"s": {ID: "s", MaxConns: 6, Engine: &fleet.Engine{
-			Layers: 8, LayerMB: 1.5, LoadTime: time.Hour, Kinds: map[string]fleet.CardKind{"k": {MemoryMB: 1, Pace: 2, ReadPace: 3}},
+			Layers: 8, LayerMB: 1.5, LoadTime: time.Hour, Kinds: map[string]fleet.AcceleratorKind{"k": {MemoryMB: 1, Pace: 2, ReadPace: 3}},
 		}}},
 		Keys:   map[string]fleet.Customer{"key": {ID: "c", Rank: 1, Ranked: true}},
 		Limits: fleet.Limits{HeaderBytes: 1, BodyBytes: 2, HeaderTimeout: 3, IdleTimeout: 4},
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -176,19 +176,19 @@
 }
 
 func (s *sharedState) server(now time.Time, srv *fleet.Server, e *fleet.Engine, avoided map[string]bool) ServerStatus {
-	load := s.loadOn(srv.Life())
+	load := s.loadOn(srv.Incarnation())
 	out := ServerStatus{
 		ID: srv.ID, Address: srv.Address, Domain: srv.Domain, Kind: srv.Kind, Draining: srv.Draining,
 		Dead: s.dead[srv.Address], Avoided: avoided[srv.Address], Outdated: s.suspects.IsOutdated(now, srv),
-		Refusing: s.suspects.IsLeaving(now, srv.Life()),
+		Refusing: s.suspects.IsLeaving(now, srv.Incarnation()),
 		Requests: load.Requests, ReservedTokens: load.Tokens,
 	}
-	if limit := s.permits.LimitOf(srv.Life()); limit.Named {
+	if limit := s.permits.LimitOf(srv.Incarnation()); limit.Named {
 		out.Limit = limit.String()
 	}
 	if e != nil && srv.Layers.Len() > 0 {
 		out.Layers = srv.Layers.String()
-		out.CapacityTokens = e.Room(e.Kinds[srv.Kind], srv.Layers.Len())
+		out.CapacityTokens = e.KVCapacity(e.Kinds[srv.Kind], srv.Layers.Len())
 	}
 	return out
 }
@@ -198,7 +198,7 @@
 func (s *ServiceStatus) setCoverage(e *fleet.Engine, servers []fleet.Server) {
 	s.Layers = e.Layers
 	for d, members := range lo.GroupBy(servers, func(x fleet.Server) state.FailureDomain { return x.Domain }) {
-		if layerCoverage(e, members).Whole() {
+		if layerCoverage(e, members).Complete() {
 			s.CompleteDomains = append(s.CompleteDomains, d)
 		}
 	}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -91,7 +91,7 @@
 // resetTimer sets the stall timer for the next event. Only streams that can resume on
 // another engine are watched.
 func (s *stream) resetTimer() {
-	if s.r.route.Repeat != fleet.RunOn {
+	if s.r.route.Repeat != fleet.Resumable {
 		return
 	}
 	gap := s.r.route.Gap / minSilenceDivisor
@@ -138,7 +138,7 @@
 
 // hopDied is called when a server of the path was found dead.
 func (s *stream) hopDied(h fleet.Hop) {
-	if s.r.route.Repeat != fleet.RunOn || !s.reserveRetry() || !s.ending.CompareAndSwap(false, true) {
+	if s.r.route.Repeat != fleet.Resumable || !s.reserveRetry() || !s.ending.CompareAndSwap(false, true) {
 		return
 	}
 	s.r.g.log.Emit(telemetry.EventHopSilent, telemetry.Request(s.r.req.ID), telemetry.Backend(h.Server.ID), telemetry.Address(h.Address))
--- a/gateway/wait.go
+++ b/gateway/wait.go
@@ -86,7 +86,7 @@
 // request may run again: the answer was lost, or the connection is unresponsive. The caller
 // stops the timer once the answer has begun.
 func (r *requestHandler) watchFirstEvent(cancel context.CancelFunc) *time.Timer {
-	if r.route.Repeat == fleet.RunOnce || r.isLastAttempt(r.address) {
+	if r.route.Repeat == fleet.AtMostOnce || r.isLastAttempt(r.address) {
 		return nil
 	}
 	first, _ := r.g.shared.answerTimeouts(time.Now(), r.service.ID, r.route)
--- a/state/fleet/config.go
+++ b/state/fleet/config.go
@@ -43,11 +43,11 @@
 // The values of Repeat.
 const (
 	// RunOnce: at most one run, whatever becomes of its answer.
-	RunOnce Repeat = iota
+	AtMostOnce Repeat = iota
 	// RunAgain: any number of runs gives the same result (idempotent).
-	RunAgain
+	Idempotent
 	// RunOn: a second run may go on after the last event that the caller has.
-	RunOn
+	Resumable
 )
 
 // Route says where requests of one host and path prefix go.
@@ -122,11 +122,11 @@
 	ContextMS  float64 // that each 1,000 tokens of context add to it
 	ReadPerS   float64 // prompt tokens a second through all layers at pace 1
 	LoadTime   time.Duration
-	Kinds      map[string]CardKind
+	Kinds      map[string]AcceleratorKind
 }
 
 // CardKind is one kind of accelerator.
-type CardKind struct {
+type AcceleratorKind struct {
 	MemoryMB float64
 	Pace     float64 // of token steps; higher is slower
 	ReadPace float64 // of prompt reading; higher is slower
@@ -134,7 +134,7 @@
 
 // Room returns how many tokens a card of kind k can hold beside the weights of
 // the given number of layers.
-func (e *Engine) Room(k CardKind, layers int) int {
+func (e *Engine) KVCapacity(k AcceleratorKind, layers int) int {
 	if layers <= 0 || e.Layers <= 0 || e.TokenKB <= 0 {
 		return 0
 	}
--- a/state/fleet/server.go
+++ b/state/fleet/server.go
@@ -37,7 +37,7 @@
 }
 
 // Life is the start of the server that this entry is of.
-func (s *Server) Life() state.BackendIncarnation {
+func (s *Server) Incarnation() state.BackendIncarnation {
 	return state.BackendIncarnation{ID: s.ID, Born: s.Born}
 }
 
@@ -75,7 +75,7 @@
 
 // Whole reports whether the path runs layers 0 to n once each and in order, on
 // different servers.
-func (p Path) Whole(n int) bool {
+func (p Path) Complete(n int) bool {
 	at := 0
 	seen := make(map[string]bool, len(p))
 	for _, h := range p {
@@ -114,7 +114,7 @@
 
 // Least is how many servers hold the layer that is held by the fewest, 0 for a model
 // without layers.
-func (c Cover) Least() int {
+func (c Cover) MinCopies() int {
 	if len(c) == 0 {
 		return 0
 	}
@@ -122,4 +122,4 @@
 }
 
 // Whole reports whether each layer is held.
-func (c Cover) Whole() bool { return c.Missing() == 0 }
+func (c Cover) Complete() bool { return c.Missing() == 0 }
