--- a/daemon/members.go
+++ b/daemon/members.go
@@ -99,7 +99,7 @@
 	case membership.Refuted:
 		log.Emit(telemetry.EventSelfSuspected)
 	case membership.PauseDetected:
-		log.Emit(telemetry.EventSelfSuspected, telemetry.Took(a.Delay), telemetry.Detail("this daemon was paused"))
+		log.Emit(telemetry.EventSelfSuspected, telemetry.Duration(a.Delay), telemetry.Detail("this daemon was paused"))
 	case membership.Superseded:
 		log.Emit(telemetry.EventIncarnationSuperseded, telemetry.Incarnation(a.By))
 		go p.c.d.Kill()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -227,7 +227,7 @@
 		elapsed := float64(drainTime)
 		idle := g.activeRequests.Load() == 0
 		if elapsed >= maxDrainShare*grace || idle && elapsed >= minDrainShare*grace {
-			g.log.Emit(telemetry.EventDrainCompleted, telemetry.Count(int(g.activeRequests.Load())), telemetry.Took(drainTime))
+			g.log.Emit(telemetry.EventDrainCompleted, telemetry.Count(int(g.activeRequests.Load())), telemetry.Duration(drainTime))
 			return
 		}
 		time.Sleep(drainPollInterval)
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -241,7 +241,7 @@
 	f.machine.LoadedFromPeer(f.c.now, b.Revision, age)
 	f.revision.Store(b.Revision)
 	f.cache.update(b, complete)
-	f.c.g.log.Emit(telemetry.EventFeedGiven, telemetry.Detail(f.name), telemetry.Took(age))
+	f.c.g.log.Emit(telemetry.EventFeedGiven, telemetry.Detail(f.name), telemetry.Duration(age))
 	f.apply(b, batchInfo{complete: complete})
 }
 
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -144,7 +144,7 @@
 		return
 	}
 	p.g.log.Emit(telemetry.EventBackendDead, telemetry.Backend(h.Server.ID), telemetry.Address(h.Address),
-		telemetry.Took(result.took), telemetry.Cause(result.err))
+		telemetry.Duration(result.took), telemetry.Cause(result.err))
 	go func() {
 		until := time.Now().Add(reprobeDuration)
 		for time.Now().Before(until) {
--- a/gateway/report.go
+++ b/gateway/report.go
@@ -48,7 +48,7 @@
 	}
 	fields := []telemetry.Field{
 		telemetry.Request(r.req.ID), telemetry.Detail(res.Reason), telemetry.Count(r.attemptCount),
-		telemetry.Took(time.Since(r.req.Arrived)),
+		telemetry.Duration(time.Since(r.req.Arrived)),
 	}
 	if r.service != nil {
 		fields = append(fields, telemetry.Service(r.service.ID))
@@ -82,13 +82,13 @@
 // long for its first event or between two.
 func (r *requestHandler) logAnswered() {
 	r.g.log.Emit(telemetry.EventRequestAnswered, telemetry.Request(r.req.ID), telemetry.Count(r.attemptCount),
-		telemetry.Address(r.address), telemetry.Took(time.Since(r.req.Arrived)))
+		telemetry.Address(r.address), telemetry.Duration(time.Since(r.req.Arrived)))
 	p := &r.gaps
 	if !r.route.Stream || p.first <= r.route.Target && p.longest <= r.route.Gap {
 		return
 	}
-	r.g.log.Emit(telemetry.EventStreamLate, telemetry.Request(r.req.ID), telemetry.Took(p.longest),
-		telemetry.FirstTook(p.first), telemetry.Count(r.attemptCount), telemetry.Address(p.firstHop))
+	r.g.log.Emit(telemetry.EventStreamLate, telemetry.Request(r.req.ID), telemetry.Duration(p.longest),
+		telemetry.TimeToFirstEvent(p.first), telemetry.Count(r.attemptCount), telemetry.Address(p.firstHop))
 }
 
 // logSent logs each attempt: its destination, the configuration version, and the time since
@@ -96,5 +96,5 @@
 func (r *requestHandler) logSent(detail string) {
 	r.g.log.Emit(telemetry.EventRequestSent, telemetry.Request(r.req.ID), telemetry.Service(r.service.ID),
 		telemetry.Count(r.attemptCount), telemetry.Address(r.address), telemetry.Detail(detail),
-		telemetry.Version(state.DocumentVersion(r.view.config.Version)), telemetry.Took(time.Since(r.req.Arrived)))
+		telemetry.Version(state.DocumentVersion(r.view.config.Version)), telemetry.Duration(time.Since(r.req.Arrived)))
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -121,7 +121,7 @@
 	if silence := s.sinceLastEvent(now); timeout > 0 && silence > timeout && g.shared.mayAbandon(s.r.service.ID) && s.reserveRetry() {
 		s.answerLost.Store(true)
 		s.ending.Store(true)
-		g.log.Emit(telemetry.EventStreamSilent, telemetry.Request(s.r.req.ID), telemetry.Address(s.path[0].Address), telemetry.Took(silence))
+		g.log.Emit(telemetry.EventStreamSilent, telemetry.Request(s.r.req.ID), telemetry.Address(s.path[0].Address), telemetry.Duration(silence))
 		s.cancel()
 		return
 	}
--- a/telemetry/field.go
+++ b/telemetry/field.go
@@ -19,29 +19,29 @@
 
 // The values of Key.
 const (
-	KeyDaemon      Key = "daemon"
-	KeyIncarnation Key = "incarnation"
-	KeyPeer        Key = "peer"
-	KeyService     Key = "service"
-	KeyCustomer    Key = "customer"
-	KeyClass       Key = "class"
-	KeyRequest     Key = "request"
-	KeyAttempt     Key = "attempt"
-	KeyReplica     Key = "replica"
-	KeyBackend     Key = "backend"
-	KeyDomain      Key = "failure_domain"
-	KeyVersion     Key = "version"
-	KeyEditID      Key = "edit_id"
-	KeyFencing     Key = "fencing"
-	KeyReason      Key = "reason"
-	KeyRetryReason Key = "retry_reason"
-	KeyAddress     Key = "address"
-	KeyCount       Key = "count"
-	KeySeconds     Key = "seconds"
-	KeyCause       Key = "cause"
-	KeyDetail      Key = "detail"
-	KeyLayers      Key = "layers"
-	KeyFirst       Key = "first_seconds"
+	KeyDaemon       Key = "daemon"
+	KeyIncarnation  Key = "incarnation"
+	KeyPeer         Key = "peer"
+	KeyService      Key = "service"
+	KeyCustomer     Key = "customer"
+	KeyClass        Key = "class"
+	KeyRequest      Key = "request"
+	KeyAttempt      Key = "attempt"
+	KeyReplica      Key = "replica"
+	KeyBackend      Key = "backend"
+	KeyDomain       Key = "failure_domain"
+	KeyVersion      Key = "version"
+	KeyEditID       Key = "edit_id"
+	KeyFencing      Key = "fencing"
+	KeyReason       Key = "reason"
+	KeyRetryReason  Key = "retry_reason"
+	KeyAddress      Key = "address"
+	KeyCount        Key = "count"
+	KeySeconds      Key = "seconds"
+	KeyCause        Key = "cause"
+	KeyDetail       Key = "detail"
+	KeyLayers       Key = "layers"
+	KeyFirstSeconds Key = "first_seconds"
 )
 
 // Keys lists every Key in the order of docs/EVENTS.md.
@@ -51,7 +51,7 @@
 		KeyRequest, KeyAttempt, KeyReplica, KeyBackend, KeyDomain, KeyVersion,
 		KeyEditID, KeyFencing, KeyReason, KeyRetryReason, KeyAddress, KeyCount,
 		KeySeconds, KeyCause, KeyDetail, KeyLayers,
-		KeyFirst,
+		KeyFirstSeconds,
 	}
 }
 
@@ -117,7 +117,7 @@
 func Count(n int) Field { return Field{KeyCount, n} }
 
 // Took is a time, written in seconds.
-func Took(d time.Duration) Field { return Field{KeySeconds, d.Seconds()} }
+func Duration(d time.Duration) Field { return Field{KeySeconds, d.Seconds()} }
 
 // Cause is the error behind the event; nil writes an empty text.
 func Cause(err error) Field {
@@ -133,7 +133,7 @@
 }
 
 // FirstTook is the time to the first event, written in seconds.
-func FirstTook(d time.Duration) Field { return Field{KeyFirst, d.Seconds()} }
+func TimeToFirstEvent(d time.Duration) Field { return Field{KeyFirstSeconds, d.Seconds()} }
 
 // Detail is a short text for people.
 func Detail(text string) Field { return Field{KeyDetail, text} }
