--- a/daemon/steps.go
+++ b/daemon/steps.go
@@ -72,7 +72,7 @@
 
 // stepError posts a call that was not answered.
 func (r *runner) stepError(a request.RunStep, err error) {
-	silent := errors.Is(err, enginehttp.ErrSilent)
+	silent := errors.Is(err, enginehttp.ErrUnresponsive)
 	if engine.NotSent(err) && a.Prompt == "" && r.ctx.Err() == nil {
 		// The attempt had begun, and nobody listens any more. A first step is
 		// left out: its content has not been there.
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -64,7 +64,7 @@
 			silenced <- time.Now()
 		}()
 		_, err := client.Step(ctx, []engine.StepRequest{c.step(a, 0, nil)})
-		Expect(err).To(MatchError(enginehttp.ErrSilent))
+		Expect(err).To(MatchError(enginehttp.ErrUnresponsive))
 		Expect(engine.NotSent(err)).To(BeFalse())
 		c.servers[0].Slow(1)
 
@@ -92,7 +92,7 @@
 		c.token(ctx, a)
 		c.servers[0].SilenceConnections()
 		_, err := client.Step(ctx, []engine.StepRequest{c.step(a, 0, nil)})
-		Expect(err).To(MatchError(enginehttp.ErrSilent))
+		Expect(err).To(MatchError(enginehttp.ErrUnresponsive))
 		Expect(engine.NotSent(err)).To(BeFalse())
 
 		a.epoch++
--- a/transport/enginehttp/batcher.go
+++ b/transport/enginehttp/batcher.go
@@ -13,10 +13,10 @@
 
 // Defaults of BatcherOptions.
 const (
-	DefaultMaxOutstanding = 16
-	DefaultMaxPartial     = 16
-	DefaultMaxBatch       = 32
-	DefaultYields         = 32
+	DefaultMaxOutstanding        = 16
+	DefaultMaxOutstandingPartial = 16
+	DefaultMaxBatch              = 32
+	DefaultYields                = 32
 )
 
 // BatcherOptions set how steps are joined. Zero fields take the defaults.
@@ -30,7 +30,7 @@
 	// others: best where this daemon is the engine's only one. Where several
 	// are, the engine forms its next batch of what all have sent, and steps
 	// that are held back here miss it.
-	MaxPartial int
+	MaxOutstandingPartial int
 
 	// MaxBatch is the most steps of one batch; the engine's own batch cap is
 	// the best value.
@@ -45,8 +45,8 @@
 	if o.MaxOutstanding <= 0 {
 		o.MaxOutstanding = DefaultMaxOutstanding
 	}
-	if o.MaxPartial <= 0 {
-		o.MaxPartial = DefaultMaxPartial
+	if o.MaxOutstandingPartial <= 0 {
+		o.MaxOutstandingPartial = DefaultMaxOutstandingPartial
 	}
 	if o.MaxBatch <= 0 {
 		o.MaxBatch = DefaultMaxBatch
@@ -170,7 +170,7 @@
 	case n >= b.opts.MaxBatch:
 		return b.outstanding < b.opts.MaxOutstanding
 	default:
-		return b.outstanding < min(b.opts.MaxPartial, b.opts.MaxOutstanding)
+		return b.outstanding < min(b.opts.MaxOutstandingPartial, b.opts.MaxOutstanding)
 	}
 }
 
--- a/transport/enginehttp/batcher_test.go
+++ b/transport/enginehttp/batcher_test.go
@@ -180,7 +180,7 @@
 	for len(r.waiting) > 0 {
 		limit := r.opts.MaxOutstanding
 		if len(r.waiting) < r.opts.MaxBatch {
-			limit = min(limit, r.opts.MaxPartial)
+			limit = min(limit, r.opts.MaxOutstandingPartial)
 		}
 		if r.open >= limit {
 			break
@@ -197,9 +197,9 @@
 // compares what leaves with the rules.
 func checkRules(t *rapid.T) {
 	r := &rules{opts: enginehttp.BatcherOptions{
-		MaxOutstanding: rapid.IntRange(1, 3).Draw(t, "outstanding"),
-		MaxPartial:     rapid.IntRange(1, 3).Draw(t, "partial"),
-		MaxBatch:       rapid.IntRange(1, 5).Draw(t, "batch"),
+		MaxOutstanding:        rapid.IntRange(1, 3).Draw(t, "outstanding"),
+		MaxOutstandingPartial: rapid.IntRange(1, 3).Draw(t, "partial"),
+		MaxBatch:              rapid.IntRange(1, 5).Draw(t, "batch"),
 	}}
 	g := newGate()
 	b := enginehttp.NewBatcher(g, r.opts)
--- a/transport/enginehttp/chain_bench_test.go
+++ b/transport/enginehttp/chain_bench_test.go
@@ -36,10 +36,10 @@
 		name string
 		opts enginehttp.BatcherOptions
 	}{
-		{"eager", enginehttp.BatcherOptions{MaxOutstanding: 2, MaxPartial: 2, Yields: -1}},
+		{"eager", enginehttp.BatcherOptions{MaxOutstanding: 2, MaxOutstandingPartial: 2, Yields: -1}},
 		{"partial", enginehttp.BatcherOptions{MaxOutstanding: 1, Yields: -1}},
 		{"gather", enginehttp.BatcherOptions{MaxOutstanding: 1}},
-		{"full", enginehttp.BatcherOptions{MaxOutstanding: 2, MaxPartial: 1}},
+		{"full", enginehttp.BatcherOptions{MaxOutstanding: 2, MaxOutstandingPartial: 1}},
 		{"default", enginehttp.BatcherOptions{}},
 	}
 	for _, daemons := range []int{1, 4} {
