--- a/transport/exchange/exchange.go
+++ b/transport/exchange/exchange.go
@@ -26,10 +26,10 @@
 	Header  http.Header
 	Body    []byte
 	// Mine tells from an answer's header whether it is ours; nil takes any.
-	Mine func(http.Header) bool
+	MatchResponse func(http.Header) bool
 	// Keep is how many idle connections to the server may be kept, this request's included; 0
 	// for the usual number.
-	Keep int
+	MaxIdle int
 }
 
 // Response is the head of an answer.
@@ -85,7 +85,7 @@
 		}
 		return nil, broken(ctx, err)
 	}
-	b := &body{pool: p, keep: req.Keep, conn: c, resp: resp, stop: stop, sent: sent, ctx: ctx}
+	b := &body{pool: p, keep: req.MaxIdle, conn: c, resp: resp, stop: stop, sent: sent, ctx: ctx}
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: b}, nil
 }
 
@@ -135,7 +135,7 @@
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		if req.Mine == nil || req.Mine(resp.Header) {
+		if req.MatchResponse == nil || req.MatchResponse(resp.Header) {
 			return resp, nil
 		}
 		foreign++
--- a/transport/exchange/exchange_test.go
+++ b/transport/exchange/exchange_test.go
@@ -91,7 +91,7 @@
 	request := func(s *server) exchange.Request {
 		return exchange.Request{
 			Address: s.Addr().String(), Method: http.MethodPost, Target: "/a/b?c", Header: http.Header{}, Body: []byte("x"),
-			Mine: func(h http.Header) bool { return h.Get("X-Request-Id") == "r1" },
+			MatchResponse: func(h http.Header) bool { return h.Get("X-Request-Id") == "r1" },
 		}
 	}
 
@@ -123,7 +123,7 @@
 			var open []io.ReadCloser
 			for range burst {
 				req := request(s)
-				req.Keep = kept
+				req.MaxIdle = kept
 				resp, err := pool.Do(context.Background(), req)
 				Expect(err).NotTo(HaveOccurred())
 				open = append(open, resp.Body)
--- a/transport/exchange/pool.go
+++ b/transport/exchange/pool.go
@@ -120,7 +120,7 @@
 }
 
 // Forget closes the kept connections to a server, as when it has ended.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
