--- a/daemon/provide.go
+++ b/daemon/provide.go
@@ -45,6 +45,6 @@
 	return newClients(enginehttp.Options{
 		DialTimeout:     set.Backends.ConnectTimeout.Std(),
 		ProgressTimeout: set.Backends.ProgressTimeout.Std(),
-		OnSilent:        func() { metrics.Add(telemetry.SilentConnectionsTotal, 1) },
+		OnUnresponsive:  func() { metrics.Add(telemetry.SilentConnectionsTotal, 1) },
 	}), nil
 }
--- a/transport/enginehttp/client.go
+++ b/transport/enginehttp/client.go
@@ -24,7 +24,7 @@
 
 // ErrSilent marks calls whose connection carried no byte for
 // Options.ProgressTimeout. Whether such a call took effect is unknown.
-var ErrUnresponsive = httpcall.ErrSilent
+var ErrUnresponsive = httpcall.ErrUnresponsive
 
 // StatusError is an answer whose status is not 200.
 type StatusError struct {
--- a/transport/httpcall/caller.go
+++ b/transport/httpcall/caller.go
@@ -39,7 +39,7 @@
 	MaxConns int // connections at one time; 0 is no bound
 
 	// OnSilent, if set, is called after a connection went silent.
-	OnSilent func()
+	OnUnresponsive func()
 }
 
 func (o Options) withDefaults() Options {
@@ -64,7 +64,7 @@
 	// ErrNotSent: not one byte of the call left this process.
 	ErrNotSent = errors.New("not sent")
 	// ErrSilent: the connection carried no byte for ProgressTimeout.
-	ErrSilent = errors.New("connection is silent")
+	ErrUnresponsive = errors.New("connection is silent")
 	// ErrTooLong: the answer is longer than MaxResponse.
 	ErrTooLong = errors.New("answer is too long")
 )
@@ -158,20 +158,20 @@
 
 // explain gives err its meaning.
 func (c *Caller) explain(ctx, callCtx context.Context, t *track, err error) error {
-	silent := errors.Is(context.Cause(callCtx), ErrSilent)
+	silent := errors.Is(context.Cause(callCtx), ErrUnresponsive)
 	switch {
 	case ctx.Err() != nil:
 		err = ctx.Err()
 	case silent:
-		err = fmt.Errorf("%w for %v", ErrSilent, c.opts.ProgressTimeout)
+		err = fmt.Errorf("%w for %v", ErrUnresponsive, c.opts.ProgressTimeout)
 	}
 	if t.notSent() {
 		return errors.Join(ErrNotSent, err)
 	}
 	if silent {
 		c.transport.CloseIdleConnections()
-		if c.opts.OnSilent != nil {
-			c.opts.OnSilent()
+		if c.opts.OnUnresponsive != nil {
+			c.opts.OnUnresponsive()
 		}
 	}
 	return err
@@ -230,7 +230,7 @@
 			w.timer.Reset(rest)
 			return
 		}
-		cancel(ErrSilent)
+		cancel(ErrUnresponsive)
 	})
 	return w
 }
--- a/transport/platformhttp/contract_test.go
+++ b/transport/platformhttp/contract_test.go
@@ -129,7 +129,7 @@
 	It("takes a connection that carries nothing for silent, and goes on with a new one", Label("failure:silent-connection"), func(ctx SpecContext) {
 		var silent atomic.Int32
 		impatient := platformhttp.NewTable(p.URL(), platformhttp.Options{
-			ProgressTimeout: patience, OnSilent: func() { silent.Add(1) },
+			ProgressTimeout: patience, OnUnresponsive: func() { silent.Add(1) },
 		})
 		DeferCleanup(impatient.Close)
 		_, err := impatient.Commit(ctx, claim("a", "one"))
