--- a/transport/inbound/conn.go
+++ b/transport/inbound/conn.go
@@ -8,21 +8,21 @@
 
 // Limits are the bounds of callers' connections. A zero field is Default's.
 type Limits struct {
-	Header time.Duration // for a whole header to arrive
-	Idle   time.Duration // of a kept connection between two requests
+	HeaderTimeout time.Duration // for a whole header to arrive
+	IdleTimeout   time.Duration // of a kept connection between two requests
 }
 
 // Default holds until a configuration names other bounds: those of the site that the
 // first users run.
-var Default = Limits{Header: 3 * time.Second, Idle: 15 * time.Second}
+var DefaultLimits = Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
 // or replaces zero fields by those of d.
 func (l Limits) or(d Limits) Limits {
-	if l.Header <= 0 {
-		l.Header = d.Header
+	if l.HeaderTimeout <= 0 {
+		l.HeaderTimeout = d.HeaderTimeout
 	}
-	if l.Idle <= 0 {
-		l.Idle = d.Idle
+	if l.IdleTimeout <= 0 {
+		l.IdleTimeout = d.IdleTimeout
 	}
 	return l
 }
@@ -57,9 +57,9 @@
 	if !t.After(now) {
 		return c.Conn.SetReadDeadline(t)
 	}
-	limits := c.limits().or(Default)
+	limits := c.limits().or(DefaultLimits)
 	if c.idle.Swap(false) {
-		return c.Conn.SetReadDeadline(now.Add(limits.Idle))
+		return c.Conn.SetReadDeadline(now.Add(limits.IdleTimeout))
 	}
-	return c.Conn.SetReadDeadline(now.Add(limits.Header))
+	return c.Conn.SetReadDeadline(now.Add(limits.HeaderTimeout))
 }
--- a/transport/inbound/inbound_test.go
+++ b/transport/inbound/inbound_test.go
@@ -32,7 +32,7 @@
 	)
 
 	BeforeEach(func() {
-		limits.Store(&inbound.Limits{Header: 150 * time.Millisecond, Idle: 600 * time.Millisecond})
+		limits.Store(&inbound.Limits{HeaderTimeout: 150 * time.Millisecond, IdleTimeout: 600 * time.Millisecond})
 		var err error
 		address, err = freeport.Address()
 		Expect(err).NotTo(HaveOccurred())
@@ -91,11 +91,11 @@
 	// the old time loses the request that its caller is just sending.
 	It("follow changed bounds without a restart", Label("failure:kept-connection-closed"), func() {
 		c := dial()
-		limits.Store(&inbound.Limits{Header: 150 * time.Millisecond, Idle: 1500 * time.Millisecond})
+		limits.Store(&inbound.Limits{HeaderTimeout: 150 * time.Millisecond, IdleTimeout: 1500 * time.Millisecond})
 		ask(c)
 		time.Sleep(900 * time.Millisecond)
 		ask(c)
-		limits.Store(&inbound.Limits{Header: 150 * time.Millisecond, Idle: 200 * time.Millisecond})
+		limits.Store(&inbound.Limits{HeaderTimeout: 150 * time.Millisecond, IdleTimeout: 200 * time.Millisecond})
 		ask(c)
 		Expect(open(c)).To(BeNumerically("<", 700*time.Millisecond))
 	})
@@ -104,7 +104,7 @@
 		c := dial()
 		go func() {
 			_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n")
-			for range 2 * inbound.MaxHeader / 1000 {
+			for range 2 * inbound.MaxHeaderBytes / 1000 {
 				if _, err := io.WriteString(c, "X-A: "+strings.Repeat("a", 1000)+"\r\n"); err != nil {
 					return
 				}
@@ -144,7 +144,7 @@
 	It("let callers wait beyond their share of descriptors", Label("failure:flood-of-callers"), func() {
 		const share = 1200
 		const header = 1500 * time.Millisecond
-		limits.Store(&inbound.Limits{Header: header, Idle: time.Second})
+		limits.Store(&inbound.Limits{HeaderTimeout: header, IdleTimeout: time.Second})
 		first := time.Now()
 		for range share {
 			_, err := io.WriteString(dial(), "GET")
@@ -158,7 +158,7 @@
 	// meanwhile, and what the slow ones hold is given back.
 	It("serve others beside many slow callers", Label("failure:half-a-header"), func() {
 		const slow = 1000
-		limits.Store(&inbound.Limits{Header: 1500 * time.Millisecond, Idle: time.Second})
+		limits.Store(&inbound.Limits{HeaderTimeout: 1500 * time.Millisecond, IdleTimeout: time.Second})
 		var before, during runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
--- a/transport/inbound/ports.go
+++ b/transport/inbound/ports.go
@@ -14,7 +14,7 @@
 const (
 	// MaxHeader bounds a header, in bytes. A configuration may allow less, which is
 	// the handler's to refuse. 4,100 connections that each fill it hold 262 MB.
-	MaxHeader = 64 << 10
+	MaxHeaderBytes = 64 << 10
 	// closeWait is how long answers under way have when the ports are closed.
 	closeWait = 50 * time.Millisecond
 	// callersShare is the part of a process's descriptors that callers may take. The
@@ -50,9 +50,9 @@
 	p.ports = append(p.ports, &listener{Listener: l, limits: p.limits})
 	p.servers = append(p.servers, &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: Default.Header, // see conn
-		IdleTimeout:       Default.Idle,   // see conn
-		MaxHeaderBytes:    MaxHeader,
+		ReadHeaderTimeout: DefaultLimits.HeaderTimeout, // see conn
+		IdleTimeout:       DefaultLimits.IdleTimeout,   // see conn
+		MaxHeaderBytes:    MaxHeaderBytes,
 		ConnState: func(c net.Conn, s http.ConnState) {
 			if c, ok := c.(*conn); ok && s == http.StateIdle {
 				c.idle.Store(true)
