--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -89,12 +89,12 @@
 		return nil, err
 	}
 	d.node = peer.New(peer.Config{
-		Self:     d.self,
-		Registry: newRegistry(),
-		Handler:  peer.Handler{Received: d.received, Called: d.called},
-		Lost:     d.connectionLost,
-		Rejected: d.peerRejected,
-		Scope:    d.metrics.Scope(),
+		Self:             d.self,
+		Registry:         newRegistry(),
+		Handler:          peer.Handler{HandleMessage: d.received, HandleCall: d.called},
+		OnConnectionLost: d.connectionLost,
+		OnInboundError:   d.peerRejected,
+		Scope:            d.metrics.Scope(),
 	})
 	d.control = newControl(d)
 	options := front.Options{Metrics: d.metrics.Handler(), Scope: d.metrics.Scope()}
@@ -179,7 +179,7 @@
 // connectionLost has a daemon probed that no connection reaches. One silent
 // connection says nothing of the daemon behind it; one that never answered does.
 func (d *Daemon) connectionLost(address string, err error) {
-	if errors.Is(err, peer.ErrSilent) {
+	if errors.Is(err, peer.ErrUnresponsive) {
 		d.metrics.Add(telemetry.SilentConnectionsTotal, 1)
 		d.log.Emit(telemetry.EventConnectionSilent, telemetry.Address(address))
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -88,10 +88,10 @@
 	}
 	g.peers = listener
 	g.node = peer.New(peer.Config{
-		Self:     g.self,
-		Registry: g.messages,
-		Handler:  peer.Handler{Received: g.handleMessage, Called: g.handleCall},
-		Lost:     g.connectionLost,
+		Self:             g.self,
+		Registry:         g.messages,
+		Handler:          peer.Handler{HandleMessage: g.handleMessage, HandleCall: g.handleCall},
+		OnConnectionLost: g.connectionLost,
 	})
 	g.control = newControl(g)
 	g.currentView.Store(&view{members: g.control.view.members, live: 1, liveInDomain: 1})
--- a/transport/peer/bench_test.go
+++ b/transport/peer/bench_test.go
@@ -16,8 +16,8 @@
 	cfg := peer.Config{
 		Self: state.Member{ID: "a", Incarnation: 1}, Registry: registry(),
 		Handler: peer.Handler{
-			Received: func(state.Member, any) {},
-			Called: func(_ context.Context, _ state.Member, msg any) (any, error) {
+			HandleMessage: func(state.Member, any) {},
+			HandleCall: func(_ context.Context, _ state.Member, msg any) (any, error) {
 				return told(msg.(ask)), nil
 			},
 		},
@@ -88,7 +88,7 @@
 		}
 		p.SilenceConnections()
 		begin := time.Now()
-		if _, err := n.Call(context.Background(), p.Address(), ask{N: 2}); !errors.Is(err, peer.ErrSilent) {
+		if _, err := n.Call(context.Background(), p.Address(), ask{N: 2}); !errors.Is(err, peer.ErrUnresponsive) {
 			b.Fatal(err)
 		}
 		if _, err := n.Call(context.Background(), p.Address(), ask{N: 3}); err != nil {
--- a/transport/peer/errors.go
+++ b/transport/peer/errors.go
@@ -5,7 +5,7 @@
 // Errors of Send and Call, to be told apart with errors.Is.
 var (
 	// ErrSilent: the connection stopped carrying bytes.
-	ErrSilent = errors.New("connection is silent")
+	ErrUnresponsive = errors.New("connection is silent")
 	// ErrClosed: the connection ended before the answer.
 	ErrClosed = errors.New("connection ended")
 	// ErrDropped: the queue was full and this was the oldest message in it.
--- a/transport/peer/inbound.go
+++ b/transport/peer/inbound.go
@@ -68,8 +68,8 @@
 // rejected tells the daemon how a peer's connection ended.
 func (n *Node) rejected(conn net.Conn, err error) {
 	n.counters.fault(err)
-	if n.cfg.Rejected != nil {
-		n.cfg.Rejected(conn.RemoteAddr(), err)
+	if n.cfg.OnInboundError != nil {
+		n.cfg.OnInboundError(conn.RemoteAddr(), err)
 	}
 }
 
@@ -148,7 +148,7 @@
 	}
 	in.send(peer.Envelope{Role: peer.RoleHello}, peer.Hello{From: in.node.cfg.Self})
 	for {
-		e, err := in.next(r, in.node.cfg.InboundIdle)
+		e, err := in.next(r, in.node.cfg.InboundIdleTimeout)
 		if err != nil {
 			return err
 		}
@@ -193,8 +193,8 @@
 			in.call(from, e.Call, e.Timeout, msg)
 			return nil
 		}
-		if in.node.cfg.Handler.Received != nil {
-			in.node.cfg.Handler.Received(from, msg)
+		if in.node.cfg.Handler.HandleMessage != nil {
+			in.node.cfg.Handler.HandleMessage(from, msg)
 		}
 		return nil
 	default:
@@ -204,7 +204,7 @@
 
 // call runs a call, or refuses it where too many run.
 func (in *inbound) call(from state.Member, number uint64, timeout uint32, msg any) {
-	handle := in.node.cfg.Handler.Called
+	handle := in.node.cfg.Handler.HandleCall
 	if handle == nil {
 		in.refuse(peer.RoleRefusal, number, "calls are not taken here")
 		return
--- a/transport/peer/inboundwrite.go
+++ b/transport/peer/inboundwrite.go
@@ -12,7 +12,7 @@
 	if err == nil {
 		in.out = out
 	}
-	full := len(in.out) > in.node.cfg.QueueBytes && !in.closing
+	full := len(in.out) > in.node.cfg.MaxQueuedBytes && !in.closing
 	in.closing = in.closing || full
 	in.mu.Unlock()
 	switch {
@@ -49,7 +49,7 @@
 	for {
 		var last bool
 		buf, last = in.takeOut(buf[:0])
-		if err := writeAll(in.conn, buf, in.node.cfg.SilentAfter); err != nil {
+		if err := writeAll(in.conn, buf, in.node.cfg.ProgressTimeout); err != nil {
 			return
 		}
 		if last {
--- a/transport/peer/node_test.go
+++ b/transport/peer/node_test.go
@@ -61,12 +61,12 @@
 	GinkgoHelper()
 	d := &daemon{scope: tally.NewTestScope("", nil)}
 	cfg := peer.Config{
-		Self:     state.Member{ID: state.DaemonID(id), Incarnation: 1},
-		Registry: registry(),
-		Handler:  peer.Handler{Received: d.received, Called: d.called},
-		Lost:     func(_ string, err error) { d.note(func() { d.lost = append(d.lost, err) }) },
-		Rejected: func(_ net.Addr, err error) { d.note(func() { d.rejected = append(d.rejected, err) }) },
-		Scope:    d.scope,
+		Self:             state.Member{ID: state.DaemonID(id), Incarnation: 1},
+		Registry:         registry(),
+		Handler:          peer.Handler{HandleMessage: d.received, HandleCall: d.called},
+		OnConnectionLost: func(_ string, err error) { d.note(func() { d.lost = append(d.lost, err) }) },
+		OnInboundError:   func(_ net.Addr, err error) { d.note(func() { d.rejected = append(d.rejected, err) }) },
+		Scope:            d.scope,
 	}
 	if change != nil {
 		change(&cfg)
@@ -158,8 +158,8 @@
 // quick makes silence show soon.
 func quick(c *peer.Config) {
 	c.ProbeAfter = 50 * time.Millisecond
-	c.SilentAfter = 400 * time.Millisecond
-	c.IdleProbe = 100 * time.Millisecond
+	c.ProgressTimeout = 400 * time.Millisecond
+	c.IdleProbeAfter = 100 * time.Millisecond
 }
 
 func proxy(to *daemon) *standin.Proxy {
@@ -236,7 +236,7 @@
 		b := start("b", nil)
 		gate := make(chan struct{})
 		a := start("a", func(c *peer.Config) {
-			c.QueueMessages = 4
+			c.MaxQueuedMessages = 4
 			c.DialTimeout = patience
 			c.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 				<-gate
@@ -278,7 +278,7 @@
 		for _, c := range []<-chan outcome{first, second} {
 			var o outcome
 			Eventually(c, patience).Should(Receive(&o))
-			Expect(o.err).To(MatchError(peer.ErrSilent))
+			Expect(o.err).To(MatchError(peer.ErrUnresponsive))
 			Expect(peer.Unhandled(o.err)).To(BeFalse())
 		}
 		close(b.hold)
@@ -287,7 +287,7 @@
 		Expect(r.Msg).To(Equal(told{N: 3}))
 		Expect(b.calls()).To(Equal([]int{1, 3}))
 		Expect(a.losses()).To(HaveLen(1))
-		Expect(a.losses()[0]).To(MatchError(peer.ErrSilent))
+		Expect(a.losses()[0]).To(MatchError(peer.ErrUnresponsive))
 		Expect(a.losses()[0]).NotTo(MatchError(peer.ErrUnreachable))
 		Expect(a.count("silent_connections")).To(BeEquivalentTo(1))
 	})
@@ -312,7 +312,7 @@
 		p := proxy(b)
 		p.Swallow(standin.ToClient, true)
 		_, err := a.Call(context.Background(), p.Address(), ask{N: 1})
-		Expect(err).To(MatchError(peer.ErrSilent))
+		Expect(err).To(MatchError(peer.ErrUnresponsive))
 		Expect(err).To(MatchError(peer.ErrUnreachable))
 		Expect(peer.NotSent(err)).To(BeFalse())
 		p.Swallow(standin.ToClient, false)
@@ -325,7 +325,7 @@
 	// The peer's process vanished with its instance: no end of the connection
 	// comes. The accepting side must not keep it for good.
 	It("from a vanished peer is closed by the accepting side", func() {
-		b := start("b", func(c *peer.Config) { c.InboundIdle = 100 * time.Millisecond })
+		b := start("b", func(c *peer.Config) { c.InboundIdleTimeout = 100 * time.Millisecond })
 		a := start("a", nil)
 		p := proxy(b)
 		Expect(a.Send(p.Address(), note{N: 1})).To(Succeed())
@@ -423,7 +423,7 @@
 	})
 
 	It("that asks and does not read loses its connection", func() {
-		b := start("b", func(c *peer.Config) { c.QueueBytes = 1 << 10 })
+		b := start("b", func(c *peer.Config) { c.MaxQueuedBytes = 1 << 10 })
 		conn := raw(b, hello)
 		call := frame(protocol.Envelope{Role: protocol.RoleCall, Kind: 2, Call: 1}, ask{N: 1})
 		calls := bytes.Repeat(call, 100)
--- a/transport/peer/remote.go
+++ b/transport/peer/remote.go
@@ -40,7 +40,7 @@
 		node:    n,
 		address: address,
 		wake:    make(chan struct{}, 1),
-		queue:   queue{maxFrames: n.cfg.QueueMessages, maxBytes: n.cfg.QueueBytes},
+		queue:   queue{maxFrames: n.cfg.MaxQueuedMessages, maxBytes: n.cfg.MaxQueuedBytes},
 		calls:   make(map[uint64]*call),
 	}
 }
@@ -162,7 +162,7 @@
 
 // awaitWork waits for a message. It is false when the remote is to end.
 func (r *remote) awaitWork() bool {
-	idle := time.NewTimer(r.node.cfg.IdleClose)
+	idle := time.NewTimer(r.node.cfg.IdleTimeout)
 	defer idle.Stop()
 	for {
 		r.mu.Lock()
@@ -177,7 +177,7 @@
 			if r.retire(nil) {
 				return false
 			}
-			idle.Reset(r.node.cfg.IdleClose)
+			idle.Reset(r.node.cfg.IdleTimeout)
 		case <-r.node.ctx.Done():
 			r.retire(ErrNodeClosed)
 			return false
@@ -247,13 +247,13 @@
 	switch {
 	case errors.Is(err, errDial):
 		r.node.counters.dialFailures.Inc(1)
-	case errors.Is(err, ErrSilent):
+	case errors.Is(err, ErrUnresponsive):
 		r.node.counters.silent.Inc(1)
 	default:
 		r.node.counters.lost.Inc(1)
 	}
-	if r.node.cfg.Lost != nil {
-		r.node.cfg.Lost(r.address, err)
+	if r.node.cfg.OnConnectionLost != nil {
+		r.node.cfg.OnConnectionLost(r.address, err)
 	}
 }
 
--- a/transport/peer/session.go
+++ b/transport/peer/session.go
@@ -90,7 +90,7 @@
 // write sends b. A degraded link may take long over it as long as bytes move;
 // none within SilentAfter is a silent connection whose buffer is full.
 func (s *session) write(b []byte) error {
-	err := writeAll(s.conn, b, s.node.cfg.SilentAfter)
+	err := writeAll(s.conn, b, s.node.cfg.ProgressTimeout)
 	if err == nil {
 		return nil
 	}
--- a/transport/peer/watch.go
+++ b/transport/peer/watch.go
@@ -32,8 +32,8 @@
 
 func newWatch(cfg *Config, now time.Time) watch {
 	return watch{
-		probeAfter: cfg.ProbeAfter, silentAfter: cfg.SilentAfter,
-		idleProbe: cfg.IdleProbe, idleClose: cfg.IdleClose,
+		probeAfter: cfg.ProbeAfter, silentAfter: cfg.ProgressTimeout,
+		idleProbe: cfg.IdleProbeAfter, idleClose: cfg.IdleTimeout,
 		used: now, busySince: now, probed: now, due: now,
 	}
 }
@@ -84,7 +84,7 @@
 	case late:
 		w.onTime = 0
 	case w.onTime == overdueLooks:
-		return 0, ErrSilent
+		return 0, ErrUnresponsive
 	}
 	w.onTime++
 	w.due = now.Add(w.overdueStep())
--- a/transport/peer/watch_internal_test.go
+++ b/transport/peer/watch_internal_test.go
@@ -115,7 +115,7 @@
 		duration := rapid.Custom(func(t *rapid.T) time.Duration {
 			return time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond
 		})
-		maxRTT := int(l.cfg.SilentAfter.Milliseconds()) / 2
+		maxRTT := int(l.cfg.ProgressTimeout.Milliseconds()) / 2
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			rtt := time.Duration(rapid.IntRange(0, maxRTT).Draw(t, "rtt")) * time.Millisecond
 			if l.over(l.run(l.now.Add(duration.Draw(t, "run")), rtt)) {
@@ -168,9 +168,9 @@
 		l.silent = true
 		l.arrivals = nil
 		begin := l.now
-		bound := l.cfg.IdleProbe + l.cfg.SilentAfter
+		bound := l.cfg.IdleProbeAfter + l.cfg.ProgressTimeout
 		if rapid.Bool().Draw(t, "busy") {
-			bound = l.cfg.ProbeAfter + l.cfg.SilentAfter
+			bound = l.cfg.ProbeAfter + l.cfg.ProgressTimeout
 			l.watch.wrote(l.now, l.heard)
 			l.owed = append(l.owed, l.reply(rtt))
 			if err := l.wake(rtt); err != nil {
@@ -178,7 +178,7 @@
 			}
 		}
 		err := l.run(begin.Add(bound+time.Millisecond), rtt)
-		if !errors.Is(err, ErrSilent) {
+		if !errors.Is(err, ErrUnresponsive) {
 			t.Fatalf("after %v: %v", l.now.Sub(begin), err)
 		}
 	})
@@ -188,7 +188,7 @@
 func TestWatchClosesUnusedConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLink(t)
-		err := l.run(l.now.Add(l.cfg.IdleClose+l.cfg.IdleProbe+l.cfg.SilentAfter), 10*time.Millisecond)
+		err := l.run(l.now.Add(l.cfg.IdleTimeout+l.cfg.IdleProbeAfter+l.cfg.ProgressTimeout), 10*time.Millisecond)
 		if !errors.Is(err, errIdle) {
 			t.Fatal(err)
 		}
--- a/transport/peer/wire.go
+++ b/transport/peer/wire.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return ErrSilent
+			return ErrUnresponsive
 		}
 		return err
 	}
