--- a/transport/platformhttp/contract_test.go
+++ b/transport/platformhttp/contract_test.go
@@ -137,7 +137,7 @@
 		p.SilenceConnections()
 		begin := time.Now()
 		_, err = impatient.Commit(ctx, claim("b", "one"))
-		Expect(err).To(MatchError(platformhttp.ErrSilent))
+		Expect(err).To(MatchError(platformhttp.ErrUnresponsive))
 		Expect(err).NotTo(MatchError(platformhttp.ErrNotSent))
 		_, err = impatient.Commit(ctx, claim("c", "one"))
 		Expect(err).NotTo(HaveOccurred())
--- a/transport/platformhttp/platformhttp.go
+++ b/transport/platformhttp/platformhttp.go
@@ -24,7 +24,7 @@
 // Errors of calls that were not answered, besides the context's own.
 var (
 	// ErrSilent: the connection carried no byte for Options.ProgressTimeout.
-	ErrSilent = httpcall.ErrUnresponsive
+	ErrUnresponsive = httpcall.ErrUnresponsive
 	// ErrNotSent: not one byte of the call left this process.
 	ErrNotSent = httpcall.ErrNotSent
 )
