--- a/daemon/addresses.go
+++ b/daemon/addresses.go
@@ -11,30 +11,30 @@
 	"github.com/hibiscuswick/hibiscuswick/protocol/caller"
 )
 
-// loadUnit is the scale of membership.Digest.Load.
-const loadUnit = 1000
+// permille is the scale of membership.Digest.LoadPermille.
+const permille = 1000
 
-// addressesPart answers which daemons a caller should use.
-type addressesPart struct {
-	c    *control
-	book *address.Resolver
+// addressesComponent answers callers' queries for the daemons to connect to.
+type addressesComponent struct {
+	c        *control
+	resolver *address.Resolver
 }
 
-func newAddressesPart(c *control) *addressesPart {
+func newAddressesComponent(c *control) *addressesComponent {
 	cfg := address.Config{
-		TTL:                   c.d.set.AddressAnswerValid.Std(),
-		MinTTL:                min(time.Second, c.d.set.AddressAnswerValid.Std()),
-		DrainPropagationBound: c.d.set.Drain.Notice.Std(),
+		TTL:                   c.d.config.AddressAnswerValid.Std(),
+		MinTTL:                min(time.Second, c.d.config.AddressAnswerValid.Std()),
+		DrainPropagationBound: c.d.config.Drain.Notice.Std(),
 	}
-	return &addressesPart{c: c, book: address.New(cfg, c.d.self.ID)}
+	return &addressesComponent{c: c, resolver: address.New(cfg, c.d.self.ID)}
 }
 
-func (p *addressesPart) answer(q caller.AddressQuery) caller.AddressAnswer {
-	view := p.c.members.view
+func (ac *addressesComponent) resolve(q caller.AddressQuery) caller.AddressAnswer {
+	view := ac.c.members.view
 	candidates := lo.FilterMap(view.Members, func(i membership.Info, _ int) (address.Candidate, bool) {
 		return candidateOf(i), i.Live()
 	})
-	a := p.book.Resolve(p.c.now, view.Connectivity.ConfirmedUntil(p.c.now), address.Query{
+	a := ac.resolver.Resolve(ac.c.now, view.Connectivity.ConfirmedUntil(ac.c.now), address.Query{
 		Customer: q.Customer, Caller: q.Caller, Domain: q.Domain,
 	}, candidates)
 	return caller.AddressAnswer{
@@ -51,19 +51,19 @@
 		Region:   i.Meta.Region,
 		Draining: i.Draining,
 		Suspect:  i.State == membership.Suspect,
-		Load:     float64(i.Digest.LoadPermille) / loadUnit,
+		Load:     float64(i.Digest.LoadPermille) / permille,
 	}
 }
 
-// drain begins a planned stop and returns when the last answer that names this
-// daemon runs out.
-func (p *addressesPart) drain() time.Time {
-	p.c.members.step(membership.Drain{})
-	return p.book.Drain(p.c.now)
+// drain marks this daemon as draining and returns when the last answer that
+// names it expires.
+func (ac *addressesComponent) drain() time.Time {
+	ac.c.members.step(membership.Drain{})
+	return ac.resolver.Drain(ac.c.now)
 }
 
 // Addresses implements caller.Daemon.
 func (d *Daemon) Addresses(ctx context.Context, q caller.AddressQuery) caller.AddressAnswer {
-	a, _ := ask(ctx, d.control, func() caller.AddressAnswer { return d.control.addresses.answer(q) })
+	a, _ := callControl(ctx, d.control, func() caller.AddressAnswer { return d.control.addresses.resolve(q) })
 	return a
 }
--- a/daemon/backends.go
+++ b/daemon/backends.go
@@ -12,81 +12,82 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// backendsPart reads what the backend servers of this daemon's pools say of
-// themselves: that they are leaving, and what their prompt caches hold. Only a
-// pool's home asks, so that the calls to one backend server do not grow with the
-// fleet; what it learns spreads as a fact.
-type backendsPart struct {
-	c     *control
-	next  time.Time
-	known map[state.BackendID]*backendState
+// backendsTracker polls the backend servers of this daemon's pools for whether
+// they are leaving and what their prompt caches hold. Only a pool's home polls,
+// so that the number of calls to a backend server does not grow with the number
+// of daemons; a change of availability spreads to the other daemons as a
+// membership fact.
+type backendsTracker struct {
+	c       *control
+	next    time.Time
+	servers map[state.BackendID]*backendState
 }
 
-// backendState is what was last heard of one backend server.
+// backendState is what one backend server last reported.
 type backendState struct {
-	asking   bool
-	reported membership.FactKind // 0 for nothing
-	cacheSeq uint64
+	queryInFlight bool
+	reported      membership.FactKind // 0 if nothing was reported
+	cacheSeq      uint64
 }
 
-// report is one backend server's own word.
+// report is the result of polling one backend server.
 type report struct {
-	backend state.BackendID
-	replica state.ReplicaID // whose first stage it is, or ""
-	placed  bool            // its layers can be placed elsewhere
-	load    engine.Load
-	events  []engine.CacheEvent
-	err     error
+	backend    state.BackendID
+	replica    state.ReplicaID // the replica whose first stage this is, or ""
+	autoPlaced bool            // its layers are placed automatically
+	load       engine.Load
+	events     []engine.CacheEvent
+	err        error
 }
 
-func newBackendsPart(c *control) *backendsPart {
-	return &backendsPart{c: c, known: make(map[state.BackendID]*backendState)}
+func newBackendsTracker(c *control) *backendsTracker {
+	return &backendsTracker{c: c, servers: make(map[state.BackendID]*backendState)}
 }
 
-func (p *backendsPart) nextTick(now time.Time) time.Time {
-	if p.next.IsZero() {
+func (bt *backendsTracker) nextTick(now time.Time) time.Time {
+	if bt.next.IsZero() {
 		return now
 	}
-	return p.next
+	return bt.next
 }
 
-func (p *backendsPart) tick(now time.Time) {
-	p.next = now.Add(p.c.d.set.Backends.LoadInterval.Std())
-	for _, pool := range p.c.slots.pools {
+func (bt *backendsTracker) tick(now time.Time) {
+	bt.next = now.Add(bt.c.d.config.Backends.LoadInterval.Std())
+	for _, pool := range bt.c.slots.pools {
 		for _, r := range pool.Replicas {
 			for i, s := range r.Stages {
-				p.ask(r, i, s)
+				bt.query(r, i, s)
 			}
 		}
 	}
 }
 
-func (p *backendsPart) ask(r state.Replica, stage int, s state.Stage) {
-	b, ok := p.known[s.Backend]
+func (bt *backendsTracker) query(r state.Replica, stage int, s state.Stage) {
+	b, ok := bt.servers[s.Backend]
 	if !ok {
 		b = &backendState{}
-		p.known[s.Backend] = b
+		bt.servers[s.Backend] = b
 	}
-	if b.asking {
+	if b.queryInFlight {
 		return
 	}
-	b.asking = true
+	b.queryInFlight = true
 	rep := report{backend: s.Backend}
 	if stage == 0 {
 		rep.replica = r.ID
 	}
-	plain := p.c.slots.isPlain(r.Service)
-	rep.placed = p.c.slots.isPlaced(r.Service)
+	plain := bt.c.slots.isPlain(r.Service)
+	rep.autoPlaced = bt.c.slots.isAutoPlaced(r.Service)
 	seq := b.cacheSeq
 	go func() {
-		p.c.d.readReport(&rep, s.Address, plain, seq)
-		p.c.post(func() { p.heard(b, rep) })
+		bt.c.d.readReport(&rep, s.Address, plain, seq)
+		bt.c.post(func() { bt.handleReport(b, rep) })
 	}()
 }
 
-// readReport asks one backend server.
+// readReport polls one backend server.
 func (d *Daemon) readReport(rep *report, address string, plain bool, seq uint64) {
-	ctx, cancel := context.WithTimeout(context.Background(), d.askTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), d.queryTimeout)
 	defer cancel()
 	if plain {
 		rep.load, rep.err = d.clients.plain(address).Load(ctx)
@@ -94,28 +95,30 @@
 	}
 	e := d.clients.engine(address)
 	rep.load, rep.err = e.Load(ctx)
-	e.seen(rep.load.BootID)
+	e.setBootID(rep.load.BootID)
 	if rep.err == nil && rep.replica != "" {
-		// Cache events only steer; without them requests go where they may.
+		// Cache events only improve the choice of a replica; an error is
+		// ignored.
 		rep.events, _ = e.CacheEvents(ctx, seq)
 	}
 }
 
-// soon has every backend server asked in this turn or the next.
-func (p *backendsPart) soon() {
-	p.next = time.Time{}
+// queryNow makes every backend server be polled in this iteration of the
+// control loop or the next.
+func (bt *backendsTracker) queryNow() {
+	bt.next = time.Time{}
 }
 
-func (p *backendsPart) heard(b *backendState, rep report) {
-	b.asking = false
-	defer p.c.slots.heard(rep.backend)
-	if rep.placed {
-		p.c.deaths.heard(rep.backend, rep.err == nil)
+func (bt *backendsTracker) handleReport(b *backendState, rep report) {
+	b.queryInFlight = false
+	defer bt.c.slots.serverReported(rep.backend)
+	if rep.autoPlaced {
+		bt.c.deaths.recordAnswer(rep.backend, rep.err == nil)
 	}
 	if rep.err != nil {
-		return // the calls of requests show what that means
+		return // failures are judged by the calls of requests
 	}
-	p.cacheEvents(b, rep)
+	bt.applyCacheEvents(b, rep)
 	kind := membership.BackendAvailable
 	if rep.load.Leaving {
 		kind = membership.BackendLeaving
@@ -124,16 +127,16 @@
 		return
 	}
 	b.reported = kind
-	p.c.members.step(membership.ReportBackend{Backend: rep.backend, Kind: kind})
+	bt.c.members.step(membership.ReportBackend{Backend: rep.backend, Kind: kind})
 	switch kind {
 	case membership.BackendLeaving:
-		p.leaving(rep.backend)
+		bt.markLeaving(rep.backend)
 	default:
-		p.c.slots.backendReturned(rep.backend)
+		bt.c.slots.backendReturned(rep.backend)
 	}
 }
 
-func (p *backendsPart) cacheEvents(b *backendState, rep report) {
+func (bt *backendsTracker) applyCacheEvents(b *backendState, rep report) {
 	if len(rep.events) == 0 {
 		return
 	}
@@ -144,35 +147,35 @@
 		ev.Changes = append(ev.Changes, home.CacheChange{Prefix: e.Prefix, Evicted: e.Evicted})
 	}
 	if ev.Gap {
-		p.c.d.log.Emit(telemetry.EventCacheEventsMissed, telemetry.Backend(rep.backend))
+		bt.c.d.log.Emit(telemetry.EventCacheEventsMissed, telemetry.Backend(rep.backend))
 	}
-	p.c.slots.home(ev)
+	bt.c.slots.stepHomes(ev)
 }
 
-// learned takes a fact that another daemon found out.
-func (p *backendsPart) learned(f membership.Fact) {
+// handleFact applies a fact that another daemon reported.
+func (bt *backendsTracker) handleFact(f membership.Fact) {
 	switch f.Kind {
 	case membership.BackendLeaving:
-		p.leaving(state.BackendID(f.Subject))
+		bt.markLeaving(state.BackendID(f.Subject))
 	case membership.BackendAvailable:
-		p.c.slots.backendReturned(state.BackendID(f.Subject))
+		bt.c.slots.backendReturned(state.BackendID(f.Subject))
 	default:
 	}
 }
 
-func (p *backendsPart) leaving(id state.BackendID) {
-	p.c.d.log.Emit(telemetry.EventBackendLeaving, telemetry.Backend(id))
-	p.c.slots.backendLeaving(id)
+func (bt *backendsTracker) markLeaving(id state.BackendID) {
+	bt.c.d.log.Emit(telemetry.EventBackendLeaving, telemetry.Backend(id))
+	bt.c.slots.backendLeaving(id)
 }
 
 // isPlain reports whether a service's replicas are single plain servers.
-func (p *slotsPart) isPlain(id state.ServiceID) bool {
-	v, ok := p.docs[id]
+func (sc *slotsComponent) isPlain(id state.ServiceID) bool {
+	v, ok := sc.documents[id]
 	return ok && v.Document.Kind == service.KindPlain
 }
 
-// isPlaced reports whether a service's layers are placed by hibiscuswick.
-func (p *slotsPart) isPlaced(id state.ServiceID) bool {
-	v, ok := p.docs[id]
+// isAutoPlaced reports whether a service's layers are placed by hibiscuswick.
+func (sc *slotsComponent) isAutoPlaced(id state.ServiceID) bool {
+	v, ok := sc.documents[id]
 	return ok && isAuto(&v.Document)
 }
--- a/daemon/batcher.go
+++ b/daemon/batcher.go
@@ -11,102 +11,104 @@
 	tpeer "github.com/hibiscuswick/hibiscuswick/transport/peer"
 )
 
-// viaHomeTimeout bounds how long a claim's write may take by way of the key's
-// home before the claimant goes to the table service itself.
+// viaHomeTimeout bounds a claim's write through the key's home. After it the
+// claimant writes to the table service directly.
 const viaHomeTimeout = 500 * time.Millisecond
 
-// batcherPart gathers the claim writes of the keys that this daemon is home of.
-type batcherPart struct {
+// batcherComponent batches the claim writes of the keys whose home is this
+// daemon.
+type batcherComponent struct {
 	c       *control
-	m       *claims.Batcher
+	batcher *claims.Batcher
 	sweeper *claims.Sweeper
-	homes   []state.DaemonID // as the sweeper was told
-	waiting map[uint64]batchWait
-	last    uint64
+	homes   []state.DaemonID // as last passed to the sweeper
+	waiting map[uint64]pendingWrite
+	lastID  uint64
 }
 
-// batchWait is one write that waits for its batch: the caller's own number and
-// where its answer goes.
-type batchWait struct {
+// pendingWrite is a write that waits for its batch, with the caller's call
+// number and the callback for its answer.
+type pendingWrite struct {
 	call   uint64
 	answer func(claims.WriteReply)
 }
 
-func newBatcherPart(c *control) *batcherPart {
-	return &batcherPart{
+func newBatcherComponent(c *control) *batcherComponent {
+	return &batcherComponent{
 		c:       c,
-		m:       claims.NewBatcher(claims.DefaultBatchConfig()),
+		batcher: claims.NewBatcher(claims.DefaultBatchConfig()),
 		sweeper: claims.NewSweeper(claims.DefaultSweepConfig(), c.d.self.ID, uint16(c.rng.Uint32())),
-		waiting: make(map[uint64]batchWait),
+		waiting: make(map[uint64]pendingWrite),
 	}
 }
 
-func (p *batcherPart) nextTick(now time.Time) time.Time {
-	if !slices.Equal(p.homes, p.c.members.keyHomes) {
+func (bc *batcherComponent) nextTick(now time.Time) time.Time {
+	if !slices.Equal(bc.homes, bc.c.members.keyHomes) {
 		return now
 	}
-	next, sweep := p.m.NextTick(), p.sweeper.NextTick()
+	next, sweep := bc.batcher.NextTick(), bc.sweeper.NextTick()
 	if next.IsZero() || !sweep.IsZero() && sweep.Before(next) {
 		return sweep
 	}
 	return next
 }
 
-func (p *batcherPart) tick(now time.Time) {
-	if !slices.Equal(p.homes, p.c.members.keyHomes) {
-		p.homes = slices.Clone(p.c.members.keyHomes)
-		p.sweeper.SetHomes(now, p.homes)
+func (bc *batcherComponent) tick(now time.Time) {
+	if !slices.Equal(bc.homes, bc.c.members.keyHomes) {
+		bc.homes = slices.Clone(bc.c.members.keyHomes)
+		bc.sweeper.SetHomes(now, bc.homes)
 	}
-	p.step(claims.Tick{})
-	if call, due := p.sweeper.Tick(now); due {
-		p.sweep(call)
+	bc.step(claims.Tick{})
+	if call, due := bc.sweeper.Tick(now); due {
+		bc.sweep(call)
 	}
 }
 
-// sweep makes one call of the sweeper, which deletes claims past their retention.
-func (p *batcherPart) sweep(call store.Call) {
-	p.c.store.do(call, func(res store.Result) {
-		if next, due := p.sweeper.Answered(p.c.now, res); due {
-			p.sweep(next)
+// sweep makes one call of the sweeper, which deletes claims past their
+// retention.
+func (bc *batcherComponent) sweep(call store.Call) {
+	bc.c.store.do(call, func(res store.Result) {
+		if next, due := bc.sweeper.Answered(bc.c.now, res); due {
+			bc.sweep(next)
 		}
 	})
 }
 
-// write has one claim row written by the key's home; answer runs on the control
-// goroutine, exactly once.
-func (p *batcherPart) write(key claims.Key, req claims.WriteRequest, answer func(claims.WriteReply)) {
-	home, ok := claims.KeyHome(key, p.c.members.keyHomes)
-	if !ok || home == p.c.d.self.ID {
-		p.want(req, answer)
+// write has the key's home write one claim row. answer runs exactly once, on
+// the control goroutine.
+func (bc *batcherComponent) write(key claims.Key, req claims.WriteRequest, answer func(claims.WriteReply)) {
+	home, ok := claims.KeyHome(key, bc.c.members.keyHomes)
+	if !ok || home == bc.c.d.self.ID {
+		bc.enqueue(req, answer)
 		return
 	}
-	address := p.c.members.address(home)
+	address := bc.c.members.address(home)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), viaHomeTimeout)
 		defer cancel()
-		res, err := p.c.d.node.Call(ctx, address, req)
+		res, err := bc.c.d.node.Call(ctx, address, req)
 		reply, ok := res.Msg.(claims.WriteReply)
 		if err != nil || !ok {
-			reply = claims.WriteReply{Status: unansweredBy(err)}
+			reply = claims.WriteReply{Status: callStatus(err)}
 		}
 		reply.Call = req.Call
-		p.c.post(func() { answer(reply) })
+		bc.c.post(func() { answer(reply) })
 	}()
 }
 
-// want adds a write to the batch, under a number of this daemon's own: two
-// claimants may use the same one.
-func (p *batcherPart) want(req claims.WriteRequest, answer func(claims.WriteReply)) {
-	p.last++
-	p.waiting[p.last] = batchWait{call: req.Call, answer: answer}
-	req.Call = p.last
-	p.step(claims.WriteRequested{From: p.c.d.self, Request: req})
+// enqueue adds a write to the batch. It is renumbered, because two claimants
+// may use the same call number.
+func (bc *batcherComponent) enqueue(req claims.WriteRequest, answer func(claims.WriteReply)) {
+	bc.lastID++
+	bc.waiting[bc.lastID] = pendingWrite{call: req.Call, answer: answer}
+	req.Call = bc.lastID
+	bc.step(claims.WriteRequested{From: bc.c.d.self, Request: req})
 }
 
-// serve answers a claimant at another daemon.
-func (p *batcherPart) serve(ctx context.Context, req claims.WriteRequest) (claims.WriteReply, error) {
+// serve answers a write request of a claimant at another daemon.
+func (bc *batcherComponent) serve(ctx context.Context, req claims.WriteRequest) (claims.WriteReply, error) {
 	answered := make(chan claims.WriteReply, 1)
-	p.c.post(func() { p.want(req, func(reply claims.WriteReply) { answered <- reply }) })
+	bc.c.post(func() { bc.enqueue(req, func(reply claims.WriteReply) { answered <- reply }) })
 	select {
 	case reply := <-answered:
 		return reply, nil
@@ -115,33 +117,34 @@
 	}
 }
 
-func (p *batcherPart) step(ev claims.BatchEvent) {
-	for _, a := range p.m.Step(p.c.now, ev) {
+func (bc *batcherComponent) step(ev claims.BatchEvent) {
+	for _, a := range bc.batcher.Step(bc.c.now, ev) {
 		switch a := a.(type) {
 		case claims.CallStore:
-			p.c.store.do(a.Call, func(res store.Result) { p.step(claims.StoreResult{Result: res}) })
+			bc.c.store.do(a.Call, func(res store.Result) { bc.step(claims.StoreResult{Result: res}) })
 		case claims.Reply:
-			p.reply(a.Reply)
+			bc.reply(a.Reply)
 		}
 	}
 }
 
-func (p *batcherPart) reply(reply claims.WriteReply) {
-	w, ok := p.waiting[reply.Call]
+func (bc *batcherComponent) reply(reply claims.WriteReply) {
+	w, ok := bc.waiting[reply.Call]
 	if !ok {
 		return
 	}
-	delete(p.waiting, reply.Call)
+	delete(bc.waiting, reply.Call)
 	reply.Call = w.call
-	p.c.later(func() { w.answer(reply) })
+	bc.c.afterStep(func() { w.answer(reply) })
 }
 
-// unansweredBy says what a failed call to a key's home proves.
-func unansweredBy(err error) store.Status {
+// callStatus maps the error of a call to a key's home to a store status:
+// NotSent if it proves that the home did not handle the call, else Unanswered.
+func callStatus(err error) store.Status {
 	if err != nil && tpeer.Unhandled(err) {
 		return store.NotSent
 	}
 	return store.Unanswered
 }
 
-var _ claims.OwnerView = (*claimsPart)(nil)
+var _ claims.OwnerView = (*claimsComponent)(nil)
--- a/daemon/catalog.go
+++ b/daemon/catalog.go
@@ -12,98 +12,98 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// scanRetry is the pause after a reading of the stored tables that failed.
-const scanRetry = time.Second
+// scanRetryDelay is the pause after a failed read of the stored tables.
+const scanRetryDelay = time.Second
 
-// catalogPart keeps the replica tables and layouts of the services with automatic
-// placement. It is idle where there is no such service.
-type catalogPart struct {
-	c      *control
-	m      *catalog.Catalog
-	active bool
-	scanAt time.Time // zero once the stored tables have been read
+// catalogComponent holds the replica tables and layouts of the services with
+// automatic placement. It is idle if there is no such service.
+type catalogComponent struct {
+	c       *control
+	machine *catalog.Catalog
+	active  bool
+	scanAt  time.Time // zero once the stored tables have been read
 }
 
-func newCatalogPart(c *control) *catalogPart {
-	return &catalogPart{c: c, m: catalog.New(catalog.DefaultConfig(), c.rng)}
+func newCatalogComponent(c *control) *catalogComponent {
+	return &catalogComponent{c: c, machine: catalog.New(catalog.DefaultConfig(), c.rng)}
 }
 
-// start begins to keep tables.
-func (p *catalogPart) start() {
-	if p.active {
+// start activates the catalog at the first service with automatic placement.
+func (cc *catalogComponent) start() {
+	if cc.active {
 		return
 	}
-	p.active = true
-	p.scanAt = p.c.now
-	p.membersChanged(p.c.members.live())
+	cc.active = true
+	cc.scanAt = cc.c.now
+	cc.membersChanged(cc.c.members.live())
 }
 
-func (p *catalogPart) nextTick(now time.Time) time.Time {
-	if !p.active {
+func (cc *catalogComponent) nextTick(now time.Time) time.Time {
+	if !cc.active {
 		return time.Time{}
 	}
-	next := p.m.NextTick()
+	next := cc.machine.NextTick()
 	if next.IsZero() {
 		next = now
 	}
-	if !p.scanAt.IsZero() && p.scanAt.Before(next) {
-		return p.scanAt
+	if !cc.scanAt.IsZero() && cc.scanAt.Before(next) {
+		return cc.scanAt
 	}
 	return next
 }
 
-func (p *catalogPart) tick(now time.Time) {
-	p.step(catalog.Tick{})
-	if !p.scanAt.IsZero() && !now.Before(p.scanAt) {
-		p.scan()
+func (cc *catalogComponent) tick(now time.Time) {
+	cc.step(catalog.Tick{})
+	if !cc.scanAt.IsZero() && !now.Before(cc.scanAt) {
+		cc.scan()
 	}
 }
 
-// scan reads the tables that were stored before this daemon came.
-func (p *catalogPart) scan() {
-	p.scanAt = p.c.now.Add(scanRetry + 2*p.c.d.set.Store.Timeout.Std())
+// scan reads the tables that were stored before this daemon started.
+func (cc *catalogComponent) scan() {
+	cc.scanAt = cc.c.now.Add(scanRetryDelay + 2*cc.c.d.config.Store.Timeout.Std())
 	call := store.Call{Class: store.ClassLease, Request: store.Scan{Table: catalog.Table}}
-	p.c.store.do(call, func(res store.Result) {
+	cc.c.store.do(call, func(res store.Result) {
 		if res.Status != store.Done {
 			return
 		}
-		p.scanAt = time.Time{}
+		cc.scanAt = time.Time{}
 		for _, row := range res.Rows {
-			p.step(catalog.OfferTable{Table: tableOf(row)})
+			cc.step(catalog.OfferTable{Table: decodeTable(row)})
 		}
 	})
 }
 
-func (p *catalogPart) step(ev catalog.Event) {
-	for _, a := range p.m.Step(p.c.now, ev) {
+func (cc *catalogComponent) step(ev catalog.Event) {
+	for _, a := range cc.machine.Step(cc.c.now, ev) {
 		switch a := a.(type) {
 		case catalog.Send:
-			p.c.d.send(p.c.members.address(a.To), a.Msg)
+			cc.c.d.send(cc.c.members.address(a.To), a.Msg)
 		case catalog.TableChanged:
-			p.changed(a.Table)
+			cc.handleTableChanged(a.Table)
 		}
 	}
 }
 
-func (p *catalogPart) membersChanged(live []membership.Info) {
-	if !p.active {
+func (cc *catalogComponent) membersChanged(live []membership.Info) {
+	if !cc.active {
 		return
 	}
-	p.step(catalog.Members{Live: lo.FilterMap(live, func(i membership.Info, _ int) (state.DaemonID, bool) {
-		return i.Member.ID, i.Member.ID != p.c.d.self.ID
+	cc.step(catalog.Members{Live: lo.FilterMap(live, func(i membership.Info, _ int) (state.DaemonID, bool) {
+		return i.Member.ID, i.Member.ID != cc.c.d.self.ID
 	})})
 }
 
-func (p *catalogPart) changed(t controller.ReplicaTable) {
+func (cc *catalogComponent) handleTableChanged(t controller.ReplicaTable) {
 	if service, ok := serviceOfLayout(t.Service); ok {
-		p.c.controllers.layoutChanged(service, t)
+		cc.c.controllers.layoutChanged(service, t)
 		return
 	}
-	p.c.slots.tableChanged(t.Service)
+	cc.c.slots.tableChanged(t.Service)
 }
 
-// table returns the replica table in force of a service.
-func (p *catalogPart) table(id state.ServiceID) controller.ReplicaTable {
-	t, _ := p.m.Get(id)
+// table returns the active replica table of a service.
+func (cc *catalogComponent) table(id state.ServiceID) controller.ReplicaTable {
+	t, _ := cc.machine.Get(id)
 	return t
 }
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -12,36 +12,38 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// claimsPart holds the claims of this daemon's never-repeat requests, one a key.
-type claimsPart struct {
+// claimsComponent holds the claims of this daemon's never-repeat requests, one
+// per key.
+type claimsComponent struct {
 	c     *control
 	byKey map[claims.Key]*claimRun
 }
 
-// claimRun is one claim and the request that it serves now. It is kept until
-// the claim is released, even past its request: a claim that was given up while
-// the store was away is reused by a repeat of its key.
+// claimRun is one claim and the request that it currently serves. It is kept
+// until the claim is released, even after its request has ended: a claim that
+// was abandoned while the store was unavailable is reused by a repeat of its
+// key.
 type claimRun struct {
-	p         *claimsPart
-	m         *claims.Claim
-	r         *runner  // nil when the request has ended
+	component *claimsComponent
+	claim     *claims.Claim
+	r         *runner  // nil once the request has ended
 	voiding   bool     // r waits for VoidSettled
-	settled   bool     // r has had an answer to its PutClaim
-	onRelease []func() // once the outcome is in the row
+	settled   bool     // r has received an answer to its PutClaim
+	onRelease []func() // run once the outcome is in the row
 }
 
-func newClaimsPart(c *control) *claimsPart {
-	return &claimsPart{c: c, byKey: make(map[claims.Key]*claimRun)}
+func newClaimsComponent(c *control) *claimsComponent {
+	return &claimsComponent{c: c, byKey: make(map[claims.Key]*claimRun)}
 }
 
 func keyOf(spec request.Spec) claims.Key {
 	return claims.Key{Service: spec.Service, Customer: spec.Customer, Key: spec.Key}
 }
 
-func (p *claimsPart) nextTick(time.Time) time.Time {
+func (cc *claimsComponent) nextTick(time.Time) time.Time {
 	var next time.Time
-	for _, run := range p.byKey {
-		at := run.m.NextTick()
+	for _, run := range cc.byKey {
+		at := run.claim.NextTick()
 		if next.IsZero() || !at.IsZero() && at.Before(next) {
 			next = at
 		}
@@ -49,58 +51,58 @@
 	return next
 }
 
-func (p *claimsPart) tick(now time.Time) {
-	for _, run := range p.byKey {
-		if at := run.m.NextTick(); !at.IsZero() && !at.After(now) {
+func (cc *claimsComponent) tick(now time.Time) {
+	for _, run := range cc.byKey {
+		if at := run.claim.NextTick(); !at.IsZero() && !at.After(now) {
 			run.step(claims.Tick{})
 		}
 	}
 }
 
-// Owns implements claims.View.
-func (p *claimsPart) Owns(rec claims.Record) bool {
-	if rec.Owner == p.c.d.self {
-		return p.c.d.requests.runner(rec.Request) != nil
+// Owns implements claims.OwnerView.
+func (cc *claimsComponent) Owns(rec claims.Record) bool {
+	if rec.Owner == cc.c.d.self {
+		return cc.c.d.requests.runner(rec.Request) != nil
 	}
-	return p.c.members.owns(rec.Owner)
+	return cc.c.members.drivesRequests(rec.Owner)
 }
 
-// put begins or moves a request's claim, with the slot in hand.
-func (p *claimsPart) put(r *runner, a request.PutClaim) {
+// put starts a request's claim for the granted slot, or moves it to that slot.
+func (cc *claimsComponent) put(r *runner, a request.PutClaim) {
 	slot := slotOf(a)
-	run, ok := p.byKey[keyOf(r.spec)]
+	run, ok := cc.byKey[keyOf(r.spec)]
 	switch {
 	case !ok:
-		p.begin(r, slot)
+		cc.begin(r, slot)
 	case run.r == r:
 		run.settled = false
 		run.step(claims.Redispatch{Slot: slot, Proof: a.Proof})
-	case run.m.Request().Content != r.content:
+	case run.claim.Request().Content != r.contentDigest:
 		go r.post(request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonKeyReused})
-	case run.r == nil && run.m.Reusable():
+	case run.r == nil && run.claim.Reusable():
 		run.r = r
 		run.settled = false
 		run.step(claims.Reuse{Request: r.spec.ID, Slot: slot, Deadline: r.spec.FirstTokenDeadline})
 	default:
 		// Another request of the key is live or being settled at this daemon.
-		r.follow(run.m.Request().ID, p.c.d.self)
+		r.join(run.claim.Request().ID, cc.c.d.self)
 		go r.post(request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate})
 	}
 }
 
-func (p *claimsPart) begin(r *runner, slot claims.Slot) {
-	run := &claimRun{p: p, r: r}
-	run.m = claims.New(claims.DefaultConfig(), p.c.rng, p, claims.Request{
+func (cc *claimsComponent) begin(r *runner, slot claims.Slot) {
+	run := &claimRun{component: cc, r: r}
+	run.claim = claims.New(claims.DefaultConfig(), cc.c.rng, cc, claims.Request{
 		Key:         keyOf(r.spec),
-		Content:     r.content,
+		Content:     r.contentDigest,
 		ID:          r.spec.ID,
-		Owner:       p.c.d.self,
-		Nonce:       state.Nonce(newLife()),
+		Owner:       cc.c.d.self,
+		Nonce:       state.Nonce(randomID()),
 		Deadline:    r.spec.FirstTokenDeadline,
-		OwnerNumber: p.c.d.owner,
+		OwnerNumber: cc.c.d.ownerNumber,
 	})
-	p.byKey[keyOf(r.spec)] = run
-	p.c.d.metrics.Add(telemetry.ClaimsTotal, 1)
+	cc.byKey[keyOf(r.spec)] = run
+	cc.c.d.metrics.Add(telemetry.ClaimsTotal, 1)
 	run.step(claims.Start{Slot: slot})
 }
 
@@ -114,25 +116,25 @@
 	}
 }
 
-// run returns the claim that serves r, or nil.
-func (p *claimsPart) run(r *runner) *claimRun {
-	run := p.byKey[keyOf(r.spec)]
+// claimOf returns the claim that serves r, or nil.
+func (cc *claimsComponent) claimOf(r *runner) *claimRun {
+	run := cc.byKey[keyOf(r.spec)]
 	if run == nil || run.r != r {
 		return nil
 	}
 	return run
 }
 
-// abandon takes PutClaim back; the claim answers within its grace.
-func (p *claimsPart) abandon(r *runner) {
-	if run := p.run(r); run != nil {
+// abandon cancels PutClaim; the claim answers within its settle timeout.
+func (cc *claimsComponent) abandon(r *runner) {
+	if run := cc.claimOf(r); run != nil {
 		run.step(claims.GiveUp{Reason: state.ReasonCanceled})
 	}
 }
 
-// void gives the claim of an undispatched request back.
-func (p *claimsPart) void(r *runner, proof state.NotRunProof) {
-	run := p.run(r)
+// void releases the claim of a request that was not dispatched.
+func (cc *claimsComponent) void(r *runner, proof state.NotRunProof) {
+	run := cc.claimOf(r)
 	if run == nil {
 		go r.post(request.VoidSettled{})
 		return
@@ -142,8 +144,8 @@
 }
 
 // settle records how a claimed request ended.
-func (p *claimsPart) settle(r *runner, o state.Outcome) {
-	run := p.run(r)
+func (cc *claimsComponent) settle(r *runner, o state.Outcome) {
+	run := cc.claimOf(r)
 	if run == nil {
 		return
 	}
@@ -157,17 +159,17 @@
 	run.step(claims.Ended{Phase: phase})
 }
 
-// ended forgets the request, not the claim.
-func (p *claimsPart) ended(r *runner) {
-	if run := p.run(r); run != nil {
+// detachRequest detaches the request from its claim; the claim itself is kept.
+func (cc *claimsComponent) detachRequest(r *runner) {
+	if run := cc.claimOf(r); run != nil {
 		run.r = nil
 	}
 }
 
-// whenReleased runs f once the terminal outcome of r's claim is in its row, or
-// at once where there is no claim.
-func (p *claimsPart) whenReleased(r *runner, f func()) {
-	if run := p.run(r); run != nil {
+// afterRelease runs f once the terminal outcome of r's claim is in its row, or
+// immediately if there is no claim.
+func (cc *claimsComponent) afterRelease(r *runner, f func()) {
+	if run := cc.claimOf(r); run != nil {
 		run.onRelease = append(run.onRelease, f)
 		return
 	}
@@ -175,38 +177,38 @@
 }
 
 func (run *claimRun) step(ev claims.Event) {
-	if run.m.Released() {
+	if run.claim.Released() {
 		return
 	}
-	for _, a := range run.m.Step(run.p.c.now, ev) {
+	for _, a := range run.claim.Step(run.component.c.now, ev) {
 		run.carryOut(a)
 	}
 }
 
 func (run *claimRun) carryOut(a claims.Action) {
-	c := run.p.c
+	c := run.component.c
 	switch a := a.(type) {
 	case claims.CallStore:
 		run.callStore(a)
 	case claims.Dispatch:
 		run.answer(request.ClaimSettled{Result: request.ClaimWon})
 	case claims.Continue:
-		run.continued(a.Record)
+		run.takeOver(a.Record)
 	case claims.QueryAttempt:
-		go c.d.askRecorded(a.Record, func(ev claims.Evidence) { c.post(func() { run.step(ev) }) })
+		go c.d.queryRecordedAttempt(a.Record, func(ev claims.Evidence) { c.post(func() { run.step(ev) }) })
 	case claims.Verdict:
-		run.verdict(a)
+		run.handleVerdict(a)
 	case claims.Released:
-		delete(run.p.byKey, run.m.Key())
-		run.released(a.Recorded)
+		delete(run.component.byKey, run.claim.Key())
+		run.handleReleased(a.Recorded)
 	}
 }
 
-// released frees what waited for the outcome to be in the row. Where it could not
-// be written, the backend servers keep the attempt until they forget it by
-// themselves: freed, it would look as if it had never begun, and a takeover by
-// the row would run it again.
-func (run *claimRun) released(recorded bool) {
+// handleReleased runs the callbacks that wait for the outcome to be in the row.
+// If it could not be written, they are dropped and the backend servers keep the
+// attempt until it expires there: an attempt that was freed looks as if it had
+// never started, and a takeover by the row would run it again.
+func (run *claimRun) handleReleased(recorded bool) {
 	if !recorded {
 		return
 	}
@@ -215,12 +217,13 @@
 	}
 }
 
-// callStore sends the claim's write, by way of the key's home if it may.
+// callStore sends the claim's write, through the key's home where that is
+// allowed.
 func (run *claimRun) callStore(a claims.CallStore) {
-	c := run.p.c
+	c := run.component.c
 	answered := func(res store.Result) { run.step(claims.StoreResult{Result: res}) }
 	if req, ok := a.WriteRequest(uint64(a.Call.ID)); ok && a.ViaHome {
-		c.batcher.write(run.m.Key(), req, func(reply claims.WriteReply) {
+		c.batcher.write(run.claim.Key(), req, func(reply claims.WriteReply) {
 			answered(reply.Result(a.Call.ID, req.Key))
 		})
 		return
@@ -237,25 +240,25 @@
 	go run.r.post(ev)
 }
 
-// continued makes the request go on with an attempt that a daemon which is gone
-// began under another request id.
-func (run *claimRun) continued(rec claims.Record) {
-	replica, ok := run.p.c.slots.recorded(rec.Slot)
+// takeOver makes the request continue an attempt that was started under another
+// request ID by a daemon that is gone.
+func (run *claimRun) takeOver(rec claims.Record) {
+	replica, ok := run.component.c.slots.recordedReplica(rec.Slot)
 	if !ok || run.r == nil {
 		run.step(claims.Ended{Phase: claims.PhaseUnknown})
 		run.answer(request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate})
 		return
 	}
-	run.p.c.d.log.Emit(telemetry.EventRequestTakenOver, telemetry.Request(rec.Request), telemetry.Peer(rec.Owner.ID))
-	run.r.setExecution(rec.Request)
+	run.component.c.d.log.Emit(telemetry.EventRequestTakenOver, telemetry.Request(rec.Request), telemetry.Peer(rec.Owner.ID))
+	run.r.setExecutionID(rec.Request)
 	run.answer(request.ClaimSettled{
 		Result:   request.ClaimTakenOver,
 		Takeover: request.Takeover{Replica: replica, Attempt: rec.Slot.Attempt, Epoch: rec.Epoch},
 	})
 }
 
-// verdict tells the request what became of its claim.
-func (run *claimRun) verdict(v claims.Verdict) {
+// handleVerdict reports the final state of the claim to its request.
+func (run *claimRun) handleVerdict(v claims.Verdict) {
 	if run.r == nil {
 		return
 	}
@@ -263,7 +266,7 @@
 	if run.voiding {
 		run.voiding = false
 		if v.Kind == claims.VerdictNotRun {
-			run.p.c.d.log.Emit(telemetry.EventClaimVoided, telemetry.Request(r.spec.ID))
+			run.component.c.d.log.Emit(telemetry.EventClaimVoided, telemetry.Request(r.spec.ID))
 		}
 		run.settled = true
 		run.r = nil
@@ -275,20 +278,20 @@
 		settled.Result = request.ClaimRefused
 	}
 	if v.Kind == claims.VerdictJoin || v.Kind == claims.VerdictDuplicate {
-		r.follow(v.Record.Request, v.Record.Owner)
+		r.join(v.Record.Request, v.Record.Owner)
 	}
 	if v.Kind == claims.VerdictOvertaken {
-		run.p.c.d.log.Emit(telemetry.EventOwnershipLost, telemetry.Request(r.spec.ID))
-		return // its steps are barred at the backend servers, which tell it
+		run.component.c.d.log.Emit(telemetry.EventOwnershipLost, telemetry.Request(r.spec.ID))
+		return // the backend servers reject its steps, which ends it
 	}
 	if v.Kind == claims.VerdictJoin {
-		// The owner has the row; this claim has no part in it any more.
-		delete(run.p.byKey, run.m.Key())
+		// The owner has the row; this claim no longer takes part.
+		delete(run.component.byKey, run.claim.Key())
 	}
 	run.answer(settled)
 }
 
-// reasonOf says why a request has no claim.
+// reasonOf returns the reason why a request has no claim.
 func reasonOf(v claims.Verdict) state.Reason {
 	switch v.Kind {
 	case claims.VerdictKeyReused:
--- a/daemon/clients.go
+++ b/daemon/clients.go
@@ -7,8 +7,8 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/enginehttp"
 )
 
-// clients keeps one client for each backend server address, with the life that
-// its process was last seen in. It may be used by many goroutines.
+// clients holds one client for each backend server address, with the boot ID
+// that its process last reported. It is safe for concurrent use.
 type clients struct {
 	opts enginehttp.Options
 
@@ -17,13 +17,13 @@
 	plains  map[string]engine.Plain
 }
 
-// engineClient is one engine's client with the batcher of its steps.
+// engineClient is the client of one engine with the batcher of its steps.
 type engineClient struct {
 	engine.Engine
 	steps *enginehttp.Batcher
 
-	mu   sync.Mutex
-	life string // "" when not known
+	mu     sync.Mutex
+	bootID string // "" if unknown
 }
 
 func newClients(opts enginehttp.Options) *clients {
@@ -57,15 +57,16 @@
 	return p
 }
 
-// seen notes the life that an answer came from, "" to look it up anew.
-func (e *engineClient) seen(life string) {
+// setBootID records the boot ID that an answer carried; "" makes the next use
+// query it again.
+func (e *engineClient) setBootID(bootID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.life = life
+	e.bootID = bootID
 }
 
-func (e *engineClient) lastLife() string {
+func (e *engineClient) lastBootID() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life
+	return e.bootID
 }
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -8,91 +8,93 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// part is one state machine of the control goroutine with what carries out its
-// actions.
-type part interface {
-	// nextTick is when tick is due, or the zero time.
+// component is one state machine of the control goroutine together with the
+// code that carries out its actions.
+type component interface {
+	// nextTick returns when tick is due, or the zero time for never.
 	nextTick(now time.Time) time.Time
 	tick(now time.Time)
 }
 
-// control owns all control state. Other goroutines reach it through post; its
-// parts call each other directly.
+// control owns all control state. Other goroutines access it through post; its
+// components call each other directly.
 type control struct {
 	d   *Daemon
 	rng *rand.Rand
-	now time.Time // of the turn under way
+	now time.Time // time of the current iteration
 
 	mu    sync.Mutex
 	inbox []func()
 	wake  chan struct{}
 
-	// local are messages of this daemon to itself, delivered after the part
-	// that sent them has finished its step.
-	local []func()
-
-	store     *storePart
-	members   *membersPart
-	instances *instancesPart
-	documents *documentsPart
-	slots     *slotsPart
-	claims    *claimsPart
-	batcher   *batcherPart
-	retries   *retriesPart
-	streams   *streamsPart
-	backends  *backendsPart
-	addresses *addressesPart
-	limits    *limitsPart
-
-	quarantine *quarantinePart
-
-	leases      *leasesPart
-	tables      *tablesPart
-	catalog     *catalogPart
-	controllers *controllersPart
-	layout      *layoutPart
-	weights     *weightsPart
-	deaths      *deathsPart
-
-	parts []part
+	// deferred holds messages of this daemon to itself. They are delivered
+	// after the component that sent them has finished its step.
+	deferred []func()
+
+	store     *storeComponent
+	members   *membersTracker
+	instances *instancesTracker
+	documents *documentsComponent
+	slots     *slotsComponent
+	claims    *claimsComponent
+	batcher   *batcherComponent
+	retries   *retriesComponent
+	streams   *streamsComponent
+	backends  *backendsTracker
+	addresses *addressesComponent
+	limits    *limitsComponent
+
+	quarantine *quarantineComponent
+
+	leases      *leasesComponent
+	tables      *tablesComponent
+	catalog     *catalogComponent
+	controllers *controllersComponent
+	layout      *layoutComponent
+	weights     *weightsComponent
+	deaths      *deathsTracker
+
+	components []component
 }
 
-// idleWait bounds a turn's wait where no part wants a tick.
-const idleWait = time.Second
+// maxIdleWait bounds the wait of the control loop while no component needs a
+// tick.
+const maxIdleWait = time.Second
 
 func newControl(d *Daemon) *control {
-	seed := rand.New(rand.NewPCG(uint64(d.owner), uint64(time.Now().UnixNano())))
+	seed := rand.New(rand.NewPCG(uint64(d.ownerNumber), uint64(time.Now().UnixNano())))
 	c := &control{d: d, rng: seed, now: time.Now(), wake: make(chan struct{}, 1)}
-	c.store = newStorePart(c)
-	c.members = newMembersPart(c)
-	c.instances = newInstancesPart(c)
-	c.documents = newDocumentsPart(c)
-	c.slots = newSlotsPart(c)
-	c.claims = newClaimsPart(c)
-	c.batcher = newBatcherPart(c)
-	c.retries = newRetriesPart(c)
-	c.streams = newStreamsPart(c)
-	c.backends = newBackendsPart(c)
-	c.addresses = newAddressesPart(c)
-	c.limits = newLimitsPart(c)
-	c.quarantine = newQuarantinePart(c)
-	c.leases = newLeasesPart(c)
-	c.tables = newTablesPart(c)
-	c.catalog = newCatalogPart(c)
-	c.controllers = newControllersPart(c)
-	c.layout = newLayoutPart(c)
-	c.weights = newWeightsPart(c)
-	c.deaths = newDeathsPart(c)
-	c.parts = []part{
+	c.store = newStoreComponent(c)
+	c.members = newMembersTracker(c)
+	c.instances = newInstancesTracker(c)
+	c.documents = newDocumentsComponent(c)
+	c.slots = newSlotsComponent(c)
+	c.claims = newClaimsComponent(c)
+	c.batcher = newBatcherComponent(c)
+	c.retries = newRetriesComponent(c)
+	c.streams = newStreamsComponent(c)
+	c.backends = newBackendsTracker(c)
+	c.addresses = newAddressesComponent(c)
+	c.limits = newLimitsComponent(c)
+	c.quarantine = newQuarantineComponent(c)
+	c.leases = newLeasesComponent(c)
+	c.tables = newTablesComponent(c)
+	c.catalog = newCatalogComponent(c)
+	c.controllers = newControllersComponent(c)
+	c.layout = newLayoutComponent(c)
+	c.weights = newWeightsComponent(c)
+	c.deaths = newDeathsTracker(c)
+	c.components = []component{
 		c.store, c.members, c.instances, c.documents, c.slots, c.claims,
-		c.batcher, c.streams, c.backends, c.limits, c.quarantine, newGaugesPart(c),
+		c.batcher, c.streams, c.backends, c.limits, c.quarantine, newGaugesTracker(c),
 		c.leases, c.tables, c.catalog, c.controllers, c.layout,
 	}
 	return c
 }
 
-// post has f run on the control goroutine. It never blocks, so that a request's
-// goroutine can't hold up the control goroutine that waits for it.
+// post queues f to run on the control goroutine. It never blocks: a request's
+// goroutine that blocked here could deadlock with a control goroutine that
+// waits for it.
 func (c *control) post(f func()) {
 	c.mu.Lock()
 	c.inbox = append(c.inbox, f)
@@ -103,16 +105,16 @@
 	}
 }
 
-// later has f run in this turn, after the step under way.
-func (c *control) later(f func()) {
-	c.local = append(c.local, f)
+// afterStep queues f to run in this iteration, after the current step.
+func (c *control) afterStep(f func()) {
+	c.deferred = append(c.deferred, f)
 }
 
 // run is the control goroutine; it ends when the daemon is killed.
 func (c *control) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	c.call(c.members.viewChanged) // a daemon alone is home of everything
+	c.call(c.members.viewChanged) // without peers this daemon is home of everything
 	c.call(func() { c.instances.seed(nil) })
 	for {
 		select {
@@ -121,15 +123,15 @@
 		case <-c.wake:
 		case <-timer.C:
 		}
-		began := time.Now()
-		c.turn()
-		c.d.metrics.Add(telemetry.ControlMicrosecondsTotal, time.Since(began).Microseconds())
+		start := time.Now()
+		c.iterate()
+		c.d.metrics.Add(telemetry.ControlMicrosecondsTotal, time.Since(start).Microseconds())
 		timer.Reset(c.untilTick())
 	}
 }
 
-// turn handles everything that has come in and every tick that is due.
-func (c *control) turn() {
+// iterate handles all posted functions and every tick that is due.
+func (c *control) iterate() {
 	c.now = time.Now()
 	c.mu.Lock()
 	inbox := c.inbox
@@ -138,27 +140,27 @@
 	for _, f := range inbox {
 		c.call(f)
 	}
-	for _, p := range c.parts {
+	for _, p := range c.components {
 		if at := p.nextTick(c.now); !at.IsZero() && !at.After(c.now) {
 			c.call(func() { p.tick(c.now) })
 		}
 	}
 }
 
-// call runs f and then what it left for later.
+// call runs f and then the functions that it deferred.
 func (c *control) call(f func()) {
 	f()
-	for len(c.local) > 0 {
-		next := c.local[0]
-		c.local = c.local[1:]
+	for len(c.deferred) > 0 {
+		next := c.deferred[0]
+		c.deferred = c.deferred[1:]
 		next()
 	}
 }
 
 func (c *control) untilTick() time.Duration {
-	wait := idleWait
+	wait := maxIdleWait
 	now := time.Now()
-	for _, p := range c.parts {
+	for _, p := range c.components {
 		if at := p.nextTick(now); !at.IsZero() {
 			wait = min(wait, at.Sub(now))
 		}
--- a/daemon/controllers.go
+++ b/daemon/controllers.go
@@ -15,56 +15,57 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// stepsPerReconcile bounds the time between a controller's steps, and between two
-// layouts, where servers are read more often than by default.
+// stepsPerReconcile is the minimum number of controller ticks, and of layouts,
+// in one reconcile interval. It applies if that interval is shorter than the
+// default.
 const stepsPerReconcile = 6
 
-// adoptRetry is the pause after a reading of the last published table that failed.
-const adoptRetry = 250 * time.Millisecond
+// adoptRetryDelay is the pause after a failed read of the last published table.
+const adoptRetryDelay = 250 * time.Millisecond
 
-// controllersPart runs one controller for each service with automatic placement.
-// Only those whose lease this daemon holds act.
-type controllersPart struct {
+// controllersComponent runs one controller for each service with automatic
+// placement. Only those whose lease this daemon holds act.
+type controllersComponent struct {
 	c         *control
 	byService map[state.ServiceID]*serviceController
 
-	// former are the fixed chains of services that are placed automatically since
-	// an edit: they serve on until the controller has published its first table,
-	// and are drained then.
-	former map[state.ServiceID]controller.ReplicaTable
+	// previousFixed holds the fixed chains of services that an edit has
+	// switched to automatic placement. They serve until the controller has
+	// published its first table, and are then drained.
+	previousFixed map[state.ServiceID]controller.ReplicaTable
 
 	placeable   []platform.Instance // as of placeableAt
 	placeableAt time.Time
 }
 
-// serviceController is the controller of one service with what it was told.
+// serviceController is the controller of one service with its inputs.
 type serviceController struct {
 	c        *control
 	service  state.ServiceID
-	m        *controller.Machine
+	machine  *controller.Machine
 	document *service.Document
-	auto     bool // the document in force asks for automatic placement
-
-	status   lease.Status
-	adopted  state.Nonce // the reign whose table was adopted
-	adopting bool
-	adoptAt  time.Time
-	servers  []controller.Backend // as last told
-	applied  map[state.BackendID]controller.Assignment
-	wanted   int // loads beyond those that need no share
-	asker    *weights.Requester
+	auto     bool // the active document asks for automatic placement
+
+	status      lease.Status
+	adoptedTerm state.Nonce // the lease term whose table was adopted
+	adopting    bool
+	nextAdoptAt time.Time
+	servers     []controller.Backend // as last passed to the state machine
+	applied     map[state.BackendID]controller.Assignment
+	wantedLoads int // loads beyond those that are allowed without a share
+	requester   *weights.Requester
 }
 
-func newControllersPart(c *control) *controllersPart {
-	return &controllersPart{
-		c:         c,
-		byService: make(map[state.ServiceID]*serviceController),
-		former:    make(map[state.ServiceID]controller.ReplicaTable),
+func newControllersComponent(c *control) *controllersComponent {
+	return &controllersComponent{
+		c:             c,
+		byService:     make(map[state.ServiceID]*serviceController),
+		previousFixed: make(map[state.ServiceID]controller.ReplicaTable),
 	}
 }
 
 func controllerConfig(d *Daemon, id state.ServiceID) controller.Config {
-	set := d.set.Leases
+	set := d.config.Leases
 	cfg := controller.DefaultConfig(id)
 	cfg.ReconcileInterval = set.Reconcile.Std()
 	cfg.MaxOrderDelay = set.LongestOrder.Std()
@@ -74,51 +75,51 @@
 	cfg.CountQueryInterval = min(cfg.CountQueryInterval, cfg.ReconcileInterval/2)
 	cfg.TickInterval = min(cfg.TickInterval, cfg.ReconcileInterval/stepsPerReconcile)
 	cfg.RetryDelay = min(cfg.RetryDelay, cfg.ReconcileInterval/2)
-	// A call ends by itself after askTimeout; the machine gives it up later, so
-	// that it hears of an answer that came.
-	cfg.CallTimeout = 2 * d.askTimeout
+	// A call ends by itself after queryTimeout. The state machine gives up
+	// later, so that it still receives an answer that arrives in time.
+	cfg.CallTimeout = 2 * d.queryTimeout
 	return cfg
 }
 
-// documentChanged takes a document up in place of was, which is nil for the first.
-// A service that is no longer placed automatically keeps what its servers hold;
-// its lease is given up.
-func (p *controllersPart) documentChanged(was, v *service.Versioned) {
+// documentChanged replaces the document prev, which is nil for the first, by v.
+// If a service is no longer placed automatically, its servers keep what they
+// hold and its lease is released.
+func (cc *controllersComponent) documentChanged(prev, v *service.Versioned) {
 	id := v.Document.Service
 	auto := isAuto(&v.Document)
-	if auto && was != nil && !isAuto(&was.Document) {
-		p.former[id] = fixedTable(&was.Document)
+	if auto && prev != nil && !isAuto(&prev.Document) {
+		cc.previousFixed[id] = fixedTable(&prev.Document)
 	}
-	s, ok := p.byService[id]
+	s, ok := cc.byService[id]
 	if !ok && !auto {
 		return
 	}
 	if !ok || auto && !s.auto {
 		s = &serviceController{
-			c: p.c, service: id,
-			m:       controller.New(controllerConfig(p.c.d, id)),
-			applied: make(map[state.BackendID]controller.Assignment),
-			asker:   weights.NewRequester(weightsConfig(p.c.d), id),
+			c: cc.c, service: id,
+			machine:   controller.New(controllerConfig(cc.c.d, id)),
+			applied:   make(map[state.BackendID]controller.Assignment),
+			requester: weights.NewRequester(weightsConfig(cc.c.d), id),
 		}
-		p.byService[id] = s
+		cc.byService[id] = s
 	}
 	s.document, s.auto = &v.Document, auto
 	if !auto {
 		s.step(controller.Stop{})
 	}
-	p.c.catalog.start()
-	p.c.leases.servicesChanged()
+	cc.c.catalog.start()
+	cc.c.leases.servicesChanged()
 	if auto {
-		s.placed(p.c.catalog.table(layoutOf(id)))
+		s.applyLayout(cc.c.catalog.table(layoutID(id)))
 	}
 }
 
-// fixedTable writes the chains of a document with fixed placement as a table that
-// any other takes the place of.
+// fixedTable converts the chains of a document with fixed placement to a
+// replica table with fencing number 0, which any published table replaces.
 func fixedTable(doc *service.Document) controller.ReplicaTable {
 	t := controller.ReplicaTable{Service: doc.Service}
 	for _, chain := range doc.Placement.Chains {
-		c := controller.Chain{ID: fixedID(doc.Service, chain.ID)}
+		c := controller.Chain{ID: fixedReplicaID(doc.Service, chain.ID)}
 		for _, s := range chain.Stages {
 			c.Stages = append(c.Stages, controller.Stage{Backend: s.Backend, Assignment: controller.Assignment{
 				Model: doc.Model.Name, Version: doc.Model.Version, Adapters: doc.Model.Adapters,
@@ -130,12 +131,12 @@
 	return t
 }
 
-// table returns the replica table of a service, or its fixed chains of before
-// where there is none yet.
-func (p *controllersPart) table(id state.ServiceID) controller.ReplicaTable {
-	t := p.c.catalog.table(id)
+// table returns the replica table of a service, or its previous fixed chains if
+// no table has been published.
+func (cc *controllersComponent) table(id state.ServiceID) controller.ReplicaTable {
+	t := cc.c.catalog.table(id)
 	if t.Fencing == 0 {
-		return p.former[id]
+		return cc.previousFixed[id]
 	}
 	return t
 }
@@ -145,113 +146,115 @@
 	return doc.Kind == service.KindModel && doc.Placement.Mode == service.PlacementAuto
 }
 
-// autoServices lists the services with automatic placement, in order.
-func (p *controllersPart) autoServices() []state.ServiceID {
-	ids := lo.Filter(lo.Keys(p.byService), func(id state.ServiceID, _ int) bool { return p.byService[id].auto })
+// autoServices returns the services with automatic placement in sorted order.
+func (cc *controllersComponent) autoServices() []state.ServiceID {
+	ids := lo.Filter(lo.Keys(cc.byService), func(id state.ServiceID, _ int) bool { return cc.byService[id].auto })
 	slices.Sort(ids)
 	return ids
 }
 
-func (p *controllersPart) nextTick(time.Time) time.Time {
+func (cc *controllersComponent) nextTick(time.Time) time.Time {
 	var next time.Time
-	for _, s := range p.byService {
-		if at := s.m.NextTick(); !at.IsZero() && (next.IsZero() || at.Before(next)) {
+	for _, s := range cc.byService {
+		if at := s.machine.NextTick(); !at.IsZero() && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
 	}
 	return next
 }
 
-func (p *controllersPart) tick(now time.Time) {
-	for _, s := range p.byService {
-		if at := s.m.NextTick(); !at.IsZero() && !at.After(now) {
+func (cc *controllersComponent) tick(now time.Time) {
+	for _, s := range cc.byService {
+		if at := s.machine.NextTick(); !at.IsZero() && !at.After(now) {
 			s.tick(now)
 		}
 	}
 }
 
-func (p *controllersPart) lease(st lease.Status) {
-	if s, ok := p.byService[st.Service]; ok {
-		s.lease(st)
+func (cc *controllersComponent) setLeaseStatus(st lease.Status) {
+	if s, ok := cc.byService[st.Service]; ok {
+		s.setLeaseStatus(st)
 	}
 }
 
-// stopAll ends all ordering before a planned stop.
-func (p *controllersPart) stopAll() {
-	for _, s := range p.byService {
+// stopAll stops all controllers from sending orders before a planned stop.
+func (cc *controllersComponent) stopAll() {
+	for _, s := range cc.byService {
 		s.step(controller.Stop{})
 	}
 }
 
-// clean reports whether no order for a service can be under way.
-func (p *controllersPart) clean(id state.ServiceID) bool {
-	s, ok := p.byService[id]
-	return !ok || s.m.Clean(p.c.now)
+// clean reports whether no order for a service can be in flight.
+func (cc *controllersComponent) clean(id state.ServiceID) bool {
+	s, ok := cc.byService[id]
+	return !ok || s.machine.Clean(cc.c.now)
 }
 
-// layoutChanged brings the chains that a service is to have.
-func (p *controllersPart) layoutChanged(id state.ServiceID, t controller.ReplicaTable) {
-	if s, ok := p.byService[id]; ok {
-		s.placed(t)
+// layoutChanged passes the chains that a service is to have to its controller.
+func (cc *controllersComponent) layoutChanged(id state.ServiceID, t controller.ReplicaTable) {
+	if s, ok := cc.byService[id]; ok {
+		s.applyLayout(t)
 	}
 }
 
-func (s *serviceController) lease(st lease.Status) {
+func (s *serviceController) setLeaseStatus(st lease.Status) {
 	if st.TermID != s.status.TermID {
 		clear(s.applied)
 	}
 	s.status = st
-	s.serversChanged()
+	s.updateServers()
 	s.step(controller.Lease{Status: st})
 	s.adopt()
 }
 
 func (s *serviceController) tick(now time.Time) {
-	s.serversChanged()
+	s.updateServers()
 	s.adopt()
 	s.step(controller.Tick{})
-	s.share(now)
+	s.requestShare(now)
 }
 
-// adopt reads the layout and the replicas last published, once in each reign. The
-// layout comes first: to a controller without one, all replicas would be too many.
+// adopt reads the layout and the replica table last published, once per lease
+// term. The layout is applied first: without it the controller would treat
+// every replica as surplus.
 func (s *serviceController) adopt() {
-	due := s.status.State != lease.None && s.adopted != s.status.TermID
-	if !due || s.adopting || s.c.now.Before(s.adoptAt) {
+	due := s.status.State != lease.None && s.adoptedTerm != s.status.TermID
+	if !due || s.adopting || s.c.now.Before(s.nextAdoptAt) {
 		return
 	}
 	s.adopting = true
-	reign := s.status.TermID
-	s.c.tables.newest(layoutOf(s.service), func(layout controller.ReplicaTable, known bool) {
+	termID := s.status.TermID
+	s.c.tables.newest(layoutID(s.service), func(layout controller.ReplicaTable, known bool) {
 		s.c.tables.newest(s.service, func(t controller.ReplicaTable, ok bool) {
 			s.adopting = false
-			if !ok || !known || layout.Fencing == 0 || reign != s.status.TermID {
-				s.adoptAt = s.c.now.Add(adoptRetry)
+			if !ok || !known || layout.Fencing == 0 || termID != s.status.TermID {
+				s.nextAdoptAt = s.c.now.Add(adoptRetryDelay)
 				return
 			}
-			s.adopted = reign
+			s.adoptedTerm = termID
 			if t.Fencing == 0 {
-				t = s.c.controllers.former[s.service]
+				t = s.c.controllers.previousFixed[s.service]
 			}
-			s.placed(layout)
+			s.applyLayout(layout)
 			s.step(controller.Adopt{Table: t})
 		})
 	})
 }
 
-// placed takes over what the layout says of the service.
-func (s *serviceController) placed(t controller.ReplicaTable) {
+// applyLayout passes the service's chains in the layout to the state machine.
+func (s *serviceController) applyLayout(t controller.ReplicaTable) {
 	if t.Fencing == 0 {
-		return // nothing is laid out yet
+		return // there is no layout yet
 	}
 	s.step(controller.Desired{Document: t.Document, Chains: lo.Map(t.Replicas, func(r controller.Replica, _ int) controller.Chain {
 		return r.Chain
 	})})
 }
 
-// serversChanged tells the machine which servers the service may use. One that is
-// leaving stays among them until it is gone: its chain is drained, not cut.
-func (s *serviceController) serversChanged() {
+// updateServers passes the servers that the service may use to the state
+// machine. A leaving server stays in the list until it is gone, so that its
+// chain is drained and its requests are not interrupted.
+func (s *serviceController) updateServers() {
 	if s.status.State == lease.None {
 		return
 	}
@@ -273,53 +276,54 @@
 	return lo.Find(doc.BackendKinds, func(k service.BackendKind) bool { return k.Kind == name })
 }
 
-// placeableFor is how long a list of servers is used: at a site of thousands it
-// costs milliseconds to make, and every service needs it four times a second.
-const placeableFor = 200 * time.Millisecond
+// placeableTTL is how long a list of servers is reused. At a site with
+// thousands of instances it takes milliseconds to build, and every service
+// needs it four times a second.
+const placeableTTL = 200 * time.Millisecond
 
-// servers lists, in order, the engines that layers may be placed on: those that
-// answer and that no document gives to a fixed chain.
-func (p *controllersPart) servers() []platform.Instance {
-	if p.c.now.Sub(p.placeableAt) < placeableFor {
-		return p.placeable
+// servers returns, sorted by ID, the engines that layers may be placed on:
+// those that answer and that no document assigns to a fixed chain.
+func (cc *controllersComponent) servers() []platform.Instance {
+	if cc.c.now.Sub(cc.placeableAt) < placeableTTL {
+		return cc.placeable
 	}
 	fixed := make(map[state.BackendID]bool)
-	for _, v := range p.c.documents.inForce {
+	for _, v := range cc.c.documents.active {
 		for _, chain := range v.Document.Placement.Chains {
 			for _, st := range chain.Stages {
 				fixed[st.Backend] = true
 			}
 		}
 	}
-	p.placeable = lo.Filter(lo.Values(p.c.instances.byID), func(in platform.Instance, _ int) bool {
+	cc.placeable = lo.Filter(lo.Values(cc.c.instances.byID), func(in platform.Instance, _ int) bool {
 		id := state.BackendID(in.ID)
-		return in.Role == platform.RoleEngine && !fixed[id] && !p.c.deaths.dead(id)
+		return in.Role == platform.RoleEngine && !fixed[id] && !cc.c.deaths.isDead(id)
 	})
-	slices.SortFunc(p.placeable, func(a, b platform.Instance) int { return compareIDs(a.ID, b.ID) })
-	p.placeableAt = p.c.now
-	return p.placeable
+	slices.SortFunc(cc.placeable, func(a, b platform.Instance) int { return compareIDs(a.ID, b.ID) })
+	cc.placeableAt = cc.c.now
+	return cc.placeable
 }
 
 func (s *serviceController) step(ev controller.Event) {
-	for _, a := range s.m.Step(s.c.now, ev) {
+	for _, a := range s.machine.Step(s.c.now, ev) {
 		switch a := a.(type) {
 		case controller.Order:
-			s.order(a)
+			s.sendOrder(a)
 		case controller.ReadState:
 			s.readState(a)
 		case controller.Publish:
 			s.publish(a.Table)
 		case controller.QueryRequestCounts:
-			s.askRunning(a)
+			s.queryRequestCounts(a)
 		case controller.RequestLoadSlots:
-			s.wanted = a.Slots
-			s.asker.SetWanted(s.c.now, a.Slots)
-			s.c.later(func() { s.share(s.c.now) })
+			s.wantedLoads = a.Slots
+			s.requester.SetWanted(s.c.now, a.Slots)
+			s.c.afterStep(func() { s.requestShare(s.c.now) })
 		case controller.FencingRefused:
 			s.c.d.metrics.Add(telemetry.StaleOrdersTotal, 1)
 			s.c.d.log.Emit(telemetry.EventOrderStale, telemetry.Service(s.service), telemetry.Backend(a.Backend), telemetry.Fencing(a.Fencing))
 			refused := lease.FencingRejected{Service: s.service, Fencing: a.Fencing, Seen: a.Seen}
-			s.c.later(func() { s.c.leases.step(refused) })
+			s.c.afterStep(func() { s.c.leases.step(refused) })
 		}
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -28,19 +28,19 @@
 
 // Daemon is one router process.
 type Daemon struct {
-	set     settings.Settings
-	self    state.Member
-	owner   uint32 // tells this life of this daemon from all others
-	log     *telemetry.Log
-	metrics *telemetry.Metrics
+	config      settings.Settings
+	self        state.Member
+	ownerNumber uint32 // identifies this incarnation of the daemon
+	log         *telemetry.Log
+	metrics     *telemetry.Metrics
 
-	recorder *trace.Recorder // nil where nothing is recorded
+	recorder *trace.Recorder // nil if recording is off
 
 	table     platform.Table
 	instances platform.Instances
 	clients   *clients
 
-	askTimeout time.Duration // of one question to a backend server
+	queryTimeout time.Duration // of one query to a backend server
 
 	requests *requests
 	control  *control
@@ -53,47 +53,47 @@
 
 	drainOnce sync.Once
 	killOnce  sync.Once
-	kill      chan struct{} // closed when the daemon ends
-	done      chan struct{} // closed when everything has ended
+	kill      chan struct{} // closed to end the daemon
+	done      chan struct{} // closed when the daemon has stopped
 }
 
-// New provisions a daemon from checked settings and opens its ports. It serves
-// nothing before Run.
+// New creates a daemon from checked settings and opens its ports. It serves no
+// request before Run.
 func New(set settings.Settings, log *telemetry.Log) (*Daemon, error) {
-	return newFrom(provide(set, log))
+	return newFromInjector(provide(set, log))
 }
 
-// newFrom builds a daemon from what the injector provides.
-func newFrom(i do.Injector) (*Daemon, error) {
+// newFromInjector builds a daemon from the services of the injector.
+func newFromInjector(i do.Injector) (*Daemon, error) {
 	set := do.MustInvoke[settings.Settings](i)
-	life := newLife()
+	runID := randomID()
 	d := &Daemon{
-		set:        set,
-		self:       state.Member{ID: set.ID, Incarnation: state.Incarnation(time.Now().UnixNano())},
-		owner:      uint32(xxhash.Sum64String(string(set.ID) + "/" + life)),
-		log:        do.MustInvoke[*telemetry.Log](i).With(telemetry.Daemon(set.ID)),
-		metrics:    do.MustInvoke[*telemetry.Metrics](i),
-		table:      do.MustInvoke[platform.Table](i),
-		instances:  do.MustInvoke[platform.Instances](i),
-		clients:    do.MustInvoke[*clients](i),
-		askTimeout: set.Backends.ProgressTimeout.Std(),
-		requests:   newRequests(),
-		kill:       make(chan struct{}),
-		done:       make(chan struct{}),
+		config:       set,
+		self:         state.Member{ID: set.ID, Incarnation: state.Incarnation(time.Now().UnixNano())},
+		ownerNumber:  uint32(xxhash.Sum64String(string(set.ID) + "/" + runID)),
+		log:          do.MustInvoke[*telemetry.Log](i).With(telemetry.Daemon(set.ID)),
+		metrics:      do.MustInvoke[*telemetry.Metrics](i),
+		table:        do.MustInvoke[platform.Table](i),
+		instances:    do.MustInvoke[platform.Instances](i),
+		clients:      do.MustInvoke[*clients](i),
+		queryTimeout: set.Backends.ProgressTimeout.Std(),
+		requests:     newRequests(),
+		kill:         make(chan struct{}),
+		done:         make(chan struct{}),
 	}
 	d.current.Store(&view{})
 	if err := d.listen(); err != nil {
 		return nil, err
 	}
-	if err := d.record(life); err != nil {
+	if err := d.startRecording(runID); err != nil {
 		return nil, err
 	}
 	d.node = peer.New(peer.Config{
 		Self:             d.self,
 		Registry:         newRegistry(),
-		Handler:          peer.Handler{HandleMessage: d.received, HandleCall: d.called},
+		Handler:          peer.Handler{HandleMessage: d.handleMessage, HandleCall: d.handleCall},
 		OnConnectionLost: d.connectionLost,
-		OnInboundError:   d.peerRejected,
+		OnInboundError:   d.inboundError,
 		Scope:            d.metrics.Scope(),
 	})
 	d.control = newControl(d)
@@ -102,8 +102,8 @@
 	return d, nil
 }
 
-// newLife names this life of a daemon, unlike any other's.
-func newLife() string {
+// randomID returns a random 64-bit ID in hexadecimal.
+func randomID() string {
 	b := make([]byte, 8)
 	_, _ = rand.Read(b) // crypto/rand.Read never fails
 	return hex.EncodeToString(b)
@@ -111,20 +111,21 @@
 
 // listen opens the ports for callers and peers.
 func (d *Daemon) listen() error {
-	caller, err := net.Listen("tcp", d.set.CallerAddress)
+	caller, err := net.Listen("tcp", d.config.CallerAddress)
 	if err != nil {
-		return fmt.Errorf("caller_address %s: %w", d.set.CallerAddress, err)
+		return fmt.Errorf("caller_address %s: %w", d.config.CallerAddress, err)
 	}
-	peers, err := net.Listen("tcp", d.set.PeerAddress)
+	peers, err := net.Listen("tcp", d.config.PeerAddress)
 	if err != nil {
 		_ = caller.Close()
-		return fmt.Errorf("peer_address %s: %w", d.set.PeerAddress, err)
+		return fmt.Errorf("peer_address %s: %w", d.config.PeerAddress, err)
 	}
 	d.caller, d.peers = caller, peers
 	return nil
 }
 
-// Run begins to serve and returns at once; Done tells the end.
+// Run starts serving and returns immediately; Done is closed when the daemon
+// has stopped.
 func (d *Daemon) Run() {
 	d.node.Serve(d.peers)
 	go func() { _ = d.server.Serve(d.caller) }()
@@ -138,14 +139,15 @@
 	d.log.Emit(telemetry.EventDaemonStarted, telemetry.Address(d.callerAdvertise()))
 }
 
-// CallerAddress is where callers connect, host:port.
+// CallerAddress returns the host:port on which callers connect.
 func (d *Daemon) CallerAddress() string { return d.caller.Addr().String() }
 
-// PeerAddress is where other daemons connect, host:port.
+// PeerAddress returns the host:port on which other daemons connect.
 func (d *Daemon) PeerAddress() string { return d.peers.Addr().String() }
 
-// advertised returns what is told to others: the setting, unless the system chose
-// the port.
+// advertised returns the address that is published to others: the setting, or
+// the listener's address if the setting equals the listen address, whose port
+// the system may have chosen.
 func advertised(setting, listen string, l net.Listener) string {
 	if setting == listen {
 		return l.Addr().String()
@@ -154,15 +156,15 @@
 }
 
 func (d *Daemon) callerAdvertise() string {
-	return advertised(d.set.CallerAdvertise, d.set.CallerAddress, d.caller)
+	return advertised(d.config.CallerAdvertise, d.config.CallerAddress, d.caller)
 }
 
 func (d *Daemon) peerAdvertise() string {
-	return advertised(d.set.PeerAdvertise, d.set.PeerAddress, d.peers)
+	return advertised(d.config.PeerAdvertise, d.config.PeerAddress, d.peers)
 }
 
-// Kill ends the daemon at once, as the loss of its instance would: connections
-// are cut and nothing is handed on.
+// Kill stops the daemon immediately, as the loss of its instance would:
+// connections are closed and no lease is handed off.
 func (d *Daemon) Kill() {
 	d.killOnce.Do(func() {
 		close(d.kill)
@@ -176,8 +178,9 @@
 	return d.done
 }
 
-// connectionLost has a daemon probed that no connection reaches. One silent
-// connection says nothing of the daemon behind it; one that never answered does.
+// connectionLost handles a lost connection to another daemon. A daemon that
+// could not be reached at all is probed. A connection that became unresponsive
+// says nothing about the daemon behind it.
 func (d *Daemon) connectionLost(address string, err error) {
 	if errors.Is(err, peer.ErrUnresponsive) {
 		d.metrics.Add(telemetry.SilentConnectionsTotal, 1)
@@ -187,26 +190,26 @@
 	d.control.post(func() { d.control.connectionLost(address, unreachable) })
 }
 
-// peerRejected notes a connection from a peer that ended with an error.
-func (d *Daemon) peerRejected(remote net.Addr, err error) {
+// inboundError logs a connection of a peer that ended with an error.
+func (d *Daemon) inboundError(remote net.Addr, err error) {
 	d.log.Emit(telemetry.EventFrameRefused, telemetry.Address(remote.String()), telemetry.Cause(err))
 }
 
-// connectionLost tells the parts that messages to a daemon may be lost.
+// connectionLost notifies the components that messages to a daemon may be lost.
 func (c *control) connectionLost(address string, unreachable bool) {
 	for _, i := range c.members.view.Members {
 		if i.Meta.PeerAddress != address || i.Member.ID == c.d.self.ID {
 			continue
 		}
-		c.slots.route(route.Reconnected{Peer: i.Member.ID})
+		c.slots.stepRouter(route.Reconnected{Peer: i.Member.ID})
 		if unreachable {
 			c.members.step(membership.ConnectionLost{ID: i.Member.ID})
 		}
 	}
 }
 
-// logEnd writes a line for each request without a whole answer.
-func (d *Daemon) logEnd(spec request.Spec, o state.Outcome) {
+// logOutcome logs each request that did not complete.
+func (d *Daemon) logOutcome(spec request.Spec, o state.Outcome) {
 	fields := []telemetry.Field{telemetry.Request(spec.ID), telemetry.Service(spec.Service)}
 	switch o := o.(type) {
 	case state.Refused:
--- a/daemon/deaths.go
+++ b/daemon/deaths.go
@@ -10,91 +10,97 @@
 )
 
 const (
-	// deadAfter is how many questions in a row a backend server must leave without
-	// an answer before its layers are placed elsewhere. The instance list is too
-	// late to tell, and one lost call is no reason to load weights.
-	deadAfter = 3
+	// failuresUntilDead is how many consecutive queries a backend server must
+	// leave unanswered before its layers are placed elsewhere. The instance
+	// list reports a death too late, and one lost call does not justify loading
+	// weights.
+	failuresUntilDead = 3
 
-	// deadAfterMany takes its place while most of the servers that this daemon
-	// asks are silent. It may then be this daemon that is cut off, and others'
-	// answers come in before it has told the fleet of deaths that are none.
-	deadAfterMany = 15
+	// failuresUntilDeadIfIsolated replaces failuresUntilDead while most of the
+	// servers that this daemon queries do not answer. The daemon itself may
+	// then be partitioned from them; the higher limit lets answers arrive
+	// before it reports live servers as dead to the other daemons.
+	failuresUntilDeadIfIsolated = 15
 
-	// fewServers is up to how many servers say nothing about this daemon.
-	fewServers = 4
+	// minServersForIsolation is the number of servers up to which missing
+	// answers say nothing about this daemon's own connectivity.
+	minServersForIsolation = 4
 
-	// askedFor is how long a server counts among those that this daemon asks.
-	askedFor = 30 * time.Second
+	// queriedTTL is how long a server counts among those that this daemon
+	// queries.
+	queriedTTL = 30 * time.Second
 )
 
-// deathsPart counts the answers of the backend servers that layers are placed on,
-// and tells the fleet which do not answer.
-type deathsPart struct {
-	c     *control
-	asked map[state.BackendID]*lastHeard
+// deathsTracker counts the unanswered queries to the backend servers that
+// layers are placed on, and reports servers that do not answer to the other
+// daemons.
+type deathsTracker struct {
+	c       *control
+	servers map[state.BackendID]*answerHistory
 }
 
-// lastHeard is how a backend server answered of late.
-type lastHeard struct {
-	at       time.Time
-	failures int // in a row
+// answerHistory is how a backend server answered recent queries.
+type answerHistory struct {
+	queriedAt time.Time
+	failures  int // consecutive
 }
 
-func newDeathsPart(c *control) *deathsPart {
-	return &deathsPart{c: c, asked: make(map[state.BackendID]*lastHeard)}
+func newDeathsTracker(c *control) *deathsTracker {
+	return &deathsTracker{c: c, servers: make(map[state.BackendID]*answerHistory)}
 }
 
-// heard takes in whether a backend server answered a question.
-func (p *deathsPart) heard(id state.BackendID, answered bool) {
-	h, ok := p.asked[id]
+// recordAnswer records whether a backend server answered a query.
+func (dt *deathsTracker) recordAnswer(id state.BackendID, answered bool) {
+	hist, ok := dt.servers[id]
 	if !ok {
-		h = &lastHeard{}
-		p.asked[id] = h
+		hist = &answerHistory{}
+		dt.servers[id] = hist
 	}
-	h.at = p.c.now
+	hist.queriedAt = dt.c.now
 	if answered {
-		h.failures = 0
-		if p.dead(id) {
-			p.c.d.log.Emit(telemetry.EventBackendRecovered, telemetry.Backend(id))
-			p.c.members.step(membership.ReportBackend{Backend: id, Kind: membership.BackendAvailable})
+		hist.failures = 0
+		if dt.isDead(id) {
+			dt.c.d.log.Emit(telemetry.EventBackendRecovered, telemetry.Backend(id))
+			dt.c.members.step(membership.ReportBackend{Backend: id, Kind: membership.BackendAvailable})
 		}
 		return
 	}
-	h.failures++
-	if h.failures < p.bound() {
+	hist.failures++
+	if hist.failures < dt.failureLimit() {
 		return
 	}
-	if !p.dead(id) {
-		p.c.d.log.Emit(telemetry.EventBackendDied, telemetry.Backend(id))
+	if !dt.isDead(id) {
+		dt.c.d.log.Emit(telemetry.EventBackendDied, telemetry.Backend(id))
 	}
-	p.c.members.step(membership.ReportBackend{Backend: id, Kind: membership.BackendFailed})
+	dt.c.members.step(membership.ReportBackend{Backend: id, Kind: membership.BackendFailed})
 }
 
-// bound is how many failures in a row count as a death now.
-func (p *deathsPart) bound() int {
-	silent := 0
-	for id, h := range p.asked {
+// failureLimit returns how many consecutive failures currently count as a
+// death.
+func (dt *deathsTracker) failureLimit() int {
+	unresponsive := 0
+	for id, hist := range dt.servers {
 		switch {
-		case p.c.now.Sub(h.at) > askedFor:
-			delete(p.asked, id)
-		case h.failures > 0:
-			silent++
+		case dt.c.now.Sub(hist.queriedAt) > queriedTTL:
+			delete(dt.servers, id)
+		case hist.failures > 0:
+			unresponsive++
 		}
 	}
-	if len(p.asked) > fewServers && 2*silent > len(p.asked) {
-		return deadAfterMany
+	if len(dt.servers) > minServersForIsolation && 2*unresponsive > len(dt.servers) {
+		return failuresUntilDeadIfIsolated
 	}
-	return deadAfter
+	return failuresUntilDead
 }
 
-// dead reports whether the fleet holds a backend server for dead.
-func (p *deathsPart) dead(id state.BackendID) bool {
-	fact, ok := p.c.members.view.Backends[id]
+// isDead reports whether the membership considers a backend server dead.
+func (dt *deathsTracker) isDead(id state.BackendID) bool {
+	fact, ok := dt.c.members.view.Backends[id]
 	return ok && fact.Kind == membership.BackendFailed
 }
 
-// leaving reports whether a backend server is about to stop.
-func (p *deathsPart) leaving(in platform.Instance) bool {
-	fact, ok := p.c.members.view.Backends[state.BackendID(in.ID)]
+// isLeaving reports whether a backend server is about to stop.
+func (dt *deathsTracker) isLeaving(in platform.Instance) bool {
+	fact, ok := dt.c.members.view.Backends[state.BackendID(in.ID)]
 	return in.Leaving || ok && fact.Kind == membership.BackendLeaving
 }
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -1,8 +1,8 @@
-// Package daemon is hibiscuswick as a library: one Daemon is one process's worth
-// of router, provisioned from settings, validated, and run until it is drained.
+// Package daemon implements a router process as a library. A Daemon is built
+// from settings, validates them, and runs until it is drained or killed.
 //
 // One control goroutine owns all control state (documents, members, replica
 // homes, leases) and publishes it as immutable views through an atomic pointer.
-// Each request has a goroutine of its own, which owns that request's state
-// machine and reads the views.
+// Each request has its own goroutine, which owns that request's state machine
+// and reads the views.
 package daemon
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -8,40 +8,41 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// leaveTime is how long the last messages of a planned stop get to leave.
-const leaveTime = 200 * time.Millisecond
+// leaveFlushDelay gives the last messages of a planned stop time to be sent.
+const leaveFlushDelay = 200 * time.Millisecond
 
-// handOnPoll is the time between two looks at the leases that are being released.
-const handOnPoll = 20 * time.Millisecond
+// releasePollInterval is how often the leases that are being released are
+// checked.
+const releasePollInterval = 20 * time.Millisecond
 
-// Drain implements caller.Daemon: it begins a planned stop. The daemon leaves the
-// address answers at once, goes on accepting until every answer that names it
-// has run out, keeps every stream to its end, and then stops.
+// Drain implements caller.Daemon: it starts a planned stop. The daemon is
+// removed from address answers immediately, accepts requests until every answer
+// that names it has expired, finishes all open streams, and then stops.
 func (d *Daemon) Drain(ctx context.Context) {
 	d.drainOnce.Do(func() {
 		d.log.Emit(telemetry.EventDrainStarted)
 		d.metrics.SetFlag(telemetry.Draining, true)
-		until, ok := ask(ctx, d.control, d.control.addresses.drain)
+		until, ok := callControl(ctx, d.control, d.control.addresses.drain)
 		if !ok {
-			until = time.Now().Add(d.set.AddressAnswerValid.Std() + d.set.Drain.Notice.Std())
+			until = time.Now().Add(d.config.AddressAnswerValid.Std() + d.config.Drain.Notice.Std())
 		}
 		d.control.post(d.control.leases.drain)
 		go d.awaitDrained(until)
 	})
 }
 
-// awaitDrained ends the daemon once its address answers have run out and no
-// request is left, or at the limit of a planned stop.
+// awaitDrained stops the daemon once its address answers have expired and no
+// request is live, or when the drain limit is reached.
 func (d *Daemon) awaitDrained(until time.Time) {
-	limit := time.NewTimer(d.set.Drain.Limit.Std())
+	limit := time.NewTimer(d.config.Drain.Limit.Std())
 	defer limit.Stop()
 	if !d.sleepUntil(until) {
 		return
 	}
 	d.log.Emit(telemetry.EventDrainAnswersExpired)
-	// From here on new requests are refused as not run: nobody has a reason to
-	// come any more.
-	if _, ok := ask(context.Background(), d.control, func() bool {
+	// From here on new requests are refused as not run: no caller holds a valid
+	// address of this daemon.
+	if _, ok := callControl(context.Background(), d.control, func() bool {
 		d.publish(func(v *view) { v.draining = true })
 		return true
 	}); !ok {
@@ -67,8 +68,8 @@
 	}
 }
 
-// awaitIdle waits until no request is live and the answers are read. It reports
-// false at the limit.
+// awaitIdle waits until no request is live. It reports false if the limit is
+// reached first.
 func (d *Daemon) awaitIdle(limit <-chan time.Time) bool {
 	for {
 		n, idle := d.requests.active()
@@ -85,32 +86,34 @@
 	}
 }
 
-// stop ends a drained daemon: callers that still read their last tokens get them,
-// the other daemons are told, and everything closes.
+// stop ends a drained daemon. It lets callers read the end of their streams,
+// waits until the leases are released, announces the departure to the other
+// daemons and closes everything.
 func (d *Daemon) stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), d.set.Drain.Limit.Std())
+	ctx, cancel := context.WithTimeout(context.Background(), d.config.Drain.Limit.Std())
 	defer cancel()
 	_ = d.server.Shutdown(ctx) // waits for open streams
-	d.awaitHandedOn(ctx)
-	_, _ = ask(ctx, d.control, func() bool {
+	d.awaitLeasesReleased(ctx)
+	_, _ = callControl(ctx, d.control, func() bool {
 		d.control.members.step(membership.Leave{})
 		return true
 	})
-	d.sleepUntil(time.Now().Add(leaveTime))
+	d.sleepUntil(time.Now().Add(leaveFlushDelay))
 	d.log.Emit(telemetry.EventDaemonStopped)
 	d.Kill()
 }
 
-// awaitHandedOn waits until the leases are released: they were asked for when the
-// stop began, and no order may be under way. With the store down they can't be
-// released; the next holder then waits a term.
-func (d *Daemon) awaitHandedOn(ctx context.Context) {
-	bound := d.set.Leases.LongestOrder.Std() + d.set.Store.Timeout.Std()
-	ctx, cancel := context.WithTimeout(ctx, bound)
+// awaitLeasesReleased waits until the leases are released. Their release was
+// requested when the stop began, but is delayed while an order may be in
+// flight. With the store unavailable they can't be released; the next holder
+// then waits until the lease has expired.
+func (d *Daemon) awaitLeasesReleased(ctx context.Context) {
+	timeout := d.config.Leases.LongestOrder.Std() + d.config.Store.Timeout.Std()
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
-		done, ok := ask(ctx, d.control, d.control.leases.handedOn)
-		if done || !ok || !d.sleepUntil(time.Now().Add(handOnPoll)) {
+		done, ok := callControl(ctx, d.control, d.control.leases.allReleased)
+		if done || !ok || !d.sleepUntil(time.Now().Add(releasePollInterval)) {
 			return
 		}
 	}
--- a/daemon/failure_test.go
+++ b/daemon/failure_test.go
@@ -11,131 +11,131 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-const slowStep = 4 * time.Millisecond
+const slowStepTime = 4 * time.Millisecond
 
 var _ = Describe("A request", func() {
-	// A clerk reads a summary; halfway the second stage of its chain dies. The
-	// clerk sees a pause, then the rest, each token once and in order. Cause:
-	// the KV cache of the attempt is lost with the stage, so that a new attempt
-	// has to begin from the tokens that the clerk already has.
-	It("gives the whole answer after a stage died mid-stream", Label("failure:stage-dies-mid-stream"), func() {
-		r := newRig(2, slowStep)
-		stream := r.submit(0, summary("a"))
-		first, _ := r.read(stream, 5)
-		r.Engines[chains.Engine(r.replicaOf(stream.ID()), 2)].Kill()
-		rest, outcome := r.read(stream, -1)
-		expectWhole(append(first, rest...), outcome, "a")
-		r.expectSound()
+	// Guards against a broken answer when a stage dies. The KV cache of the
+	// attempt is lost with the stage, so a new attempt has to start from the
+	// tokens already delivered. The caller sees a pause, then the rest, each
+	// token once and in order.
+	It("completes the answer after a stage dies mid-stream", Label("failure:stage-dies-mid-stream"), func() {
+		h := newHarness(2, slowStepTime)
+		stream := h.submit(0, summary("a"))
+		first, _ := h.read(stream, 5)
+		h.Engines[chains.Engine(h.replicaOf(stream.ID()), 2)].Kill()
+		rest, outcome := h.read(stream, -1)
+		expectComplete(append(first, rest...), outcome, "a")
+		h.expectNoViolations()
 	})
 
-	// An advocate's note is half written when a stage of its chain dies. The
-	// advocate's office is told that the note failed, and nothing writes it a
-	// second time. Cause: it had begun, and may not be repeated.
-	It("is never begun again once a stage died under a never-repeat one", Label("failure:stage-dies-mid-stream"), func() {
-		r := newRig(2, slowStep)
-		stream := r.submit(0, note("a"))
-		first, _ := r.read(stream, 5)
-		r.Engines[chains.Engine(r.replicaOf(stream.ID()), 2)].Kill()
-		rest, outcome := r.read(stream, -1)
+	// Guards against running a never-repeat request twice. A stage dies after
+	// the request has started there, so the request fails and no attempt
+	// follows.
+	It("is not started again after a stage dies if it must not be repeated", Label("failure:stage-dies-mid-stream"), func() {
+		h := newHarness(2, slowStepTime)
+		stream := h.submit(0, note("a"))
+		first, _ := h.read(stream, 5)
+		h.Engines[chains.Engine(h.replicaOf(stream.ID()), 2)].Kill()
+		rest, outcome := h.read(stream, -1)
 		Expect(outcome).To(BeAssignableToTypeOf(state.Failed{}))
 		Expect(len(first) + len(rest)).To(BeNumerically("<", noteTokens))
-		Expect(r.runs("a")).To(Equal(1))
-		r.expectSound()
+		Expect(h.runCount("a")).To(Equal(1))
+		h.expectNoViolations()
 	})
 
-	// A customer reads a renewal explanation; the daemon behind the connection
-	// dies. The customer's client comes back to another daemon with the last
-	// index that it has, and reads on from there. Cause: the owner of the
-	// stream is gone; its record and the stages still have the rest.
-	It("goes on at another daemon after its own died", Label("failure:daemon-dies-mid-stream"), func() {
-		r := newRig(3, slowStep)
+	// Guards against losing a stream with its owner. The owner dies; its record
+	// at the registrars and the state of the stages allow another daemon to
+	// continue after the last index that the caller has.
+	It("continues at another daemon after its owner dies", Label("failure:daemon-dies-mid-stream"), func() {
+		h := newHarness(3, slowStepTime)
 		for _, submission := range []caller.Submission{summary("s"), note("n")} {
-			stream := r.submit(1, submission)
-			first, _ := r.read(stream, 5)
-			r.Daemons[1].Kill()
-			again, outcome := r.Daemons[0].Attach(r.ctx, stream.ID(), first[len(first)-1].Index)
+			stream := h.submit(1, submission)
+			first, _ := h.read(stream, 5)
+			h.Daemons[1].Kill()
+			again, outcome := h.Daemons[0].Attach(h.ctx, stream.ID(), first[len(first)-1].Index)
 			Expect(outcome).To(BeNil())
-			rest, outcome := r.read(again, -1)
-			expectWhole(append(first, rest...), outcome, string(submission.IdempotencyKey))
-			Expect(r.runs(string(submission.IdempotencyKey))).To(Equal(1), "the stages were resumed, nothing ran again")
-			r.replaceDaemon(1, nil)
+			rest, outcome := h.read(again, -1)
+			expectComplete(append(first, rest...), outcome, string(submission.IdempotencyKey))
+			Expect(h.runCount(string(submission.IdempotencyKey))).To(Equal(1), "the stages were resumed; nothing ran again")
+			h.replaceDaemon(1, nil)
 		}
-		r.expectSound()
+		h.expectNoViolations()
 	})
 
-	// A caller's connection to a daemon breaks although the daemon lives. The
-	// caller comes back to another one and reads on; nothing runs twice.
-	// Cause: a network between them forgot the connection.
-	It("is read on through another daemon while its own lives", Label("failure:silent-connection"), func() {
-		r := newRig(3, slowStep)
-		stream := r.submit(1, note("a"))
-		first, _ := r.read(stream, 3)
-		again, outcome := r.Daemons[2].Attach(r.ctx, stream.ID(), 2)
+	// Guards against a second run when a caller loses its connection to a live
+	// owner. The network drops the connection; the caller re-attaches at
+	// another daemon.
+	It("can be read through another daemon while its owner is alive", Label("failure:silent-connection"), func() {
+		h := newHarness(3, slowStepTime)
+		stream := h.submit(1, note("a"))
+		first, _ := h.read(stream, 3)
+		again, outcome := h.Daemons[2].Attach(h.ctx, stream.ID(), 2)
 		Expect(outcome).To(BeNil())
-		rest, outcome := r.read(again, -1)
-		expectWhole(append(first, rest...), outcome, "a")
-		Expect(r.runs("a")).To(Equal(1))
+		rest, outcome := h.read(again, -1)
+		expectComplete(append(first, rest...), outcome, "a")
+		Expect(h.runCount("a")).To(Equal(1))
 	})
 
-	// The connections between the daemons and one engine go silent for good;
-	// new ones work. The clerk sees a pause of about the progress timeout and
-	// then the rest. Cause: something between the two lost track of them.
-	It("survives connections to a stage that went silent", Label("failure:silent-connection"), func() {
-		r := newRig(2, slowStep)
-		stream := r.submit(0, note("a"))
-		first, _ := r.read(stream, 5)
-		r.Engines[chains.Engine(r.replicaOf(stream.ID()), 1)].SilenceConnections()
-		rest, outcome := r.read(stream, -1)
-		expectWhole(append(first, rest...), outcome, "a")
-		Expect(r.runs("a")).To(Equal(1), "the stage was asked, not sent the step again")
-		r.expectSound()
+	// Guards against stalls on connections whose state the network has lost:
+	// existing connections to an engine become unresponsive, new ones work. The
+	// caller sees a pause of about the progress timeout, then the rest.
+	It("survives unresponsive connections to a stage", Label("failure:silent-connection"), func() {
+		h := newHarness(2, slowStepTime)
+		stream := h.submit(0, note("a"))
+		first, _ := h.read(stream, 5)
+		h.Engines[chains.Engine(h.replicaOf(stream.ID()), 1)].SilenceConnections()
+		rest, outcome := h.read(stream, -1)
+		expectComplete(append(first, rest...), outcome, "a")
+		Expect(h.runCount("a")).To(Equal(1), "the stage was queried; the step was not sent again")
+		h.expectNoViolations()
 	})
 
-	// An advocate's office sends one note through two daemons at once, since
-	// its first connection seemed dead. Both callers read the same note; it
-	// was written once. Cause: both daemons hold the request at one time.
+	// Guards against running a never-repeat request twice when a caller sends
+	// it to a second daemon because its first connection seems dead. Both
+	// streams deliver the same answer.
 	It("runs once when it is repeated at two daemons", Label("failure:repeat-at-two-daemons"), func() {
-		r := newRig(3, time.Millisecond)
+		h := newHarness(3, time.Millisecond)
 		for i := range 10 {
 			key := fmt.Sprintf("k%d", i)
-			a := r.submit(0, note(key))
-			b := r.submit(1, note(key))
-			tokens, outcome := r.read(a, -1)
-			expectWhole(tokens, outcome, key)
-			tokens, outcome = r.read(b, -1)
-			expectWhole(tokens, outcome, key)
-			Expect(r.runs(key)).To(Equal(1))
+			a := h.submit(0, note(key))
+			b := h.submit(1, note(key))
+			tokens, outcome := h.read(a, -1)
+			expectComplete(tokens, outcome, key)
+			tokens, outcome = h.read(b, -1)
+			expectComplete(tokens, outcome, key)
+			Expect(h.runCount(key)).To(Equal(1))
 		}
 	})
 
-	// A dairy cooperative's alert is sent while the table service takes writes
-	// but loses the answers. The alert goes out once. Cause: the claim was
-	// written, and the daemon can't know it until it reads the row.
+	// Guards against a second run when the table service commits the claim but
+	// its answer is lost. The daemon knows the outcome only after it has read
+	// the row.
 	It("is claimed once when the store's answers are lost", Label("failure:store-answer-lost"), func() {
-		r := newRig(2, time.Millisecond)
-		r.Platform.LoseAnswers(2)
-		_, outcome := r.read(r.submit(0, alert("a")), -1)
+		h := newHarness(2, time.Millisecond)
+		h.Platform.LoseAnswers(2)
+		_, outcome := h.read(h.submit(0, alert("a")), -1)
 		Expect(outcome).To(Equal(state.Completed{Tokens: 1}))
-		Expect(r.runs("a")).To(Equal(1))
+		Expect(h.runCount("a")).To(Equal(1))
 	})
 
-	// The table service is down. Summaries and running answers go on; a note
-	// waits and is written once the store is back. Cause: only what may not be
-	// repeated needs a claim.
-	It("needs the store only where it may not be repeated", Label("failure:store-down"), func() {
-		r := newRig(2, slowStep)
-		running := r.submit(0, note("running"))
-		r.read(running, 2)
-		r.Platform.Down(true)
-		tokens, outcome := r.read(r.submit(1, summary("s")), -1)
-		expectWhole(tokens, outcome, "s")
-		waiting := r.submit(1, note("waiting"))
-		_, outcome = r.read(running, -1)
+	// Guards against a dependence of repeatable work on the store. While the
+	// table service is down, summaries and running answers continue; a new note
+	// waits and runs once when the store is available again, because only
+	// never-repeat requests need a claim.
+	It("needs the store only if it must not be repeated", Label("failure:store-down"), func() {
+		h := newHarness(2, slowStepTime)
+		running := h.submit(0, note("running"))
+		h.read(running, 2)
+		h.Platform.Down(true)
+		tokens, outcome := h.read(h.submit(1, summary("s")), -1)
+		expectComplete(tokens, outcome, "s")
+		waiting := h.submit(1, note("waiting"))
+		_, outcome = h.read(running, -1)
 		Expect(outcome).To(Equal(state.Completed{Tokens: noteTokens}))
-		Expect(r.runs("waiting")).To(Equal(0))
-		r.Platform.Down(false)
-		tokens, outcome = r.read(waiting, -1)
-		expectWhole(tokens, outcome, "waiting")
-		Expect(r.runs("waiting")).To(Equal(1))
+		Expect(h.runCount("waiting")).To(Equal(0))
+		h.Platform.Down(false)
+		tokens, outcome = h.read(waiting, -1)
+		expectComplete(tokens, outcome, "waiting")
+		Expect(h.runCount("waiting")).To(Equal(1))
 	})
 })
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	pullWait    = time.Second            // how long an owner holds a Pull back for news
-	pullTimeout = 2 * time.Second        // after it an owner counts as silent
-	pullTries   = 2                      // silent pulls before the request is taken over
-	followRetry = 100 * time.Millisecond // between pulls that failed
+	pullWait        = time.Second            // how long an owner delays its answer to a Pull if it has nothing new
+	pullTimeout     = 2 * time.Second        // after it the owner counts as unresponsive
+	maxPullFailures = 2                      // consecutive failed pulls before the request is taken over
+	pullRetryDelay  = 100 * time.Millisecond // between failed pulls
 )
 
-// pulled says why following another daemon's answer stopped.
+// pulled is the reason why copying another daemon's answer stopped.
 type pulled int
 
 const (
-	pulledEnd     pulled = iota // the answer has ended
-	pulledUnknown               // the owner does not have the request
-	pulledSilent                // the owner does not answer
+	pulledEnd          pulled = iota // the answer has ended
+	pulledUnknown                    // the owner does not have the request
+	pulledUnresponsive               // the owner does not answer
 )
 
-// pull copies the answer of a request that another daemon owns, until it ends or
-// the owner is gone.
+// pull copies the answer of a request that another daemon owns, until it ends
+// or the owner is gone.
 func (d *Daemon) pull(a *answer, id state.RequestID, address string) pulled {
-	silent := 0
-	for silent < pullTries {
+	failures := 0
+	for failures < maxPullFailures {
 		from, _, _ := a.after(0)
 		ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 		res, err := d.node.Call(ctx, address, streams.Pull{Request: id, From: len(from), Wait: pullWait})
@@ -37,13 +37,13 @@
 		got, ok := res.Msg.(streams.PullResult)
 		switch {
 		case err != nil || !ok:
-			silent++
-			time.Sleep(followRetry)
+			failures++
+			time.Sleep(pullRetryDelay)
 			continue
 		case !got.Known:
 			return pulledUnknown
 		}
-		silent = 0
+		failures = 0
 		a.setRunning()
 		for _, t := range got.Answer.Tokens {
 			a.append(t)
@@ -53,10 +53,11 @@
 			return pulledEnd
 		}
 	}
-	return pulledSilent
+	return pulledUnresponsive
 }
 
-// servePull answers another daemon that follows a request of this one.
+// servePull answers another daemon that copies the answer of a request of this
+// one.
 func (d *Daemon) servePull(ctx context.Context, p streams.Pull) streams.PullResult {
 	a := d.requests.answer(p.Request)
 	if a == nil {
@@ -81,11 +82,11 @@
 	}
 }
 
-// resume gives a the rest of a request that this daemon does not own: from its
-// record, from its owner, or by taking it over.
+// resume completes the answer a of a request that this daemon does not own:
+// from the request's record, from its owner, or by taking it over.
 func (d *Daemon) resume(a *answer, rec streams.Record) {
 	if rec.Answer != nil {
-		fill(a, *rec.Answer)
+		completeAnswer(a, *rec.Answer)
 		return
 	}
 	if d.pullFromOwner(a, rec) {
@@ -95,16 +96,16 @@
 	d.takeOver(a, rec)
 }
 
-// fill ends a with an answer that is complete.
-func fill(a *answer, whole streams.Answer) {
-	for _, t := range whole.Tokens {
+// completeAnswer ends a with a complete answer.
+func completeAnswer(a *answer, final streams.Answer) {
+	for _, t := range final.Tokens {
 		a.append(t)
 	}
-	a.end(whole.Outcome.State())
+	a.end(final.Outcome.State())
 }
 
-// pullFromOwner follows the owner if it is believed to live. It reports whether
-// the answer ended.
+// pullFromOwner copies the answer from the owner if that is considered alive.
+// It reports whether the answer ended.
 func (d *Daemon) pullFromOwner(a *answer, rec streams.Record) bool {
 	v := d.view()
 	if rec.Owner.ID == d.self.ID || v.members == nil {
@@ -117,30 +118,31 @@
 	if d.pull(a, rec.Request, info.Meta.PeerAddress) == pulledEnd {
 		return true
 	}
-	d.control.post(func() { d.control.members.unreachable(rec.Owner) })
+	d.control.post(func() { d.control.members.markUnreachable(rec.Owner) })
 	return false
 }
 
-// follow makes r's callers see the answer of another request of the same key,
-// which its owner runs or has run.
-func (r *runner) follow(id state.RequestID, owner state.Member) {
-	r.followed.Store(&followed{id: id, owner: owner})
+// join gives r's callers the answer of another request of the same key, which
+// its owner runs or has run.
+func (r *runner) join(id state.RequestID, owner state.Member) {
+	r.joined.Store(&joinedRequest{id: id, owner: owner})
 }
 
-// followed names the request whose answer is given in place of a runner's own.
-type followed struct {
+// joinedRequest names the request whose answer replaces a runner's own.
+type joinedRequest struct {
 	id    state.RequestID
 	owner state.Member
 }
 
-// followOn gives r's callers the answer of the request of its key that came
-// first. If that one's owner is gone, r's request is made again: its claim then
-// takes the first one's over. It ends with o where nothing can be had.
-func (r *runner) followOn(f followed, o state.Outcome) {
+// deliverJoined gives r's callers the answer of the first request of its key.
+// If that request's owner is gone, r's request is made again, and its claim
+// takes over the first one's. If no answer can be obtained, the answer ends
+// with o.
+func (r *runner) deliverJoined(first joinedRequest, o state.Outcome) {
 	d, a := r.d, r.answer
 	d.metrics.Add(telemetry.JoinedRepeatsTotal, 1)
-	if f.owner.ID == d.self.ID {
-		other := d.requests.answer(f.id)
+	if first.owner.ID == d.self.ID {
+		other := d.requests.answer(first.id)
 		if other == nil || other == a {
 			a.end(o)
 			return
@@ -148,27 +150,27 @@
 		copyAnswer(a, other)
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), lookUpTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
-	rec, known := d.lookUp(ctx, f.id)
+	rec, known := d.lookup(ctx, first.id)
 	switch {
 	case known && rec.Answer != nil:
-		fill(a, *rec.Answer)
-	case d.pullFromOwner(a, streams.Record{Request: f.id, Owner: f.owner}):
-	case r.follows < maxFollows:
-		again := newRunner(d, r.spec, a)
-		again.follows = r.follows + 1
-		d.start(again)
+		completeAnswer(a, *rec.Answer)
+	case d.pullFromOwner(a, streams.Record{Request: first.id, Owner: first.owner}):
+	case r.joinAttempts < maxJoinAttempts:
+		next := newRunner(d, r.spec, a)
+		next.joinAttempts = r.joinAttempts + 1
+		d.start(next)
 	default:
 		a.end(o)
 	}
 }
 
-// maxFollows bounds how often a repeated request goes from one owner that is gone
-// to the next.
-const maxFollows = 3
+// maxJoinAttempts bounds how many owners that are gone a repeated request tries
+// to join.
+const maxJoinAttempts = 3
 
-// copyAnswer copies an answer of this daemon to its end.
+// copyAnswer copies an answer of this daemon until it has ended.
 func copyAnswer(to, from *answer) {
 	for next := 0; ; {
 		tokens, outcome, changed := from.after(next)
--- a/daemon/instances.go
+++ b/daemon/instances.go
@@ -14,107 +14,107 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// instancesPart reads the platform's lagging list of instances. An unreadable
-// list leaves the last one in use.
-type instancesPart struct {
-	c       *control
-	byID    map[state.InstanceID]platform.Instance
-	next    time.Time
-	reading bool
-	failing bool
-	read    bool // from the platform, in this life
+// instancesTracker reads the platform's list of instances, which lags behind.
+// If the list can't be read, the last one stays in use.
+type instancesTracker struct {
+	c                *control
+	byID             map[state.InstanceID]platform.Instance
+	next             time.Time
+	readInFlight     bool
+	failing          bool
+	readFromPlatform bool // this incarnation has read the list from the platform
 }
 
-// shareTimeout bounds the reading of the list from a peer.
-const shareTimeout = 2 * time.Second
+// peerListTimeout bounds reading the list from a peer.
+const peerListTimeout = 2 * time.Second
 
-func newInstancesPart(c *control) *instancesPart {
-	return &instancesPart{c: c, byID: make(map[state.InstanceID]platform.Instance)}
+func newInstancesTracker(c *control) *instancesTracker {
+	return &instancesTracker{c: c, byID: make(map[state.InstanceID]platform.Instance)}
 }
 
-func (p *instancesPart) nextTick(time.Time) time.Time {
-	if p.reading {
+func (it *instancesTracker) nextTick(time.Time) time.Time {
+	if it.readInFlight {
 		return time.Time{}
 	}
-	if p.next.IsZero() {
-		return p.c.now
+	if it.next.IsZero() {
+		return it.c.now
 	}
-	return p.next
+	return it.next
 }
 
-func (p *instancesPart) tick(now time.Time) {
-	p.reading = true
-	p.next = now.Add(p.c.d.set.Store.InstancesInterval.Std())
+func (it *instancesTracker) tick(now time.Time) {
+	it.readInFlight = true
+	it.next = now.Add(it.c.d.config.Store.InstancesInterval.Std())
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), p.c.d.set.Store.Timeout.Std())
+		ctx, cancel := context.WithTimeout(context.Background(), it.c.d.config.Store.Timeout.Std())
 		defer cancel()
-		list, err := p.c.d.instances.List(ctx)
-		p.c.post(func() { p.heard(list, err) })
+		list, err := it.c.d.instances.List(ctx)
+		it.c.post(func() { it.handleList(list, err) })
 	}()
 }
 
-// seed tells the membership where daemons may be found: those of the list and
-// those of the settings, which help a daemon that starts while the list can't be
-// read.
-func (p *instancesPart) seed(listed []string) {
-	all := lo.Uniq(append(listed, p.c.d.set.Peers.Seeds...))
-	own := p.c.members.self.Meta.PeerAddress
-	p.c.members.step(membership.Seeds{Addresses: lo.Without(all, own)})
+// seed passes the addresses at which daemons may be found to the membership:
+// those of the list and those of the settings. The latter help a daemon that
+// starts while the list can't be read.
+func (it *instancesTracker) seed(listed []string) {
+	all := lo.Uniq(append(listed, it.c.d.config.Peers.Seeds...))
+	own := it.c.members.self.Meta.PeerAddress
+	it.c.members.step(membership.Seeds{Addresses: lo.Without(all, own)})
 }
 
-func (p *instancesPart) heard(list []platform.Instance, err error) {
-	p.reading = false
+func (it *instancesTracker) handleList(list []platform.Instance, err error) {
+	it.readInFlight = false
 	if err != nil {
-		if !p.failing {
-			p.c.d.log.Emit(telemetry.EventInstanceListUnavailable, telemetry.Cause(err))
+		if !it.failing {
+			it.c.d.log.Emit(telemetry.EventInstanceListUnavailable, telemetry.Cause(err))
 		}
-		p.failing = true
-		p.askPeer()
+		it.failing = true
+		it.readFromPeer()
 		return
 	}
-	p.failing = false
-	p.read = true
-	p.take(list)
+	it.failing = false
+	it.readFromPlatform = true
+	it.applyList(list)
 }
 
-// take puts a list into use.
-func (p *instancesPart) take(list []platform.Instance) {
-	p.byID = lo.KeyBy(list, func(i platform.Instance) state.InstanceID { return i.ID })
+// applyList makes a list active.
+func (it *instancesTracker) applyList(list []platform.Instance) {
+	it.byID = lo.KeyBy(list, func(i platform.Instance) state.InstanceID { return i.ID })
 	seeds := lo.FilterMap(list, func(i platform.Instance, _ int) (string, bool) {
 		return i.Address, i.Role == platform.RoleEntry
 	})
-	p.seed(seeds)
-	p.c.slots.route(route.RegionsChanged{Regions: lo.SliceToMap(list, func(i platform.Instance) (state.FailureDomain, state.Region) {
+	it.seed(seeds)
+	it.c.slots.stepRouter(route.RegionsChanged{Regions: lo.SliceToMap(list, func(i platform.Instance) (state.FailureDomain, state.Region) {
 		return i.Domain, i.Region
 	})})
-	p.c.slots.instancesChanged()
+	it.c.slots.instancesChanged()
 }
 
-// askPeer takes the list from a peer where this life has never read it: a daemon
-// that starts while the platform is away would otherwise know the documents and
-// no backend server's address.
-func (p *instancesPart) askPeer() {
-	others := lo.Without(p.c.members.liveIDs(), p.c.d.self.ID)
-	if p.read || len(others) == 0 {
+// readFromPeer reads the list from a peer if this incarnation has never read it
+// from the platform. Without it a daemon that starts while the platform is
+// unavailable would have the documents but no backend server's address.
+func (it *instancesTracker) readFromPeer() {
+	others := lo.Without(it.c.members.liveIDs(), it.c.d.self.ID)
+	if it.readFromPlatform || len(others) == 0 {
 		return
 	}
-	address := p.c.members.address(others[p.c.rng.IntN(len(others))])
+	address := it.c.members.address(others[it.c.rng.IntN(len(others))])
 	go func() {
-		list, err := p.c.d.listOf(address)
+		list, err := it.c.d.peerList(address)
 		if err != nil {
-			return // the next failed reading asks another
+			return // the next failed read tries another peer
 		}
-		p.c.post(func() {
-			if !p.read {
-				p.take(list)
+		it.c.post(func() {
+			if !it.readFromPlatform {
+				it.applyList(list)
 			}
 		})
 	}()
 }
 
-// listOf reads a peer's instance list.
-func (d *Daemon) listOf(address string) ([]platform.Instance, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), shareTimeout)
+// peerList reads a peer's instance list.
+func (d *Daemon) peerList(address string) ([]platform.Instance, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), peerListTimeout)
 	defer cancel()
 	var list []platform.Instance
 	for {
@@ -122,25 +122,25 @@
 		if err != nil {
 			return nil, err
 		}
-		told, ok := res.Msg.(platform.InstanceListPage)
-		if !ok || told.Total == 0 {
+		reply, ok := res.Msg.(platform.InstanceListPage)
+		if !ok || reply.Total == 0 {
 			return nil, platform.ErrNotFound
 		}
-		list = append(list, told.Rows...)
-		if len(told.Rows) == 0 || len(list) >= told.Total {
+		list = append(list, reply.Rows...)
+		if len(reply.Rows) == 0 || len(list) >= reply.Total {
 			return list, nil
 		}
 	}
 }
 
-// told answers a peer that has no list.
-func (p *instancesPart) told(from int) platform.InstanceListPage {
-	ids := lo.Keys(p.byID)
+// listRows answers a peer that has no list.
+func (it *instancesTracker) listRows(from int) platform.InstanceListPage {
+	ids := lo.Keys(it.byID)
 	slices.Sort(ids)
 	end := min(from+platform.MaxInstanceListPage, len(ids))
-	told := platform.InstanceListPage{Total: len(ids)}
+	reply := platform.InstanceListPage{Total: len(ids)}
 	for _, id := range ids[min(from, end):end] {
-		told.Rows = append(told.Rows, p.byID[id])
+		reply.Rows = append(reply.Rows, it.byID[id])
 	}
-	return told
+	return reply
 }
--- a/daemon/layout.go
+++ b/daemon/layout.go
@@ -20,138 +20,141 @@
 )
 
 const (
-	layoutPrefix = "~layout/"             // of a service's row in the table of replicas
-	layoutEvery  = 250 * time.Millisecond // at most
+	layoutPrefix   = "~layout/"             // prefix of a service's layout in the table of replica tables
+	layoutInterval = 250 * time.Millisecond // minimum time between two layouts
 
-	// crossDomain is the time to move one token's activation between two failure
-	// domains of a region, in layer steps. Links are not measured yet.
-	crossDomain = 0.25
+	// crossDomainCost is the time to move one token's activation between two
+	// failure domains of a region, in layer steps. It is an assumption: links
+	// are not measured.
+	crossDomainCost = 0.25
 )
 
-// layoutOf names the layout of a service among the replica tables.
-func layoutOf(id state.ServiceID) state.ServiceID { return layoutPrefix + id }
+// layoutID returns the ID of a service's layout among the replica tables.
+func layoutID(id state.ServiceID) state.ServiceID { return layoutPrefix + id }
 
-// serviceOfLayout is the reverse of layoutOf.
+// serviceOfLayout is the inverse of layoutID.
 func serviceOfLayout(id state.ServiceID) (state.ServiceID, bool) {
 	name, ok := strings.CutPrefix(string(id), layoutPrefix)
 	return state.ServiceID(name), ok
 }
 
-// layoutPart lays the site out while this daemon holds the lease of
-// weights.Service: servers are shared among services, so one daemon decides. Each
-// service's part of the layout is published as replica tables are, and reaches the
-// service's controller wherever that is.
+// layoutComponent computes the layout of the site while this daemon holds the
+// lease weights.LeaseService. One daemon decides for all services because they
+// share the servers. Each service's part of the layout is published as a
+// replica table and so reaches the service's controller at whichever daemon
+// that runs.
 //
-// A holder whose lease has lapsed goes on, so that a lost stage is replaced while
-// the store is down: a successor's layout has a higher number.
-type layoutPart struct {
-	c       *control
-	status  lease.Status
-	next    time.Time
-	adopted state.Nonce // the reign whose layouts were adopted
-	reading bool
-	running bool
-	serial  uint64
-	short   map[state.ServiceID]int // replicas that found no servers, as last told
+// A holder whose lease has lapsed continues, so that a lost stage is replaced
+// while the store is unavailable. A successor's layout has a higher fencing
+// number.
+type layoutComponent struct {
+	c               *control
+	status          lease.Status
+	next            time.Time
+	adoptedTerm     state.Nonce // the lease term whose layouts were adopted
+	reading         bool
+	running         bool
+	serial          uint64
+	missingReplicas map[state.ServiceID]int // replicas without servers, as last logged
 
-	// latest are the layouts that this daemon published; the catalog has them
+	// latest holds the layouts that this daemon published; the catalog has them
 	// only once they are stored.
 	latest map[state.ServiceID]controller.ReplicaTable
 }
 
-// layoutJob is one computation with all that it reads.
+// layoutJob is one computation with a copy of all its inputs.
 type layoutJob struct {
 	documents map[state.ServiceID]*service.Versioned
 	old       placement.Layout
 	input     placement.Input
-	busy      map[state.BackendID]bool // hold layers that no kept chain uses
+	busy      map[state.BackendID]bool // servers with layers that no kept chain uses
 }
 
-func newLayoutPart(c *control) *layoutPart {
-	return &layoutPart{c: c, short: make(map[state.ServiceID]int), latest: make(map[state.ServiceID]controller.ReplicaTable)}
+func newLayoutComponent(c *control) *layoutComponent {
+	return &layoutComponent{c: c, missingReplicas: make(map[state.ServiceID]int), latest: make(map[state.ServiceID]controller.ReplicaTable)}
 }
 
-func (p *layoutPart) nextTick(now time.Time) time.Time {
-	if !standsFor(p.status) {
+func (lc *layoutComponent) nextTick(now time.Time) time.Time {
+	if !mayDecide(lc.status) {
 		return time.Time{}
 	}
-	if p.next.IsZero() {
+	if lc.next.IsZero() {
 		return now
 	}
-	return p.next
+	return lc.next
 }
 
-func (p *layoutPart) lease(st lease.Status) { p.status = st }
+func (lc *layoutComponent) setLeaseStatus(st lease.Status) { lc.status = st }
 
-func (p *layoutPart) tick(now time.Time) {
-	p.next = now.Add(min(layoutEvery, p.c.d.set.Leases.Reconcile.Std()/stepsPerReconcile))
+func (lc *layoutComponent) tick(now time.Time) {
+	lc.next = now.Add(min(layoutInterval, lc.c.d.config.Leases.Reconcile.Std()/stepsPerReconcile))
 	switch {
-	case p.adopted != p.status.TermID:
-		p.adopt()
-	case !p.running && p.c.instances.known():
-		p.compute()
+	case lc.adoptedTerm != lc.status.TermID:
+		lc.adopt()
+	case !lc.running && lc.c.instances.hasList():
+		lc.compute()
 	}
 }
 
-// adopt reads the layouts last published, once in each reign, so that nothing is
-// moved because its holder changed.
-func (p *layoutPart) adopt() {
-	if p.reading {
+// adopt reads the layouts last published, once per lease term, so that a change
+// of the lease holder moves nothing.
+func (lc *layoutComponent) adopt() {
+	if lc.reading {
 		return
 	}
-	p.reading = true
-	ids := p.c.controllers.autoServices()
+	lc.reading = true
+	ids := lc.c.controllers.autoServices()
 	missing := len(ids)
-	reign := p.status.TermID
-	whole := true
+	termID := lc.status.TermID
+	complete := true
 	for _, id := range ids {
-		p.c.tables.newest(layoutOf(id), func(t controller.ReplicaTable, ok bool) {
+		lc.c.tables.newest(layoutID(id), func(t controller.ReplicaTable, ok bool) {
 			missing--
-			whole = whole && ok
-			p.serial = max(p.serial, t.Serial)
+			complete = complete && ok
+			lc.serial = max(lc.serial, t.Serial)
 			if missing > 0 {
 				return
 			}
-			p.reading = false
-			if whole && reign == p.status.TermID {
-				p.adopted = reign
+			lc.reading = false
+			if complete && termID == lc.status.TermID {
+				lc.adoptedTerm = termID
 			}
 		})
 	}
-	p.reading = missing > 0
+	lc.reading = missing > 0
 }
 
-// compute lays the site out on a worker, with a copy of all that it reads.
-func (p *layoutPart) compute() {
-	job := p.job()
+// compute computes the layout in a separate goroutine, on a copy of its inputs.
+func (lc *layoutComponent) compute() {
+	job := lc.newJob()
 	if len(job.documents) == 0 {
 		return
 	}
-	p.running = true
-	reign := p.status.TermID
+	lc.running = true
+	termID := lc.status.TermID
 	go func() {
 		l := job.run()
-		p.c.post(func() {
-			p.running = false
-			if standsFor(p.status) && p.status.TermID == reign {
-				p.publish(job, l)
+		lc.c.post(func() {
+			lc.running = false
+			if mayDecide(lc.status) && lc.status.TermID == termID {
+				lc.publish(job, l)
 			}
 		})
 	}()
 }
 
-func (p *layoutPart) job() layoutJob {
+func (lc *layoutComponent) newJob() layoutJob {
 	job := layoutJob{
 		documents: make(map[state.ServiceID]*service.Versioned),
 		busy:      make(map[state.BackendID]bool),
-		input:     placement.Input{LinkCost: links},
+		input:     placement.Input{LinkCost: linkCost},
 	}
 	kept := make(map[state.BackendID]bool)
-	for _, id := range p.c.controllers.autoServices() {
-		v := p.c.documents.inForce[id]
+	for _, id := range lc.c.controllers.autoServices() {
+		v := lc.c.documents.active[id]
 		job.documents[id] = v
 		job.input.Services = append(job.input.Services, placementService(&v.Document))
-		for _, r := range p.table(id).Replicas {
+		for _, r := range lc.table(id).Replicas {
 			c := placementChain(id, r.Chain)
 			job.old.Chains = append(job.old.Chains, c)
 			same := c.Version == versionKey(&v.Document) && c.Model == v.Document.Model.Name
@@ -160,7 +163,7 @@
 				job.busy[st.Backend] = true
 			}
 		}
-		for _, r := range p.c.controllers.table(id).Replicas {
+		for _, r := range lc.c.controllers.table(id).Replicas {
 			for _, st := range r.Chain.Stages {
 				job.busy[st.Backend] = true
 			}
@@ -171,17 +174,17 @@
 			delete(job.busy, id)
 		}
 	}
-	for _, in := range p.c.controllers.servers() {
-		if !p.c.deaths.leaving(in) {
+	for _, in := range lc.c.controllers.servers() {
+		if !lc.c.deaths.isLeaving(in) {
 			job.input.Servers = append(job.input.Servers, placementServer(in))
 		}
 	}
 	return job
 }
 
-// run places on servers that hold nothing first, so that new chains are loaded
-// beside the running ones. Only what finds no place there goes to servers of
-// chains that are to leave.
+// run prefers servers that hold nothing, so that new chains are loaded while
+// the current ones serve. Only replicas that don't fit there are placed on
+// servers of chains that are to be removed.
 func (j *layoutJob) run() placement.Layout {
 	spare := j.input
 	spare.Servers = lo.Filter(j.input.Servers, func(s placement.Server, _ int) bool { return !j.busy[s.ID] })
@@ -192,77 +195,78 @@
 	return l
 }
 
-// publish tells each service's part that has changed.
-func (p *layoutPart) publish(job layoutJob, l placement.Layout) {
+// publish publishes the layouts of the services whose layout has changed.
+func (lc *layoutComponent) publish(job layoutJob, l placement.Layout) {
 	chains := lo.GroupBy(l.Chains, func(c placement.Chain) state.ServiceID { return c.Service })
 	for _, id := range lo.Keys(job.documents) {
 		v := job.documents[id]
-		if p.c.documents.inForce[id] != v {
-			continue // computed anew for the document that came since
+		if lc.c.documents.active[id] != v {
+			continue // a newer document is active; the next layout uses it
 		}
-		p.tellShort(id, l.Missing[id])
+		lc.reportMissing(id, l.Missing[id])
 		next := lo.Map(chains[id], func(c placement.Chain, _ int) controller.Replica {
 			return controller.Replica{Chain: controllerChain(&v.Document, c)}
 		})
 		slices.SortFunc(next, func(a, b controller.Replica) int { return cmp.Compare(a.Chain.ID, b.Chain.ID) })
-		p.publishOne(id, v.Version, next, l.Missing[id])
+		lc.publishService(id, v.Version, next, l.Missing[id])
 	}
 }
 
-func (p *layoutPart) publishOne(id state.ServiceID, version state.DocumentVersion, next []controller.Replica, missing int) {
-	was := p.table(id)
-	same := slices.EqualFunc(was.Replicas, next, func(a, b controller.Replica) bool { return a.Chain.ID == b.Chain.ID })
-	if same && was.Document == version {
+func (lc *layoutComponent) publishService(id state.ServiceID, version state.DocumentVersion, next []controller.Replica, missing int) {
+	prev := lc.table(id)
+	same := slices.EqualFunc(prev.Replicas, next, func(a, b controller.Replica) bool { return a.Chain.ID == b.Chain.ID })
+	if same && prev.Document == version {
 		return
 	}
-	if len(next) == 0 && len(was.Replicas) > 0 {
-		// Nothing that was asked for fits. What serves is kept until it does.
+	if len(next) == 0 && len(prev.Replicas) > 0 {
+		// None of the requested replicas fits. The current ones are kept until
+		// one does.
 		return
 	}
-	p.serial++
+	lc.serial++
 	t := controller.ReplicaTable{
-		Service: layoutOf(id), Document: version, Fencing: p.status.Fencing, Serial: p.serial, Replicas: next,
+		Service: layoutID(id), Document: version, Fencing: lc.status.Fencing, Serial: lc.serial, Replicas: next,
 	}
 	log := []telemetry.Field{telemetry.Service(id), telemetry.Version(version), telemetry.Count(len(next))}
-	p.c.d.log.Emit(telemetry.EventPlacementChanged, log...)
-	if was.Document == version && missing == 0 {
-		p.c.d.log.Emit(telemetry.EventPlacementRepaired, log...)
+	lc.c.d.log.Emit(telemetry.EventPlacementChanged, log...)
+	if prev.Document == version && missing == 0 {
+		lc.c.d.log.Emit(telemetry.EventPlacementRepaired, log...)
 	}
-	p.latest[id] = t
-	p.c.tables.publish(t, func(uint64) {})
+	lc.latest[id] = t
+	lc.c.tables.publish(t, func(uint64) {})
 }
 
 // table returns the newest layout of a service.
-func (p *layoutPart) table(id state.ServiceID) controller.ReplicaTable {
-	t := p.c.catalog.table(layoutOf(id))
-	if own, ok := p.latest[id]; ok && own.Newer(t) {
+func (lc *layoutComponent) table(id state.ServiceID) controller.ReplicaTable {
+	t := lc.c.catalog.table(layoutID(id))
+	if own, ok := lc.latest[id]; ok && own.Newer(t) {
 		return own
 	}
 	if t.Fencing == 0 {
-		// Nothing was laid out yet: chains that were written by hand stay as
-		// they are where they can.
-		return p.c.controllers.former[id]
+		// There is no layout yet: the previous fixed chains are kept where
+		// possible.
+		return lc.c.controllers.previousFixed[id]
 	}
 	return t
 }
 
-func (p *layoutPart) tellShort(id state.ServiceID, missing int) {
-	if missing == p.short[id] {
+func (lc *layoutComponent) reportMissing(id state.ServiceID, missing int) {
+	if missing == lc.missingReplicas[id] {
 		return
 	}
-	p.short[id] = missing
+	lc.missingReplicas[id] = missing
 	if missing > 0 {
-		p.c.d.log.Emit(telemetry.EventPlacementShort, telemetry.Service(id), telemetry.Count(missing))
+		lc.c.d.log.Emit(telemetry.EventPlacementShort, telemetry.Service(id), telemetry.Count(missing))
 	}
 }
 
-// links is the cost of a hop where nothing is measured: chains keep to one
-// failure domain where they can.
-func links(from, to state.FailureDomain) float64 {
+// linkCost returns the assumed cost of a hop: it keeps chains within one
+// failure domain where possible.
+func linkCost(from, to state.FailureDomain) float64 {
 	if from == to {
 		return 0
 	}
-	return crossDomain
+	return crossDomainCost
 }
 
 func placementService(doc *service.Document) placement.Service {
@@ -279,8 +283,8 @@
 	return placement.Server{ID: state.BackendID(in.ID), Kind: in.Kind, Domain: in.Domain, Region: in.Region}
 }
 
-// versionKey names a version together with its adapters: other adapters make
-// other chains, as another version does.
+// versionKey identifies a model version together with its adapters: a chain
+// with other adapters differs as one with another version does.
 func versionKey(doc *service.Document) string {
 	return joinVersion(doc.Model.Version, doc.Model.Adapters)
 }
@@ -299,8 +303,8 @@
 	return out
 }
 
-// controllerChain names a chain after all that it holds, so that another chain
-// never has its ID.
+// controllerChain derives a chain's ID from a hash of its contents, so that two
+// different chains never share an ID.
 func controllerChain(doc *service.Document, c placement.Chain) controller.Chain {
 	h := xxhash.New()
 	_, _ = fmt.Fprintf(h, "%s\x00%s", c.Model, c.Version)
@@ -315,7 +319,7 @@
 	return out
 }
 
-// known reports whether an instance list was ever taken in.
-func (p *instancesPart) known() bool { return len(p.byID) > 0 }
+// hasList reports whether an instance list was ever applied.
+func (it *instancesTracker) hasList() bool { return len(it.byID) > 0 }
 
 func compareIDs(a, b state.InstanceID) int { return cmp.Compare(a, b) }
--- a/daemon/messages.go
+++ b/daemon/messages.go
@@ -21,7 +21,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// First kinds of each family of messages. A message's kind never changes.
+// First message kind of each family. A message's kind never changes.
 const (
 	kindMembership peer.Kind = 100
 	kindDocuments  peer.Kind = 200
@@ -36,8 +36,8 @@
 	kindQuarantine peer.Kind = 1100
 )
 
-// newRegistry lists every message between daemons. New ones are added at the end
-// of their family.
+// newRegistry registers every message between daemons. New ones are added at
+// the end of their family.
 func newRegistry() *peer.Registry {
 	r := peer.NewRegistry()
 	peer.RegisterMembership(r, kindMembership)
@@ -85,7 +85,8 @@
 	return r
 }
 
-// registerPlacement lists the messages on replica tables, leases and weights.
+// registerPlacement registers the messages on replica tables, leases and
+// weights.
 func registerPlacement(r *peer.Registry) {
 	peer.Register[catalog.Versions](r, kindCatalog)
 	peer.Register[catalog.Pull](r, kindCatalog+1)
@@ -99,8 +100,8 @@
 	peer.Register[weights.Grant](r, kindWeights+1)
 }
 
-// send queues a message for the daemon at address. One that can't be sent is
-// lost, as any message may be.
+// send queues a message for the daemon at address. A message that can't be sent
+// is dropped; the protocols tolerate the loss of any message.
 func (d *Daemon) send(address string, msg any) {
 	if address == "" {
 		return
@@ -108,8 +109,8 @@
 	_ = d.node.Send(address, msg)
 }
 
-// received takes a message of another daemon to its part.
-func (d *Daemon) received(from state.Member, msg any) {
+// handleMessage passes a message of another daemon to its component.
+func (d *Daemon) handleMessage(from state.Member, msg any) {
 	c := d.control
 	c.post(func() {
 		switch msg := msg.(type) {
@@ -118,7 +119,7 @@
 		case documents.Message:
 			c.documents.step(documents.Received{From: from, Msg: msg})
 		case home.Message:
-			c.slots.received(from, msg)
+			c.slots.handleMessage(from, msg)
 		case limit.Message:
 			c.limits.step(limit.Received{From: from, Msg: msg})
 		case quarantine.Message:
@@ -128,32 +129,32 @@
 		case lease.Message:
 			c.leases.step(lease.Received{From: from, Msg: msg})
 		case weights.ShareRequest:
-			c.weights.asked(from, msg)
+			c.weights.handleRequest(from, msg)
 		case weights.Grant:
-			c.weights.granted(msg)
+			c.weights.handleGrant(msg)
 		case streams.Register:
 			c.streams.put(msg.Record)
 		}
 	})
 }
 
-// called answers another daemon's call.
-func (d *Daemon) called(ctx context.Context, _ state.Member, msg any) (any, error) {
+// handleCall answers a call of another daemon.
+func (d *Daemon) handleCall(ctx context.Context, _ state.Member, msg any) (any, error) {
 	switch msg := msg.(type) {
 	case claims.WriteRequest:
 		return d.control.batcher.serve(ctx, msg)
 	case streams.Lookup:
-		found, _ := ask(ctx, d.control, func() streams.LookupResult {
+		found, _ := callControl(ctx, d.control, func() streams.LookupResult {
 			rec, known := d.control.streams.records.Get(d.control.now, msg.Request)
 			return streams.LookupResult{Known: known, Record: rec}
 		})
 		return found, nil
 	case controller.RequestCountQuery:
-		told, _ := ask(ctx, d.control, func() controller.RequestCountReply { return d.control.slots.counts(msg) })
-		return told, nil
+		reply, _ := callControl(ctx, d.control, func() controller.RequestCountReply { return d.control.slots.requestCounts(msg) })
+		return reply, nil
 	case platform.InstanceListRequest:
-		told, _ := ask(ctx, d.control, func() platform.InstanceListPage { return d.control.instances.told(msg.From) })
-		return told, nil
+		reply, _ := callControl(ctx, d.control, func() platform.InstanceListPage { return d.control.instances.listRows(msg.From) })
+		return reply, nil
 	case streams.Pull:
 		return d.servePull(ctx, msg), nil
 	case streams.CancelRequest:
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -13,7 +13,7 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// applyTimeout bounds one edit; the operator repeats it with its edit id.
+// applyTimeout bounds one edit; the operator repeats it with the same edit ID.
 const applyTimeout = 5 * time.Second
 
 // Apply implements caller.Daemon.
@@ -23,12 +23,12 @@
 		d.log.Emit(telemetry.EventDocumentRefused, telemetry.Count(len(faults)))
 		return caller.EditResult{Status: caller.EditInvalid, Faults: service.Texts(faults)}
 	}
-	// What is committed is the canonical text, so that all daemons compare and
-	// patch the same bytes.
+	// The canonical text is committed, so that all daemons compare and patch
+	// the same bytes.
 	e.Text = doc.Encode()
 	answer := make(chan caller.EditResult, 1)
 	deadline := time.Now().Add(applyTimeout)
-	d.control.post(func() { d.control.documents.apply(e, doc.Service, deadline, answer) })
+	d.control.post(func() { d.control.documents.submitEdit(e, doc.Service, deadline, answer) })
 	select {
 	case res := <-answer:
 		d.logEdit(doc.Service, e, res)
@@ -71,9 +71,9 @@
 func (d *Daemon) DaemonStatus(context.Context) caller.DaemonStatus {
 	v := d.view()
 	s := caller.DaemonStatus{
-		ID:        d.set.ID,
+		ID:        d.config.ID,
 		Draining:  v.draining || v.members != nil && v.members.Self.Draining,
-		Isolated:  v.servesNow(time.Now()) == state.ReasonIsolated,
+		Isolated:  v.refusalReason(time.Now()) == state.ReasonIsolated,
 		Active:    d.requests.count(),
 		Documents: versions(v),
 	}
@@ -92,8 +92,8 @@
 	})
 }
 
-// memberStatus describes a member. Its document versions are known here only of
-// this daemon itself; others tell their own at BaseURL.
+// memberStatus describes a member. Document versions are known only for this
+// daemon; the others serve their own at BaseURL.
 func (d *Daemon) memberStatus(i membership.Info, v *view) caller.MemberStatus {
 	m := caller.MemberStatus{
 		Member:  i.Member,
--- a/daemon/operations_test.go
+++ b/daemon/operations_test.go
@@ -16,22 +16,22 @@
 )
 
 // load keeps summaries and notes running at daemons until it is stopped, and
-// counts how they ended.
+// counts their outcomes.
 type load struct {
-	r    *rig
+	h    *harness
 	stop chan struct{}
 	wg   sync.WaitGroup
 
-	mu       sync.Mutex
-	complete int
-	refused  map[state.Reason]int
-	broken   []string
+	mu         sync.Mutex
+	complete   int
+	refused    map[state.Reason]int
+	unexpected []string
 }
 
-// startLoad runs callers that each send one request after another to the given
-// daemons in turn.
-func (r *rig) startLoad(callers int, daemons ...*daemon.Daemon) *load {
-	l := &load{r: r, stop: make(chan struct{}), refused: make(map[state.Reason]int)}
+// startLoad starts callers that each send one request after another,
+// alternating between the given daemons.
+func (h *harness) startLoad(callers int, daemons ...*daemon.Daemon) *load {
+	l := &load{h: h, stop: make(chan struct{}), refused: make(map[state.Reason]int)}
 	for c := range callers {
 		l.wg.Add(1)
 		go func() {
@@ -55,9 +55,9 @@
 		if i%2 == 0 {
 			submission = note(key)
 		}
-		stream, outcome := daemons[(c+i)%len(daemons)].Submit(l.r.ctx, submission)
+		stream, outcome := daemons[(c+i)%len(daemons)].Submit(l.h.ctx, submission)
 		if outcome == nil {
-			_, outcome = l.r.read(stream, -1)
+			_, outcome = l.h.read(stream, -1)
 		}
 		l.count(key, outcome)
 	}
@@ -72,77 +72,78 @@
 	case state.Refused:
 		l.refused[o.Reason]++
 	default:
-		l.broken = append(l.broken, fmt.Sprintf("%s: %#v", key, o))
+		l.unexpected = append(l.unexpected, fmt.Sprintf("%s: %#v", key, o))
 	}
 }
 
-// done counts the requests that have ended whole.
-func (l *load) done() int {
+// completed returns the number of completed requests.
+func (l *load) completed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.complete
 }
 
-// end stops the callers after the request that each has under way.
-func (l *load) end() {
+// stopAndWait stops the callers once their current requests have ended.
+func (l *load) stopAndWait() {
 	close(l.stop)
 	l.wg.Wait()
 }
 
 var _ = Describe("A site under load", func() {
-	// An operator takes one daemon out while callers are at work. None of them
-	// sees a broken answer, and the process ends by itself. Cause: a planned
-	// stop; callers keep the addresses that they were given for a while.
-	It("cuts off no request when a daemon is stopped as planned", Label("failure:planned-stop"), func() {
-		r := newRig(3, time.Millisecond)
-		l := r.startLoad(4, r.Daemons[1])
-		Eventually(l.done).WithTimeout(patience).Should(BeNumerically(">", 4))
-		r.Daemons[1].Drain(r.ctx)
+	// Guards against failed requests in a planned stop: callers use the
+	// addresses that they were given for a while after a daemon has begun to
+	// drain. The process ends by itself.
+	It("interrupts no request when a daemon is drained", Label("failure:planned-stop"), func() {
+		h := newHarness(3, time.Millisecond)
+		l := h.startLoad(4, h.Daemons[1])
+		Eventually(l.completed).WithTimeout(testTimeout).Should(BeNumerically(">", 4))
+		h.Daemons[1].Drain(h.ctx)
 		Eventually(func() []string {
-			return r.Daemons[0].Addresses(r.ctx, caller.AddressQuery{}).Addresses
-		}).WithTimeout(patience).Should(HaveLen(2))
-		before := l.done()
-		Eventually(l.done).WithTimeout(patience).Should(BeNumerically(">", before), "it serves on until its addresses run out")
-		l.end()
-		Eventually(r.Daemons[1].Done()).WithTimeout(patience).Should(BeClosed())
-		Expect(l.broken).To(BeEmpty())
-		r.expectSound()
+			return h.Daemons[0].Addresses(h.ctx, caller.AddressQuery{}).Addresses
+		}).WithTimeout(testTimeout).Should(HaveLen(2))
+		before := l.completed()
+		Eventually(l.completed).WithTimeout(testTimeout).Should(BeNumerically(">", before), "it keeps serving until its address answers expire")
+		l.stopAndWait()
+		Eventually(h.Daemons[1].Done()).WithTimeout(testTimeout).Should(BeClosed())
+		Expect(l.unexpected).To(BeEmpty())
+		h.expectNoViolations()
 	})
 
-	// A backend server is being taken away; the platform's list says so only
-	// much later. No new work reaches it after a few seconds, at any daemon.
-	// Cause: the list lags; the server's own word is read and spread.
+	// Guards against new work on a backend server that leaves. The platform's
+	// list reports it only much later, so the server's own report is polled and
+	// spread to all daemons.
 	It("gives a leaving backend server no new work", Label("failure:backend-leaving", "failure:lagging-instance-list"), func() {
-		r := newRig(3, time.Millisecond)
-		r.Platform.InstanceLag(10 * time.Second)
-		l := r.startLoad(6, r.Daemons...)
-		Eventually(l.done).WithTimeout(patience).Should(BeNumerically(">", 10))
-		leaving := r.Engines[chains.Engine(1, 1)]
+		h := newHarness(3, time.Millisecond)
+		h.Platform.InstanceLag(10 * time.Second)
+		l := h.startLoad(6, h.Daemons...)
+		Eventually(l.completed).WithTimeout(testTimeout).Should(BeNumerically(">", 10))
+		leaving := h.Engines[chains.Engine(1, 1)]
 		leaving.Leave()
-		// Once every daemon knows, a whole round of requests at all of them
-		// brings the leaving server nothing new; that is so after 3 s at most.
+		// Once all daemons know, a round of requests at each of them adds no
+		// work at the leaving server; that takes at most 3 s.
 		Eventually(func(g Gomega) {
-			began, before := leaving.NewAfterLeave(0), l.done()
-			Eventually(l.done).WithTimeout(patience).Should(BeNumerically(">", before+12))
-			g.Expect(leaving.NewAfterLeave(0)).To(Equal(began))
-		}).WithTimeout(patience).Should(Succeed())
-		l.end()
+			startedBefore, before := leaving.NewAfterLeave(0), l.completed()
+			Eventually(l.completed).WithTimeout(testTimeout).Should(BeNumerically(">", before+12))
+			g.Expect(leaving.NewAfterLeave(0)).To(Equal(startedBefore))
+		}).WithTimeout(testTimeout).Should(Succeed())
+		l.stopAndWait()
 		Expect(leaving.NewAfterLeave(3 * time.Second)).To(Equal(0))
-		Expect(r.Engines[chains.Engine(2, 1)].Connections()).To(BeNumerically(">", 0))
-		Expect(l.broken).To(BeEmpty())
-		r.expectSound()
+		Expect(h.Engines[chains.Engine(2, 1)].Connections()).To(BeNumerically(">", 0))
+		Expect(l.unexpected).To(BeEmpty())
+		h.expectNoViolations()
 	})
 
-	// Two operators edit one document at the same moment. One is told that the
-	// edit is accepted, the other that it came second, and what now stands.
-	// Every daemon soon has the accepted one, and none ever goes back.
-	It("accepts one of two edits at one moment", Label("failure:concurrent-edits"), func() {
-		r := newRig(3, time.Millisecond)
-		watch := r.watchVersions()
+	// Guards against lost or reverted edits. Concurrent edits of one document
+	// are based on the same version: one is accepted, the others get a conflict
+	// with the current document. Every daemon soon has the accepted one, and
+	// none goes back to an older one.
+	It("accepts exactly one of several concurrent edits", Label("failure:concurrent-edits"), func() {
+		h := newHarness(3, time.Millisecond)
+		watch := h.watchVersions()
 		accepted := state.DocumentVersion(0)
 		for round := range 5 {
-			base, _ := r.Daemons[0].Document(r.ctx, drafts)
-			results := r.editAtOnce(base.Version, round)
+			base, _ := h.Daemons[0].Document(h.ctx, drafts)
+			results := h.editAtOnce(base.Version, round)
 			won := 0
 			for _, res := range results {
 				if res.Status == caller.EditAccepted {
@@ -154,89 +155,89 @@
 				Expect(res.Current.Version).To(Equal(base.Version + 1))
 			}
 			Expect(won).To(Equal(1))
-			r.awaitVersion(accepted)
+			h.awaitVersion(accepted)
 		}
 		Expect(watch()).To(BeEmpty(), "a daemon went back to an older document")
 	})
 
-	// The table service is down, and in the meantime a daemon is replaced. The
-	// new one serves all the same: it takes the documents from its peers.
-	It("takes documents from peers when the store is down", Label("failure:daemon-replaced-during-store-outage"), func() {
-		r := newRig(3, time.Millisecond)
-		version := r.apply(0, draftsDocument())
-		r.awaitVersion(version)
-		r.Platform.Down(true)
-		r.Daemons[1].Kill()
-		d := r.replaceDaemon(1, func(set *settings.Settings) {
-			set.Peers.Seeds = []string{r.Daemons[0].PeerAddress(), r.Daemons[1].PeerAddress()}
+	// Guards against a daemon that can't start during an outage of the table
+	// service: it reads the documents from its peers.
+	It("reads documents from peers while the store is down", Label("failure:daemon-replaced-during-store-outage"), func() {
+		h := newHarness(3, time.Millisecond)
+		version := h.apply(0, draftsDocument())
+		h.awaitVersion(version)
+		h.Platform.Down(true)
+		h.Daemons[1].Kill()
+		d := h.replaceDaemon(1, func(set *settings.Settings) {
+			set.Peers.Seeds = []string{h.Daemons[0].PeerAddress(), h.Daemons[1].PeerAddress()}
 		})
 		Eventually(func() state.DocumentVersion {
-			v, _ := d.Document(r.ctx, drafts)
+			v, _ := d.Document(h.ctx, drafts)
 			return v.Version
-		}).WithTimeout(patience).Should(Equal(version))
+		}).WithTimeout(testTimeout).Should(Equal(version))
 		Eventually(func(g Gomega) {
-			tokens, outcome := r.read(r.submit(1, summary("a")), -1)
+			tokens, outcome := h.read(h.submit(1, summary("a")), -1)
 			g.Expect(outcome).To(Equal(state.Completed{Tokens: len(tokens)}))
-			expectWhole(tokens, outcome, "a")
-		}).WithTimeout(patience).Should(Succeed())
+			expectComplete(tokens, outcome, "a")
+		}).WithTimeout(testTimeout).Should(Succeed())
 	})
 
-	// One daemon loses both the store and all its peers. It refuses new work
-	// and says that it was not run, since it can't know that its documents are
-	// current; what it runs already goes on.
-	It("takes no new work where documents may be old", Label("failure:isolated-daemon"), func() {
-		r := newRig(3, slowStep)
-		alone := r.Daemons[0]
-		running := r.submit(0, summary("running"))
-		r.read(running, 2)
-		r.Platform.Down(true)
-		r.Daemons[1].Kill()
-		r.Daemons[2].Kill()
-		Eventually(func() bool { return alone.DaemonStatus(r.ctx).Isolated }).WithTimeout(patience).Should(BeTrue())
-		_, outcome := alone.Submit(r.ctx, summary("late"))
+	// Guards against serving with outdated documents. A daemon that has lost
+	// both the store and all peers refuses new work as not run, and finishes
+	// what it already runs.
+	It("refuses new work while its documents may be outdated", Label("failure:isolated-daemon"), func() {
+		h := newHarness(3, slowStepTime)
+		isolated := h.Daemons[0]
+		running := h.submit(0, summary("running"))
+		h.read(running, 2)
+		h.Platform.Down(true)
+		h.Daemons[1].Kill()
+		h.Daemons[2].Kill()
+		Eventually(func() bool { return isolated.DaemonStatus(h.ctx).Isolated }).WithTimeout(testTimeout).Should(BeTrue())
+		_, outcome := isolated.Submit(h.ctx, summary("late"))
 		Expect(outcome).To(BeAssignableToTypeOf(state.Refused{}))
 		Expect(outcome.(state.Refused).Reason).To(Equal(state.ReasonIsolated))
-		_, outcome = r.read(running, -1)
+		_, outcome = h.read(running, -1)
 		Expect(outcome).To(Equal(state.Completed{Tokens: noteTokens}))
-		Expect(r.runs("late")).To(Equal(0))
-		r.Platform.Down(false)
-		Eventually(func() bool { return alone.DaemonStatus(r.ctx).Isolated }).WithTimeout(patience).Should(BeFalse())
+		Expect(h.runCount("late")).To(Equal(0))
+		h.Platform.Down(false)
+		Eventually(func() bool { return isolated.DaemonStatus(h.ctx).Isolated }).WithTimeout(testTimeout).Should(BeFalse())
 	})
 
-	// A new replica comes while callers wait for slots. It takes its part of
-	// the work within seconds; nothing breaks.
+	// Guards against a new replica that stays idle. It joins while callers wait
+	// for slots and serves requests within seconds; no request fails.
 	It("uses a replica that joins under load", Label("failure:instance-joins-under-load"), func() {
-		r := newRig(2, time.Millisecond)
-		l := r.startLoad(24, r.Daemons[0])
-		Eventually(l.done).WithTimeout(patience).Should(BeNumerically(">", 10))
-		r.addReplica(3)
-		Eventually(func() int { return r.Engines[chains.Engine(3, 1)].Served() }).WithTimeout(patience).Should(BeNumerically(">", 0))
-		l.end()
-		Expect(l.broken).To(BeEmpty())
-		r.expectSound()
+		h := newHarness(2, time.Millisecond)
+		l := h.startLoad(24, h.Daemons[0])
+		Eventually(l.completed).WithTimeout(testTimeout).Should(BeNumerically(">", 10))
+		h.addReplica(3)
+		Eventually(func() int { return h.Engines[chains.Engine(3, 1)].Served() }).WithTimeout(testTimeout).Should(BeNumerically(">", 0))
+		l.stopAndWait()
+		Expect(l.unexpected).To(BeEmpty())
+		h.expectNoViolations()
 	})
 
-	// Every daemon is replaced in turn, each while callers are at work at the
-	// others. Callers that re-attach see whole answers.
+	// Guards against failed requests while every daemon is replaced in turn,
+	// each under load at the others.
 	It("replaces every daemon in turn", Label("failure:planned-stop"), func() {
-		r := newRig(3, time.Millisecond)
+		h := newHarness(3, time.Millisecond)
 		for old := range 3 {
-			l := r.startLoad(3, r.Daemons[(old+1)%3])
-			stream := r.submit(old, note(fmt.Sprintf("turn-%d", old)))
-			r.Daemons[old].Drain(r.ctx)
-			_, outcome := r.read(stream, -1)
+			l := h.startLoad(3, h.Daemons[(old+1)%3])
+			stream := h.submit(old, note(fmt.Sprintf("turn-%d", old)))
+			h.Daemons[old].Drain(h.ctx)
+			_, outcome := h.read(stream, -1)
 			Expect(outcome).To(Equal(state.Completed{Tokens: noteTokens}))
-			Eventually(r.Daemons[old].Done()).WithTimeout(patience).Should(BeClosed())
-			r.replaceDaemon(old, nil)
-			l.end()
-			Expect(l.broken).To(BeEmpty())
+			Eventually(h.Daemons[old].Done()).WithTimeout(testTimeout).Should(BeClosed())
+			h.replaceDaemon(old, nil)
+			l.stopAndWait()
+			Expect(l.unexpected).To(BeEmpty())
 		}
-		r.expectSound()
+		h.expectNoViolations()
 	})
 })
 
-// editAtOnce sends one edit of each of three operators at the same moment.
-func (r *rig) editAtOnce(base state.DocumentVersion, round int) []caller.EditResult {
+// editAtOnce sends three concurrent edits, one to each daemon.
+func (h *harness) editAtOnce(base state.DocumentVersion, round int) []caller.EditResult {
 	results := make([]caller.EditResult, 3)
 	var wg sync.WaitGroup
 	for i := range results {
@@ -245,7 +246,7 @@
 			defer wg.Done()
 			doc := draftsDocument()
 			doc.Capacity.QueuePerClass = 100 + 10*round + i
-			results[i] = r.Daemons[i].Apply(r.ctx, caller.Edit{
+			results[i] = h.Daemons[i].Apply(h.ctx, caller.Edit{
 				Base: base, EditID: fmt.Sprintf("operator-%d-%d", i, round), Text: doc.Encode(),
 			})
 		}()
@@ -254,31 +255,32 @@
 	return results
 }
 
-// awaitVersion waits until every live daemon has at least a version in force.
-func (r *rig) awaitVersion(version state.DocumentVersion) {
+// awaitVersion waits until at least this version is active at every live
+// daemon.
+func (h *harness) awaitVersion(version state.DocumentVersion) {
 	GinkgoHelper()
-	for _, d := range r.Live() {
+	for _, d := range h.Live() {
 		Eventually(func() state.DocumentVersion {
-			v, _ := d.Document(r.ctx, drafts)
+			v, _ := d.Document(h.ctx, drafts)
 			return v.Version
-		}).WithTimeout(patience).Should(BeNumerically(">=", version))
+		}).WithTimeout(testTimeout).Should(BeNumerically(">=", version))
 	}
 }
 
-// watchVersions reads every daemon's version all the time; the returned function
-// stops it and lists every step back that was seen.
-func (r *rig) watchVersions() func() []string {
-	ctx, cancel := context.WithCancel(r.ctx)
+// watchVersions reads every daemon's version continuously. The returned
+// function stops it and returns every decrease that was seen.
+func (h *harness) watchVersions() func() []string {
+	ctx, cancel := context.WithCancel(h.ctx)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var reverts []string
-	for i, d := range r.Daemons {
+	for i, d := range h.Daemons {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			last := state.DocumentVersion(0)
 			for ctx.Err() == nil {
-				v, _ := d.Document(r.ctx, drafts)
+				v, _ := d.Document(h.ctx, drafts)
 				if v.Version < last {
 					mu.Lock()
 					reverts = append(reverts, fmt.Sprintf("daemon %d: %d after %d", i, v.Version, last))
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -13,7 +13,6 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// orderKinds maps one to one.
 var orderKinds = map[controller.OrderKind]engine.OrderKind{
 	controller.OrderLoad:    engine.OrderLoad,
 	controller.OrderUnload:  engine.OrderUnload,
@@ -26,16 +25,17 @@
 	engine.OrderRefused: controller.StatusRefused,
 }
 
-// order sends one order. The lease is asked for once more here, and the clock
-// again when the call leaves: the process may be paused at any point between.
-func (s *serviceController) order(a controller.Order) {
+// sendOrder sends one order. The lease is checked again here, and the deadline
+// once more when the call is sent, because the process may be paused in
+// between.
+func (s *serviceController) sendOrder(a controller.Order) {
 	address, ok := s.c.instances.address(a.Backend)
-	holds := a.NotAfter.IsZero() || s.c.leases.m.Holds(s.service, time.Now())
+	holds := a.NotAfter.IsZero() || s.c.leases.machine.Holds(s.service, time.Now())
 	if !ok || !holds {
-		s.c.later(func() { s.step(controller.ResultUnknown{Call: a.Call}) })
+		s.c.afterStep(func() { s.step(controller.ResultUnknown{Call: a.Call}) })
 		return
 	}
-	s.noteOrder(a)
+	s.logOrder(a)
 	d := s.c.d
 	o := engine.Order{
 		Kind: orderKinds[a.Kind], FencingNumber: a.Fencing, Service: s.service,
@@ -43,38 +43,38 @@
 		Layers: a.Assignment.Layers, Role: a.Assignment.Role,
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), d.askTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), d.queryTimeout)
 		defer cancel()
 		if !a.NotAfter.IsZero() && !time.Now().Before(a.NotAfter) {
 			s.c.post(func() { s.step(controller.ResultUnknown{Call: a.Call}) })
 			return
 		}
 		res, err := d.clients.engine(address).Order(ctx, o)
-		s.c.post(func() { s.ordered(a, res, err) })
+		s.c.post(func() { s.handleOrderResult(a, res, err) })
 	}()
 }
 
-// noteOrder logs an order. One that repeats what a server which ignores fencing
-// numbers had already taken undoes the order of a former holder.
-func (s *serviceController) noteOrder(a controller.Order) {
+// logOrder logs an order. One that repeats an order already applied by a server
+// that ignores fencing numbers undoes a stale order of a former holder.
+func (s *serviceController) logOrder(a controller.Order) {
 	fields := []telemetry.Field{
 		telemetry.Service(s.service), telemetry.Backend(a.Backend),
 		telemetry.Fencing(a.Fencing), telemetry.Detail(string(a.Kind)),
 	}
 	s.c.d.metrics.Add(telemetry.OrdersTotal, 1)
 	s.c.d.log.Emit(telemetry.EventOrderSent, fields...)
-	was, ok := s.applied[a.Backend]
-	if ok && !a.NotAfter.IsZero() && sameHolding(was, a.Assignment) {
+	prev, ok := s.applied[a.Backend]
+	if ok && !a.NotAfter.IsZero() && sameAssignment(prev, a.Assignment) {
 		s.c.d.log.Emit(telemetry.EventOrderUndone, fields...)
 	}
 }
 
-func sameHolding(a, b controller.Assignment) bool {
+func sameAssignment(a, b controller.Assignment) bool {
 	return a.Model == b.Model && a.Version == b.Version && a.Layers == b.Layers && a.Role == b.Role
 }
 
-func (s *serviceController) ordered(a controller.Order, res engine.OrderResult, err error) {
-	s.c.deaths.heard(a.Backend, err == nil)
+func (s *serviceController) handleOrderResult(a controller.Order, res engine.OrderResult, err error) {
+	s.c.deaths.recordAnswer(a.Backend, err == nil)
 	if err != nil {
 		s.step(controller.ResultUnknown{Call: a.Call})
 		return
@@ -90,16 +90,16 @@
 func (s *serviceController) readState(a controller.ReadState) {
 	address, ok := s.c.instances.address(a.Backend)
 	if !ok {
-		s.c.later(func() { s.step(controller.ResultUnknown{Call: a.Call}) })
+		s.c.afterStep(func() { s.step(controller.ResultUnknown{Call: a.Call}) })
 		return
 	}
 	d := s.c.d
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), d.askTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), d.queryTimeout)
 		defer cancel()
 		st, err := d.clients.engine(address).State(ctx)
 		s.c.post(func() {
-			s.c.deaths.heard(a.Backend, err == nil)
+			s.c.deaths.recordAnswer(a.Backend, err == nil)
 			if err != nil {
 				s.step(controller.ResultUnknown{Call: a.Call})
 				return
@@ -120,15 +120,15 @@
 	}
 }
 
-// address returns where a backend server is reached.
-func (p *instancesPart) address(id state.BackendID) (string, bool) {
-	in, ok := p.byID[state.InstanceID(id)]
+// address returns the address of a backend server.
+func (it *instancesTracker) address(id state.BackendID) (string, bool) {
+	in, ok := it.byID[state.InstanceID(id)]
 	return in.Address, ok
 }
 
-// askRunning asks the homes of replicas and the servers for their counts of
-// requests. What is not answered is asked again while the chain drains.
-func (s *serviceController) askRunning(a controller.QueryRequestCounts) {
+// queryRequestCounts queries the homes of replicas and the servers for their
+// numbers of requests. Unanswered queries are repeated while the chain drains.
+func (s *serviceController) queryRequestCounts(a controller.QueryRequestCounts) {
 	byHome := make(map[state.DaemonID][]state.ReplicaID)
 	for _, id := range a.Replicas {
 		if at, ok := s.c.slots.router.HomeOf(id); ok {
@@ -136,39 +136,39 @@
 		}
 	}
 	for at, ids := range byHome {
-		s.askHome(at, controller.RequestCountQuery{Replicas: ids})
+		s.queryHome(at, controller.RequestCountQuery{Replicas: ids})
 	}
 	for _, id := range a.Backends {
 		if address, ok := s.c.instances.address(id); ok {
-			go s.askLoad(id, address)
+			go s.queryLoad(id, address)
 		}
 	}
 }
 
-func (s *serviceController) askHome(at state.DaemonID, q controller.RequestCountQuery) {
-	if at == s.c.d.self.ID {
-		s.c.later(func() { s.counted(s.c.slots.counts(q)) })
+func (s *serviceController) queryHome(home state.DaemonID, q controller.RequestCountQuery) {
+	if home == s.c.d.self.ID {
+		s.c.afterStep(func() { s.applyCounts(s.c.slots.requestCounts(q)) })
 		return
 	}
-	d, address := s.c.d, s.c.members.address(at)
+	d, address := s.c.d, s.c.members.address(home)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), d.askTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), d.queryTimeout)
 		defer cancel()
 		res, err := d.node.Call(ctx, address, q)
-		if told, ok := res.Msg.(controller.RequestCountReply); err == nil && ok {
-			s.c.post(func() { s.counted(told) })
+		if reply, ok := res.Msg.(controller.RequestCountReply); err == nil && ok {
+			s.c.post(func() { s.applyCounts(reply) })
 		}
 	}()
 }
 
-func (s *serviceController) counted(told controller.RequestCountReply) {
-	for _, n := range told.Counts {
+func (s *serviceController) applyCounts(reply controller.RequestCountReply) {
+	for _, n := range reply.Counts {
 		s.step(controller.ReplicaRequests(n))
 	}
 }
 
-func (s *serviceController) askLoad(id state.BackendID, address string) {
-	ctx, cancel := context.WithTimeout(context.Background(), s.c.d.askTimeout)
+func (s *serviceController) queryLoad(id state.BackendID, address string) {
+	ctx, cancel := context.WithTimeout(context.Background(), s.c.d.queryTimeout)
 	defer cancel()
 	load, err := s.c.d.clients.engine(address).Load(ctx)
 	if err == nil {
@@ -176,16 +176,16 @@
 	}
 }
 
-// counts answers a controller that waits for replicas to drain.
-func (p *slotsPart) counts(q controller.RequestCountQuery) controller.RequestCountReply {
+// requestCounts answers a controller that waits until replicas are drained.
+func (sc *slotsComponent) requestCounts(q controller.RequestCountQuery) controller.RequestCountReply {
 	return controller.RequestCountReply{Counts: lo.FilterMap(q.Replicas, func(id state.ReplicaID, _ int) (controller.ReplicaCount, bool) {
-		n, known := p.homes.InFlight(id)
+		n, known := sc.homes.InFlight(id)
 		return controller.ReplicaCount{Replica: id, Count: n}, known
 	})}
 }
 
-// standsFor reports whether a lease lets its holder decide: also one that has
-// lapsed, since a successor's decisions carry a higher number.
-func standsFor(st lease.Status) bool {
+// mayDecide reports whether a lease state lets its holder decide. A lapsed
+// lease does, since a successor's decisions carry a higher fencing number.
+func mayDecide(st lease.Status) bool {
 	return st.State != lease.None
 }
--- a/daemon/placement_test.go
+++ b/daemon/placement_test.go
@@ -27,21 +27,21 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/enginehttp"
 )
 
-// Engines of two kinds: a replica takes two of either.
+// Two kinds of engine; a replica needs two engines of either.
 var (
-	checking = site.Spares{Prefix: "large", Kind: "large", ChecksFencing: true, ModelLayers: 8, Domain: site.Domains[0]}
-	ignoring = site.Spares{Prefix: "small", Kind: "small", ModelLayers: 8, Domain: site.Domains[1]}
+	fencedSpares   = site.Spares{Prefix: "large", Kind: "large", ChecksFencing: true, ModelLayers: 8, Domain: site.Domains[0]}
+	unfencedSpares = site.Spares{Prefix: "small", Kind: "small", ModelLayers: 8, Domain: site.Domains[1]}
 )
 
-// placed is a site whose drafts are placed automatically.
-type placed struct {
-	*rig
+// autoHarness is a cluster with automatic placement of the drafts service.
+type autoHarness struct {
+	*harness
 	log *eventLog
 }
 
-// newPlaced starts daemons before engines that hold nothing, and has the drafts
-// placed on them.
-func newPlaced(daemons, large, small, replicas int) *placed {
+// newAutoHarness starts daemons and empty engines, and waits until the drafts
+// service is placed on them.
+func newAutoHarness(daemons, large, small, replicas int) *autoHarness {
 	GinkgoHelper()
 	log := &eventLog{}
 	s, err := site.New(telemetry.NewLog(telemetry.LogConfig{Level: "debug", Output: io.MultiWriter(GinkgoWriter, log)}))
@@ -49,54 +49,55 @@
 	DeferCleanup(s.Close)
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
-	r := &placed{rig: &rig{Site: s, ctx: ctx}, log: log}
-	for _, spares := range []site.Spares{checking, ignoring} {
+	h := &autoHarness{harness: &harness{Site: s, ctx: ctx}, log: log}
+	for _, spares := range []site.Spares{fencedSpares, unfencedSpares} {
 		spares.Count = large
-		if spares.Kind == ignoring.Kind {
+		if spares.Kind == unfencedSpares.Kind {
 			spares.Count = small
 		}
 		Expect(s.AddSpares(spares, standin.EngineConfig{StepTime: time.Millisecond, LayerLoadTime: 5 * time.Millisecond})).To(Succeed())
 	}
 	for range daemons {
-		r.addDaemon(nil)
+		h.addDaemon(nil)
 	}
-	r.apply(0, placedDocument("1", replicas))
-	r.awaitServing(1)
-	r.awaitPlaced("1", replicas)
-	return r
+	h.apply(0, autoDocument("1", replicas))
+	h.awaitServing(1)
+	h.awaitPlaced("1", replicas)
+	return h
 }
 
-func placedDocument(version string, replicas int) service.Document {
+func autoDocument(version string, replicas int) service.Document {
 	doc := draftsDocument()
 	doc.Model.Version = version
 	doc.Capacity.Replicas = replicas
 	doc.Placement = service.Placement{Mode: service.PlacementAuto}
 	doc.BackendKinds = []service.BackendKind{
-		{Kind: checking.Kind, ChecksFencing: true, Speed: 1, MemoryLayers: 4},
-		{Kind: ignoring.Kind, Speed: 0.5, MemoryLayers: 4},
+		{Kind: fencedSpares.Kind, ChecksFencing: true, Speed: 1, MemoryLayers: 4},
+		{Kind: unfencedSpares.Kind, Speed: 0.5, MemoryLayers: 4},
 	}
 	return doc
 }
 
-// awaitLoaded waits until engines hold whole replicas of a version.
-func (r *placed) awaitLoaded(version string, replicas int) {
+// awaitLoaded waits until engines hold complete replicas of a version.
+func (h *autoHarness) awaitLoaded(version string, replicas int) {
 	GinkgoHelper()
-	Eventually(func() int { return r.held(version) }).WithTimeout(patience).Should(Equal(replicas * chains.Layers))
+	Eventually(func() int { return h.loadedLayers(version) }).WithTimeout(testTimeout).Should(Equal(replicas * chains.Layers))
 }
 
-// awaitPlaced waits until engines hold whole replicas of a version, and no other.
-func (r *placed) awaitPlaced(version string, replicas int) {
+// awaitPlaced waits until engines hold complete replicas of a version and
+// nothing else.
+func (h *autoHarness) awaitPlaced(version string, replicas int) {
 	GinkgoHelper()
 	Eventually(func(g Gomega) {
-		g.Expect(r.held(version)).To(Equal(replicas * chains.Layers))
-		g.Expect(r.layers(checking.Kind) + r.layers(ignoring.Kind)).To(Equal(replicas * chains.Layers))
-	}).WithTimeout(patience).Should(Succeed())
+		g.Expect(h.loadedLayers(version)).To(Equal(replicas * chains.Layers))
+		g.Expect(h.layersOnKind(fencedSpares.Kind) + h.layersOnKind(unfencedSpares.Kind)).To(Equal(replicas * chains.Layers))
+	}).WithTimeout(testTimeout).Should(Succeed())
 }
 
-// held counts the layers of a version that live engines hold.
-func (r *placed) held(version string) int {
+// loadedLayers counts the layers of a version that live engines hold.
+func (h *autoHarness) loadedLayers(version string) int {
 	sum := 0
-	for _, e := range r.Engines {
+	for _, e := range h.Engines {
 		if st := e.State(); e.Alive() && !st.Loading && st.Version == version {
 			sum += st.Layers.Len()
 		}
@@ -104,19 +105,19 @@
 	return sum
 }
 
-// awaitWhole waits until a request gets its whole answer at a daemon.
-func (r *placed) awaitWhole(n int, key string) {
+// awaitComplete waits until a request at a daemon is answered completely.
+func (h *autoHarness) awaitComplete(n int, key string) {
 	GinkgoHelper()
 	Eventually(func(g Gomega) {
 		k := fmt.Sprintf("%s-%d", key, time.Now().UnixNano())
-		stream, refused := r.Daemons[n].Submit(r.ctx, summary(k))
+		stream, refused := h.Daemons[n].Submit(h.ctx, summary(k))
 		g.Expect(refused).To(BeNil())
-		tokens, outcome := r.read(stream, -1)
+		tokens, outcome := h.read(stream, -1)
 		g.Expect(outcome).To(Equal(state.Completed{Tokens: len(tokens)}))
-	}).WithTimeout(patience).Should(Succeed())
+	}).WithTimeout(testTimeout).Should(Succeed())
 }
 
-// eventLog counts the lines of a site's log by event.
+// eventLog counts the log lines of a cluster by event.
 type eventLog struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -128,7 +129,7 @@
 	return l.text.Write(p)
 }
 
-// count counts the lines of an event that are about the drafts.
+// count counts the lines of an event for the drafts service.
 func (l *eventLog) count(event string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,15 +142,15 @@
 	return n
 }
 
-// holder returns which daemon the drafts' lease row names; -1 for none.
-func (r *placed) holder() int {
-	for _, row := range r.Platform.Rows(lease.Table) {
+// holder returns the index of the daemon in the drafts lease row, or -1.
+func (h *autoHarness) holder() int {
+	for _, row := range h.Platform.Rows(lease.Table) {
 		var l lease.Row
 		if row.Key != string(drafts) || json.Unmarshal(row.Value, &l) != nil {
 			continue
 		}
-		for n, d := range r.Daemons {
-			if d.DaemonStatus(r.ctx).ID == l.Holder.ID {
+		for n, d := range h.Daemons {
+			if d.DaemonStatus(h.ctx).ID == l.Holder.ID {
 				return n
 			}
 		}
@@ -157,19 +158,19 @@
 	return -1
 }
 
-// awaitHolder waits until another daemon than n holds the drafts' lease.
-func (r *placed) awaitHolder(n int) int {
+// awaitHolder waits until a daemon other than n holds the drafts lease.
+func (h *autoHarness) awaitHolder(n int) int {
 	GinkgoHelper()
-	Eventually(r.holder).WithTimeout(patience).ShouldNot(Or(Equal(n), Equal(-1)))
-	return r.holder()
+	Eventually(h.holder).WithTimeout(testTimeout).ShouldNot(Or(Equal(n), Equal(-1)))
+	return h.holder()
 }
 
-// awaitOwnChains waits until replicas of the controller's own chains are published,
-// and no others.
-func (r *placed) awaitOwnChains(replicas int) {
+// awaitOwnChains waits until the published table has only replicas of the
+// controller's own chains.
+func (h *autoHarness) awaitOwnChains(replicas int) {
 	GinkgoHelper()
 	Eventually(func(g Gomega) {
-		rows := lo.Filter(r.Platform.Rows(catalog.Table), func(row platform.Row, _ int) bool { return row.Key == string(drafts) })
+		rows := lo.Filter(h.Platform.Rows(catalog.Table), func(row platform.Row, _ int) bool { return row.Key == string(drafts) })
 		g.Expect(rows).To(HaveLen(1))
 		var t controller.ReplicaTable
 		g.Expect(json.Unmarshal(rows[0].Value, &t)).To(Succeed())
@@ -177,22 +178,23 @@
 		for _, replica := range t.Replicas {
 			g.Expect(string(replica.Chain.ID)).NotTo(HavePrefix("drafts/" + chains.Prefix))
 		}
-	}).WithTimeout(patience).Should(Succeed())
+	}).WithTimeout(testTimeout).Should(Succeed())
 }
 
-// took reports how long a recovery took; nothing is asserted of it.
-func took(what string, since time.Time) {
+// reportDuration adds the duration of a recovery to the test report; there is
+// no assertion on it.
+func reportDuration(what string, since time.Time) {
 	AddReportEntry(what, time.Since(since).Round(10*time.Millisecond).String())
 }
 
-// load runs requests at all live daemons until the returned function is called,
-// which expects that each ran once and to its end.
-func (r *placed) load() (stop func()) {
+// load sends requests to all live daemons until the returned function is
+// called. It expects that each ran once and completed.
+func (h *autoHarness) load() (stop func()) {
 	GinkgoHelper()
-	r.awaitLimits()
+	h.awaitLimits()
 	var wg sync.WaitGroup
 	var ended atomic.Bool
-	for i := range 2 * len(r.Daemons) {
+	for i := range 2 * len(h.Daemons) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -202,9 +204,9 @@
 				if n%2 == 0 {
 					s.Class = "note"
 				}
-				tokens, outcome := r.read(r.submit(i%len(r.Daemons), s), -1)
-				expectWhole(tokens, outcome, string(s.IdempotencyKey))
-				Expect(r.runs(string(s.IdempotencyKey))).To(Equal(1))
+				tokens, outcome := h.read(h.submit(i%len(h.Daemons), s), -1)
+				expectComplete(tokens, outcome, string(s.IdempotencyKey))
+				Expect(h.runCount(string(s.IdempotencyKey))).To(Equal(1))
 			}
 		}()
 	}
@@ -215,123 +217,119 @@
 }
 
 var _ = Describe("A service placed automatically", func() {
-	// A team writes a document without a word of servers. Both kinds of engine,
-	// those that check fencing numbers and those that don't, are loaded and serve
-	// at every daemon. An edit that fits on no engines leaves them as they are.
+	// Both kinds of engine, with and without checks of fencing numbers, are
+	// loaded and serve at every daemon. An edit that fits on no engine leaves
+	// the loaded ones unchanged.
 	It("is loaded on both kinds of engine and serves", func() {
-		r := newPlaced(3, 2, 2, 2)
-		for n := range r.Daemons {
-			r.awaitWhole(n, "first")
+		h := newAutoHarness(3, 2, 2, 2)
+		for n := range h.Daemons {
+			h.awaitComplete(n, "first")
 		}
-		doc := placedDocument("2", 2)
+		doc := autoDocument("2", 2)
 		doc.BackendKinds[0].MemoryLayers, doc.BackendKinds[1].MemoryLayers = 1, 1
-		r.apply(0, doc)
-		Eventually(func() int { return r.log.count("placement_short") }).WithTimeout(patience).Should(Equal(1))
-		Consistently(func() int { return r.held("1") }).WithTimeout(400 * time.Millisecond).Should(Equal(2 * chains.Layers))
-		r.awaitWhole(0, "second")
-		r.expectSound()
+		h.apply(0, doc)
+		Eventually(func() int { return h.log.count("placement_short") }).WithTimeout(testTimeout).Should(Equal(1))
+		Consistently(func() int { return h.loadedLayers("1") }).WithTimeout(400 * time.Millisecond).Should(Equal(2 * chains.Layers))
+		h.awaitComplete(0, "second")
+		h.expectNoViolations()
 	})
 
-	// A clerk reads a summary when a stage of its chain dies. The clerk sees a
-	// pause and then the rest. Soon the service has two replicas again: a spare
-	// holds the lost layers, and the chain's other stage was not loaded anew.
-	// Cause: a stage is lost with its memory.
-	It("repairs a chain that lost a stage with a spare", Label("failure:stage-dies-mid-stream"), func() {
-		r := newPlaced(3, 3, 2, 2)
-		r.awaitLimits()
-		stream := r.submit(0, summary("a"))
-		first, _ := r.read(stream, 3)
+	// Guards against a service that stays short of a replica after a stage
+	// died. A spare engine loads the lost layers; the other stage of the chain
+	// is not loaded again.
+	It("replaces the lost stage of a chain by a spare engine", Label("failure:stage-dies-mid-stream"), func() {
+		h := newAutoHarness(3, 3, 2, 2)
+		h.awaitLimits()
+		stream := h.submit(0, summary("a"))
+		first, _ := h.read(stream, 3)
 		var lost state.BackendID
-		for id, e := range r.Engines {
+		for id, e := range h.Engines {
 			if e.Runs(stream.ID()) && e.State().Layers.First > 0 {
 				lost = id
 			}
 		}
 		Expect(lost).NotTo(BeEmpty())
-		began := time.Now()
-		r.Engines[lost].Kill()
-		rest, outcome := r.read(stream, -1)
-		expectWhole(append(first, rest...), outcome, "a")
-		r.awaitPlaced("1", 2)
-		took("stage death to repaired", began)
-		for id, e := range r.Engines {
+		start := time.Now()
+		h.Engines[lost].Kill()
+		rest, outcome := h.read(stream, -1)
+		expectComplete(append(first, rest...), outcome, "a")
+		h.awaitPlaced("1", 2)
+		reportDuration("stage death to repaired", start)
+		for id, e := range h.Engines {
 			loads := lo.CountBy(e.Orders(), func(o engine.Order) bool { return o.Kind == engine.OrderLoad })
 			Expect(loads).To(BeNumerically("<=", 1), "loads of %s", id)
 		}
-		for n := range r.Daemons {
-			r.awaitWhole(n, "after")
+		for n := range h.Daemons {
+			h.awaitComplete(n, "after")
 		}
-		r.expectSound()
+		h.expectNoViolations()
 	})
 
-	// A new version is rolled out in the busy hour, with too few engines for both
-	// versions at one time; two more join meanwhile. No caller sees anything: each
-	// request runs once and to its end, also those that may not be repeated. Cause:
-	// the chains of the old version are replaced while they have work.
-	It("rolls a new version out under load without breaking a request", Label("failure:instance-joins-under-load"), func() {
-		r := newPlaced(3, 2, 2, 2)
-		stop := r.load()
-		began := time.Now()
-		r.apply(0, placedDocument("2", 2))
-		joined := checking
+	// Guards against failed or repeated requests during a roll-out. There are
+	// too few engines for both versions at once, two more join meanwhile, and
+	// the chains of the old version are replaced while they serve.
+	It("rolls out a new version under load without failing a request", Label("failure:instance-joins-under-load"), func() {
+		h := newAutoHarness(3, 2, 2, 2)
+		stop := h.load()
+		start := time.Now()
+		h.apply(0, autoDocument("2", 2))
+		joined := fencedSpares
 		joined.Prefix = "joined"
 		joined.Count = 2
-		Expect(r.AddSpares(joined, standin.EngineConfig{StepTime: time.Millisecond, LayerLoadTime: 5 * time.Millisecond})).To(Succeed())
-		r.awaitPlaced("2", 2)
-		took("edit to rolled out", began)
+		Expect(h.AddSpares(joined, standin.EngineConfig{StepTime: time.Millisecond, LayerLoadTime: 5 * time.Millisecond})).To(Succeed())
+		h.awaitPlaced("2", 2)
+		reportDuration("edit to rolled out", start)
 		stop()
-		r.expectSound()
+		h.expectNoViolations()
 	})
 
-	// A team whose chains were written by hand hands the placement over under load.
-	// No caller sees anything, and nothing is loaded anew: the engines already hold
-	// what is wanted.
-	It("takes chains over that were fixed before", func() {
-		r := &placed{rig: newRig(3, time.Millisecond), log: &eventLog{}}
-		stop := r.load()
-		doc := placedDocument("1", chains.Replicas)
-		r.apply(0, doc)
-		Eventually(r.holder).WithTimeout(patience).ShouldNot(Equal(-1))
-		r.awaitOwnChains(chains.Replicas)
+	// Guards against reloads when a service is switched from fixed to automatic
+	// placement under load: the engines already hold the requested layers.
+	It("adopts chains that were fixed before", func() {
+		h := &autoHarness{harness: newHarness(3, time.Millisecond), log: &eventLog{}}
+		stop := h.load()
+		doc := autoDocument("1", chains.Replicas)
+		h.apply(0, doc)
+		Eventually(h.holder).WithTimeout(testTimeout).ShouldNot(Equal(-1))
+		h.awaitOwnChains(chains.Replicas)
 		stop()
-		for id, e := range r.Engines {
+		for id, e := range h.Engines {
 			Expect(lo.CountBy(e.Orders(), func(o engine.Order) bool { return o.Kind != engine.OrderSetRole })).To(BeZero(), "orders to %s", id)
 		}
-		r.expectSound()
+		h.expectNoViolations()
 	})
 
-	// The platform takes an engine back under load, and the engine says so. No
-	// caller sees anything: a spare is loaded, the chain of the engine that leaves
-	// drains meanwhile, and then another chain has its place.
-	It("replaces an engine that leaves without breaking a request", Label("failure:backend-leaving"), func() {
-		r := newPlaced(3, 3, 2, 2)
-		stop := r.load()
-		began := time.Now()
-		id := r.holding(checking.Kind)
-		r.Engines[id].Leave()
-		Eventually(func() int { return r.Engines[id].State().Layers.Len() }).WithTimeout(patience).Should(BeZero())
-		took("word of leaving to drained", began)
-		r.awaitPlaced("1", 2)
+	// Guards against failed requests when the platform removes an engine under
+	// load. The engine reports that it is leaving; a spare is loaded while its
+	// chain drains, and a new chain replaces it.
+	It("replaces a leaving engine without failing a request", Label("failure:backend-leaving"), func() {
+		h := newAutoHarness(3, 3, 2, 2)
+		stop := h.load()
+		start := time.Now()
+		id := h.loadedEngine(fencedSpares.Kind)
+		h.Engines[id].Leave()
+		Eventually(func() int { return h.Engines[id].State().Layers.Len() }).WithTimeout(testTimeout).Should(BeZero())
+		reportDuration("leaving report to drained", start)
+		h.awaitPlaced("1", 2)
 		stop()
-		r.expectSound()
+		h.expectNoViolations()
 	})
 
-	// A second team's service comes to the same site. Each has its own engines, and
-	// neither is loaded on the other's. Cause: each service has a controller of its
-	// own, at another daemon perhaps.
+	// Guards against orders to another service's engines. The controllers of
+	// two services on one site may run at different daemons.
 	It("shares the site with another service", func() {
-		r := newPlaced(3, 4, 0, 1)
-		doc := placedDocument("1", 1)
+		h := newAutoHarness(3, 4, 0, 1)
+		doc := autoDocument("1", 1)
 		doc.Service = "checks"
-		r.apply(0, doc)
+		h.apply(0, doc)
 		Eventually(func() map[state.ServiceID]int {
 			held := make(map[state.ServiceID]int)
-			for _, e := range r.Engines {
+			for _, e := range h.Engines {
 				held[e.State().Service] += e.State().Layers.Len()
 			}
 			return held
-		}).WithTimeout(patience).Should(Equal(map[state.ServiceID]int{drafts: chains.Layers, "checks": chains.Layers}))
-		for id, e := range r.Engines {
+		}).WithTimeout(testTimeout).Should(Equal(map[state.ServiceID]int{drafts: chains.Layers, "checks": chains.Layers}))
+		for id, e := range h.Engines {
 			Expect(e.Orders()).NotTo(BeEmpty(), "%s", id)
 			for _, o := range e.Orders() {
 				Expect(o.Service).To(Equal(e.State().Service), "order to %s", id)
@@ -339,96 +337,96 @@
 		}
 	})
 
-	// The daemon that controls the service dies. Nobody notices; an edit made
-	// afterwards is carried out as ever. Cause: its lease runs out and another
-	// daemon takes it.
-	It("is controlled by another daemon once its holder died", Label("failure:daemon-dies-mid-stream"), func() {
-		r := newPlaced(3, 4, 0, 1)
-		n := r.holder()
-		began := time.Now()
-		r.Daemons[n].Kill()
-		next := r.awaitHolder(n)
-		took("holder death to takeover", began)
-		r.apply(next, placedDocument("2", 1))
-		r.awaitLoaded("2", 1)
-		took("holder death to a later edit carried out", began)
-		r.awaitWhole(next, "after")
-		r.expectSound()
+	// Guards against a service without a controller after the lease holder
+	// died. The lease expires, another daemon acquires it and applies later
+	// edits.
+	It("is controlled by another daemon after the lease holder dies", Label("failure:daemon-dies-mid-stream"), func() {
+		h := newAutoHarness(3, 4, 0, 1)
+		n := h.holder()
+		start := time.Now()
+		h.Daemons[n].Kill()
+		next := h.awaitHolder(n)
+		reportDuration("holder death to takeover", start)
+		h.apply(next, autoDocument("2", 1))
+		h.awaitLoaded("2", 1)
+		reportDuration("holder death to a later edit carried out", start)
+		h.awaitComplete(next, "after")
+		h.expectNoViolations()
 	})
 
-	// The daemon that controls the service is stopped as planned while requests
-	// run. No request is broken, and another daemon controls the service at once.
-	// Cause: it releases the lease once no order is under way.
-	It("is handed on by a daemon that stops", Label("failure:planned-stop"), func() {
-		r := newPlaced(3, 4, 0, 1)
-		n := r.holder()
-		began := time.Now()
-		r.Daemons[n].Drain(r.ctx)
-		next := r.awaitHolder(n)
-		took("planned stop to takeover", began)
-		r.apply(next, placedDocument("2", 1))
-		r.awaitLoaded("2", 1)
-		Eventually(r.Daemons[n].Done()).WithTimeout(patience).Should(BeClosed())
-		Expect(r.log.count("lease_released")).To(Equal(1))
-		Expect(r.log.count("lease_lost")).To(BeZero())
-		r.expectSound()
+	// Guards against failed requests and a gap in control when the lease holder
+	// is drained: it releases the lease once no order is in flight.
+	It("is handed off by a daemon that is drained", Label("failure:planned-stop"), func() {
+		h := newAutoHarness(3, 4, 0, 1)
+		n := h.holder()
+		start := time.Now()
+		h.Daemons[n].Drain(h.ctx)
+		next := h.awaitHolder(n)
+		reportDuration("planned stop to takeover", start)
+		h.apply(next, autoDocument("2", 1))
+		h.awaitLoaded("2", 1)
+		Eventually(h.Daemons[n].Done()).WithTimeout(testTimeout).Should(BeClosed())
+		Expect(h.log.count("lease_released")).To(Equal(1))
+		Expect(h.log.count("lease_lost")).To(BeZero())
+		h.expectNoViolations()
 	})
 
-	// The table service is down when two chains lose a stage. The one on engines
-	// that check fencing numbers is repaired at once; on the others nothing is
-	// touched until the store is back. Cause: the lease can't be renewed, and a
-	// successor could not be told from the holder by engines that ignore numbers.
-	It("orders only servers that check fencing while the store is down", Label("failure:store-down"), func() {
-		r := newPlaced(3, 3, 3, 2)
-		r.Platform.Down(true)
-		Eventually(func() int { return r.log.count("orders_frozen") }).WithTimeout(patience).Should(BeNumerically(">", 0))
-		lost := r.holding(checking.Kind)
-		began := time.Now()
-		r.Engines[lost].Kill()
-		Eventually(func() int { return r.layers(checking.Kind) }).WithTimeout(patience).Should(Equal(8))
-		took("stage death to repaired, store down", began)
-		r.Engines[r.holding(ignoring.Kind)].Kill()
-		Eventually(func() int { return r.log.count("placement_repaired") }).WithTimeout(patience).Should(Equal(2), "the layout has a spare for it")
-		r.awaitWhole(0, "meanwhile")
-		Consistently(func() int { return r.layers(ignoring.Kind) }).WithTimeout(700 * time.Millisecond).Should(Equal(4))
-		r.Platform.Down(false)
-		back := time.Now()
-		r.awaitPlaced("1", 2)
-		took("store back to repaired", back)
-		r.expectSound()
+	// Guards against conflicting orders while the lease can't be renewed. The
+	// table service is down when two chains lose a stage each. Engines that
+	// check fencing numbers are repaired immediately. The others can't tell a
+	// successor from the holder, so they get no orders until the store is
+	// available again.
+	It("sends orders only to servers that check fencing numbers while the store is down", Label("failure:store-down"), func() {
+		h := newAutoHarness(3, 3, 3, 2)
+		h.Platform.Down(true)
+		Eventually(func() int { return h.log.count("orders_frozen") }).WithTimeout(testTimeout).Should(BeNumerically(">", 0))
+		lost := h.loadedEngine(fencedSpares.Kind)
+		start := time.Now()
+		h.Engines[lost].Kill()
+		Eventually(func() int { return h.layersOnKind(fencedSpares.Kind) }).WithTimeout(testTimeout).Should(Equal(8))
+		reportDuration("stage death to repaired, store down", start)
+		h.Engines[h.loadedEngine(unfencedSpares.Kind)].Kill()
+		Eventually(func() int { return h.log.count("placement_repaired") }).WithTimeout(testTimeout).Should(Equal(2), "the layout has a spare for it")
+		h.awaitComplete(0, "meanwhile")
+		Consistently(func() int { return h.layersOnKind(unfencedSpares.Kind) }).WithTimeout(700 * time.Millisecond).Should(Equal(4))
+		h.Platform.Down(false)
+		restored := time.Now()
+		h.awaitPlaced("1", 2)
+		reportDuration("store available to repaired", restored)
+		h.expectNoViolations()
 	})
 
-	// An order of a former holder arrives long after it was sent. An engine that
-	// checks fencing numbers refuses it. One that ignores them takes it and loses
-	// its layers; callers see retries until the holder has put it right. Cause: a
-	// process or a network held the order up.
-	It("undoes a stale order to a server that ignores fencing", Label("failure:fencing-ignored", "failure:stale-holder-acts"), func() {
-		r := newPlaced(3, 2, 2, 2)
+	// Guards against lasting damage by a former holder's order that a process
+	// or the network delayed. An engine that checks fencing numbers rejects it.
+	// One that ignores them unloads its layers; callers see retries until the
+	// holder has loaded them again.
+	It("undoes a stale order to a server that ignores fencing numbers", Label("failure:fencing-ignored", "failure:stale-holder-acts"), func() {
+		h := newAutoHarness(3, 2, 2, 2)
 		stale := engine.Order{Kind: engine.OrderUnload, Service: drafts}
 		answer := func(id state.BackendID) engine.OrderStatus {
-			c := enginehttp.New(r.Engines[id].Address(), enginehttp.Options{})
-			res, err := c.Order(r.ctx, stale)
+			c := enginehttp.New(h.Engines[id].Address(), enginehttp.Options{})
+			res, err := c.Order(h.ctx, stale)
 			Expect(err).NotTo(HaveOccurred())
 			return res.Status
 		}
-		Expect(answer(r.holding(checking.Kind))).To(Equal(engine.OrderStale))
-		began := time.Now()
-		Expect(answer(r.holding(ignoring.Kind))).To(Equal(engine.OrderApplied))
-		Expect(r.layers(ignoring.Kind)).To(Equal(4))
-		r.awaitPlaced("1", 2)
-		took("stale order to undone", began)
-		Expect(r.log.count("order_undone")).To(Equal(1))
-		for n := range r.Daemons {
-			r.awaitWhole(n, "after")
+		Expect(answer(h.loadedEngine(fencedSpares.Kind))).To(Equal(engine.OrderStale))
+		start := time.Now()
+		Expect(answer(h.loadedEngine(unfencedSpares.Kind))).To(Equal(engine.OrderApplied))
+		Expect(h.layersOnKind(unfencedSpares.Kind)).To(Equal(4))
+		h.awaitPlaced("1", 2)
+		reportDuration("stale order to undone", start)
+		Expect(h.log.count("order_undone")).To(Equal(1))
+		for n := range h.Daemons {
+			h.awaitComplete(n, "after")
 		}
-		r.expectSound()
+		h.expectNoViolations()
 	})
 })
 
-// holding returns an engine of a kind that holds layers.
-func (r *placed) holding(kind string) state.BackendID {
+// loadedEngine returns an engine of a kind that holds layers.
+func (h *autoHarness) loadedEngine(kind string) state.BackendID {
 	GinkgoHelper()
-	for id, e := range r.Engines {
+	for id, e := range h.Engines {
 		if e.Alive() && e.Config().Kind == kind && e.State().Layers.Len() > 0 {
 			return id
 		}
@@ -437,10 +435,10 @@
 	return ""
 }
 
-// layers counts the layers that the live engines of a kind hold.
-func (r *placed) layers(kind string) int {
+// layersOnKind counts the layers that the live engines of a kind hold.
+func (h *autoHarness) layersOnKind(kind string) int {
 	sum := 0
-	for _, e := range r.Engines {
+	for _, e := range h.Engines {
 		if st := e.State(); e.Alive() && e.Config().Kind == kind && !st.Loading {
 			sum += st.Layers.Len()
 		}
--- a/daemon/provide.go
+++ b/daemon/provide.go
@@ -10,9 +10,9 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/platformhttp"
 )
 
-// provide builds what a daemon is made of: its clients of the outside systems,
-// log and counters. A program that embeds a daemon overrides a service here to
-// bring its own platform or engines.
+// provide registers the services that a daemon is built from: its clients of
+// external systems, log and metrics. A program that embeds a daemon overrides a
+// service here to use its own platform or engines.
 func provide(set settings.Settings, log *telemetry.Log) do.Injector {
 	i := do.New()
 	do.ProvideValue(i, set)
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -14,211 +14,214 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// quarantinePart keeps content that crashes backend servers from crashing many.
-// Every attempt passes it before it asks for a slot.
-type quarantinePart struct {
-	c       *control
-	m       *quarantine.Quarantine
-	last    uint64
-	waiting map[uint64]quarantineWait
-	runs    map[*runner]quarantineRun
-	dead    map[state.BackendID]string // the last life that was reported dead
-
-	// positions are, by content, the most tokens that an answer had when its
+// quarantineComponent limits how many backend servers a content can crash.
+// Every attempt needs its permission before it requests a slot.
+type quarantineComponent struct {
+	c            *control
+	machine      *quarantine.Quarantine
+	lastID       uint64
+	waiting      map[uint64]quarantineRequest
+	runs         map[*runner]quarantineRun
+	reportedDead map[state.BackendID]string // boot ID last reported dead
+
+	// positions holds, by content, the most tokens that an answer had when its
 	// server died.
 	positions *lru.Cache[quarantine.Fingerprint, int]
 }
 
-// quarantineWait is an attempt that waits for permission to run.
-type quarantineWait struct {
-	r   *runner
-	ask request.AcquireSlot
+// quarantineRequest is an attempt that waits for permission to run.
+type quarantineRequest struct {
+	r           *runner
+	slotRequest request.AcquireSlot
 }
 
-// quarantineRun is an attempt that has permission; run is 0 until it has a slot.
+// quarantineRun is an attempt that has permission; id is 0 until it has a slot.
 //
-// A suspect is cleared as soon as it has come further than it was at the death that
-// implicated it: its content has then been through what may have ended the server,
-// and the replica may begin others. So the many innocents of an ordinary death
-// are back within a few steps each. Where its place at the death is not known
-// here, only its whole answer clears it.
+// A suspect is cleared as soon as its answer is longer than it was at the death
+// that implicated it: its content has then passed the point that may have
+// crashed the server, and the replica may start other requests. The many
+// requests that an ordinary death implicates are therefore cleared within a few
+// steps each. Where the position at the death is not known, only a complete
+// answer clears the suspect.
 type quarantineRun struct {
-	run     quarantine.RunID
-	turn    uint64
+	id      quarantine.RunID
+	lock    uint64
 	attempt state.Attempt
 }
 
-// maxPositions bounds the contents whose place at a death is remembered.
+// maxPositions bounds the number of contents whose position at a death is kept.
 const maxPositions = 4096
 
-func newQuarantinePart(c *control) *quarantinePart {
+func newQuarantineComponent(c *control) *quarantineComponent {
 	positions, err := lru.New[quarantine.Fingerprint, int](maxPositions)
 	if err != nil {
-		panic(err) // only a size below 1
+		panic(err) // lru.New fails only for a size below 1
 	}
-	return &quarantinePart{
+	return &quarantineComponent{
 		positions: positions,
 
-		c:       c,
-		m:       quarantine.New(quarantine.Config{Self: c.d.self}, c.now, c.rng),
-		waiting: make(map[uint64]quarantineWait),
-		runs:    make(map[*runner]quarantineRun),
-		dead:    make(map[state.BackendID]string),
+		c:            c,
+		machine:      quarantine.New(quarantine.Config{Self: c.d.self}, c.now, c.rng),
+		waiting:      make(map[uint64]quarantineRequest),
+		runs:         make(map[*runner]quarantineRun),
+		reportedDead: make(map[state.BackendID]string),
 	}
 }
 
-func (p *quarantinePart) nextTick(time.Time) time.Time { return p.m.NextTick() }
-func (p *quarantinePart) tick(time.Time)               { p.step(quarantine.Tick{}) }
+func (qc *quarantineComponent) nextTick(time.Time) time.Time { return qc.machine.NextTick() }
+func (qc *quarantineComponent) tick(time.Time)               { qc.step(quarantine.Tick{}) }
 
-func (p *quarantinePart) step(ev quarantine.Event) {
-	for _, a := range p.m.Step(p.c.now, ev) {
-		p.carryOut(a)
+func (qc *quarantineComponent) step(ev quarantine.Event) {
+	for _, a := range qc.machine.Step(qc.c.now, ev) {
+		qc.carryOut(a)
 	}
 }
 
-func (p *quarantinePart) carryOut(a quarantine.Action) {
+func (qc *quarantineComponent) carryOut(a quarantine.Action) {
 	switch a := a.(type) {
 	case quarantine.Allow:
-		p.allowed(a)
+		qc.handleAllowed(a)
 	case quarantine.Refuse:
-		p.refused(a)
+		qc.handleRefused(a)
 	case quarantine.Send:
-		p.c.d.send(p.c.members.address(a.To), a.Msg)
+		qc.c.d.send(qc.c.members.address(a.To), a.Msg)
 	case quarantine.CallStore:
-		p.c.store.do(a.Call, func(res store.Result) { p.step(quarantine.StoreResult{Result: res}) })
+		qc.c.store.do(a.Call, func(res store.Result) { qc.step(quarantine.StoreResult{Result: res}) })
 	case quarantine.Quarantined:
-		p.c.d.log.Emit(telemetry.EventRequestQuarantined, telemetry.Detail(a.Fingerprint.String()))
+		qc.c.d.log.Emit(telemetry.EventRequestQuarantined, telemetry.Detail(a.Fingerprint.String()))
 	case quarantine.DeathPropagated:
-		// Answers are not held back for it: a request that was given up gets
-		// its final answer at once. docs/design/quarantine.md has the bound.
+		// Answers are not delayed for it: a request that was given up gets its
+		// final answer immediately. docs/design/quarantine.md states the bound.
 	}
 }
 
-// fingerprint names what a request makes a backend server do.
-func (p *quarantinePart) fingerprint(r *runner) quarantine.Fingerprint {
+// fingerprint identifies the work that a request causes at a backend server.
+func (qc *quarantineComponent) fingerprint(r *runner) quarantine.Fingerprint {
 	var model, version string
-	if v, ok := p.c.documents.inForce[r.spec.Service]; ok && v.Document.Model != nil {
+	if v, ok := qc.c.documents.active[r.spec.Service]; ok && v.Document.Model != nil {
 		model, version = v.Document.Model.Name, v.Document.Model.Version
 	}
 	return quarantine.FingerprintOf(r.spec.Service, model, version, r.spec.Prompt)
 }
 
-// ask lets an attempt ask for its slot once its content may run.
-func (p *quarantinePart) ask(r *runner, a request.AcquireSlot) {
-	p.last++
-	p.waiting[p.last] = quarantineWait{r: r, ask: a}
-	p.step(quarantine.RunRequested{Call: p.last, Fingerprint: p.fingerprint(r)})
+// requestRun lets an attempt request its slot once its content may run.
+func (qc *quarantineComponent) requestRun(r *runner, a request.AcquireSlot) {
+	qc.lastID++
+	qc.waiting[qc.lastID] = quarantineRequest{r: r, slotRequest: a}
+	qc.step(quarantine.RunRequested{Call: qc.lastID, Fingerprint: qc.fingerprint(r)})
 }
 
-func (p *quarantinePart) allowed(a quarantine.Allow) {
-	w, ok := p.waiting[a.Call]
+func (qc *quarantineComponent) handleAllowed(a quarantine.Allow) {
+	w, ok := qc.waiting[a.Call]
 	if !ok {
-		p.step(quarantine.RunEnded{Lock: a.Lock, Result: quarantine.RunStopped})
+		qc.step(quarantine.RunEnded{Lock: a.Lock, Result: quarantine.RunStopped})
 		return
 	}
-	delete(p.waiting, a.Call)
+	delete(qc.waiting, a.Call)
 	if a.Exclusive {
-		p.c.d.log.Emit(telemetry.EventRequestImplicated, telemetry.Request(w.r.spec.ID))
+		qc.c.d.log.Emit(telemetry.EventRequestImplicated, telemetry.Request(w.r.spec.ID))
 	}
-	p.runs[w.r] = quarantineRun{turn: a.Lock, attempt: w.ask.Attempt}
+	qc.runs[w.r] = quarantineRun{lock: a.Lock, attempt: w.slotRequest.Attempt}
 	w.r.suspect.Store(a.Exclusive)
-	p.c.slots.ask(w.r, w.ask, a.Exclusive)
+	qc.c.slots.acquire(w.r, w.slotRequest, a.Exclusive)
 }
 
-func (p *quarantinePart) refused(a quarantine.Refuse) {
-	w, ok := p.waiting[a.Call]
+func (qc *quarantineComponent) handleRefused(a quarantine.Refuse) {
+	w, ok := qc.waiting[a.Call]
 	if !ok {
 		return
 	}
-	delete(p.waiting, a.Call)
+	delete(qc.waiting, a.Call)
 	go w.r.post(request.SlotRefused{
 		Reason:     state.ReasonQuarantined,
-		RetryAfter: secondsOf(a.Until.Sub(p.c.now)),
+		RetryAfter: ceilSeconds(a.Until.Sub(qc.c.now)),
 	})
 }
 
-// stop ends an attempt that has no slot yet.
-func (p *quarantinePart) stop(r *runner, attempt state.Attempt) {
-	for call, w := range p.waiting {
+// cancel ends an attempt that has no slot yet.
+func (qc *quarantineComponent) cancel(r *runner, attempt state.Attempt) {
+	for call, w := range qc.waiting {
 		if w.r == r {
-			delete(p.waiting, call)
-			p.step(quarantine.Cancel{Call: call})
+			delete(qc.waiting, call)
+			qc.step(quarantine.Cancel{Call: call})
 			return
 		}
 	}
-	p.c.slots.stop(r, attempt)
-	p.ended(r, quarantine.RunStopped)
+	qc.c.slots.cancel(r, attempt)
+	qc.runEnded(r, quarantine.RunStopped)
 }
 
-// began notes, before anything is sent, that an attempt runs on a replica.
-func (p *quarantinePart) began(r *runner, replica state.ReplicaID) {
-	run, ok := p.runs[r]
+// runStarted records that an attempt runs on a replica. It is called before
+// anything is sent to that replica.
+func (qc *quarantineComponent) runStarted(r *runner, replica state.ReplicaID) {
+	run, ok := qc.runs[r]
 	if !ok {
-		return // a continued attempt of a daemon that is gone
+		return // continues an attempt of a daemon that is gone
 	}
-	p.last++
-	run.run = quarantine.RunID(p.last)
-	p.runs[r] = run
-	p.step(quarantine.RunStarted{Run: run.run, Fingerprint: p.fingerprint(r), Replica: replica, Lock: run.turn})
+	qc.lastID++
+	run.id = quarantine.RunID(qc.lastID)
+	qc.runs[r] = run
+	qc.step(quarantine.RunStarted{Run: run.id, Fingerprint: qc.fingerprint(r), Replica: replica, Lock: run.lock})
 }
 
-// stopped remembers how far a request was when a server of its died.
-func (p *quarantinePart) stopped(r *runner, tokens int) {
-	fp := p.fingerprint(r)
-	if old, ok := p.positions.Get(fp); !ok || old < tokens {
-		p.positions.Add(fp, tokens)
+// recordPosition records the length of a request's answer when its server died.
+func (qc *quarantineComponent) recordPosition(r *runner, tokens int) {
+	fp := qc.fingerprint(r)
+	if old, ok := qc.positions.Get(fp); !ok || old < tokens {
+		qc.positions.Add(fp, tokens)
 	}
 }
 
-// made notes that a suspect's run made the token of that index.
-func (p *quarantinePart) made(r *runner, index int) {
-	run, ok := p.runs[r]
+// tokenEmitted records that a suspect's run produced the token of that index.
+func (qc *quarantineComponent) tokenEmitted(r *runner, index int) {
+	run, ok := qc.runs[r]
 	if !ok || !r.suspect.Load() {
 		return
 	}
-	if at, known := p.positions.Get(p.fingerprint(r)); known && index >= at {
-		p.c.slots.passed(r, run.attempt)
-		p.ended(r, quarantine.RunCompleted)
+	if at, known := qc.positions.Get(qc.fingerprint(r)); known && index >= at {
+		qc.c.slots.exclusiveEnded(r, run.attempt)
+		qc.runEnded(r, quarantine.RunCompleted)
 	}
 }
 
-// ended notes that an attempt is over.
-func (p *quarantinePart) ended(r *runner, how quarantine.RunResult) {
-	run, ok := p.runs[r]
+// runEnded records that an attempt has ended.
+func (qc *quarantineComponent) runEnded(r *runner, result quarantine.RunResult) {
+	run, ok := qc.runs[r]
 	if !ok {
 		return
 	}
-	delete(p.runs, r)
+	delete(qc.runs, r)
 	r.suspect.Store(false)
-	if run.run != 0 || run.turn != 0 {
-		p.step(quarantine.RunEnded{Run: run.run, Lock: run.turn, Result: how})
+	if run.id != 0 || run.lock != 0 {
+		qc.step(quarantine.RunEnded{Run: run.id, Lock: run.lock, Result: result})
 	}
 }
 
-// died reports a backend server's death, once for each life of its process, and
-// before the runs that it ended are reported as over.
-func (p *quarantinePart) died(replica state.Replica, stage int) {
+// reportDeath reports a backend server's death, once per boot ID and before the
+// runs that it ended are reported as ended.
+func (qc *quarantineComponent) reportDeath(replica state.Replica, stage int) {
 	s := replica.Stages[stage]
-	if last, ok := p.dead[s.Backend]; ok && last == s.BootID {
+	if last, ok := qc.reportedDead[s.Backend]; ok && last == s.BootID {
 		return
 	}
-	p.dead[s.Backend] = s.BootID
-	p.c.d.log.Emit(telemetry.EventBackendDied, telemetry.Backend(s.Backend), telemetry.Replica(replica.ID))
-	p.step(quarantine.BackendDied{Replica: replica.ID, Domain: replica.FailureDomain})
+	qc.reportedDead[s.Backend] = s.BootID
+	qc.c.d.log.Emit(telemetry.EventBackendDied, telemetry.Backend(s.Backend), telemetry.Replica(replica.ID))
+	qc.step(quarantine.BackendDied{Replica: replica.ID, Domain: replica.FailureDomain})
 }
 
-func (p *quarantinePart) membersChanged(live []membership.Info) {
-	p.step(quarantine.ViewChanged{Live: lo.Map(live, func(i membership.Info, _ int) state.Member { return i.Member })})
+func (qc *quarantineComponent) membersChanged(live []membership.Info) {
+	qc.step(quarantine.ViewChanged{Live: lo.Map(live, func(i membership.Info, _ int) state.Member { return i.Member })})
 }
 
-// howEnded says how an attempt ended, for the quarantine. One that failed with the
-// replica's fate unknown counts as lost. Where the replica is known to have died,
-// that was reported before; where it lives, the content did it no harm.
-func howEnded(a request.ReleaseSlot, completed, fateUnknown bool) quarantine.RunResult {
+// runResult returns the result of an attempt for the quarantine. A failed
+// attempt counts as lost if it is unknown whether the backend server lives. If
+// the server is known to have died, that was reported before; if it lives, the
+// content did not crash it.
+func runResult(a request.ReleaseSlot, completed, backendStateUnknown bool) quarantine.RunResult {
 	switch {
 	case completed:
 		return quarantine.RunCompleted
-	case a.Failed && fateUnknown:
+	case a.Failed && backendStateUnknown:
 		return quarantine.RunLost
 	default:
 		return quarantine.RunStopped
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -10,20 +10,21 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// poisonous content ends every backend server that begins it.
+// poisonous content crashes every backend server that starts it.
 const poisonous = "poisonous"
 
-// crashOnPoison arms every engine; a dead one is restarted by restartDead.
-func (r *rig) crashOnPoison() {
-	for _, e := range r.Engines {
+// crashOnPoison makes every engine crash on poisonous content; restartDead
+// restarts crashed ones.
+func (h *harness) crashOnPoison() {
+	for _, e := range h.Engines {
 		e.CrashOn(poisonous)
 	}
 }
 
-// restartDead starts every engine that died again, as the platform would.
-func (r *rig) restartDead() int {
+// restartDead restarts every crashed engine, as the platform would.
+func (h *harness) restartDead() int {
 	dead := 0
-	for _, e := range r.Engines {
+	for _, e := range h.Engines {
 		if !e.Alive() {
 			dead++
 			Expect(e.Restart()).To(Succeed())
@@ -33,52 +34,52 @@
 }
 
 var _ = Describe("A request that crashes backend servers", Label("failure:request-crashes-servers"), func() {
-	// One caller's draft ends every server that begins it, and the caller sends
-	// it again and again, through every daemon and under new keys. At most two
-	// servers die of it; then it is refused everywhere, as not run, while other
-	// callers' requests are served, those too that ran beside it. Cause: the
-	// content, which no key or daemon names.
-	It("crashes two at most, whatever key and daemon it comes through", func() {
-		r := newRig(3, slowStep)
-		r.crashOnPoison()
-		bystander := r.submit(0, summary("bystander"))
+	// Guards against a content that crashes one server after another. A caller
+	// repeats it at every daemon and under new keys. After at most two crashes
+	// it is refused everywhere as not run, since the quarantine goes by content
+	// and not by key or daemon. Other requests complete, including those that
+	// ran on the same servers.
+	It("crashes at most two, whatever key and daemon it is sent with", func() {
+		h := newHarness(3, slowStepTime)
+		h.crashOnPoison()
+		bystander := h.submit(0, summary("bystander"))
 		crashed := 0
 		Eventually(func(g Gomega) {
-			crashed += r.restartDead()
-			n := crashed % len(r.Daemons)
+			crashed += h.restartDead()
+			n := crashed % len(h.Daemons)
 			s := summary(fmt.Sprintf("again-%d", GinkgoRandomSeed()))
 			s.Prompt = promptOf("x") + " " + poisonous
-			outcome := r.send(n, s)
+			outcome := h.send(n, s)
 			refused, ok := outcome.(state.Refused)
 			g.Expect(ok).To(BeTrue(), "%#v", outcome)
 			g.Expect(refused.Reason).To(Equal(state.ReasonQuarantined))
-		}).WithTimeout(2 * patience).Should(Succeed())
-		crashed += r.restartDead()
-		Expect(r.Ledger.Crashes(promptOf("x") + " " + poisonous)).To(BeNumerically("<=", 2))
+		}).WithTimeout(2 * testTimeout).Should(Succeed())
+		crashed += h.restartDead()
+		Expect(h.Ledger.Crashes(promptOf("x") + " " + poisonous)).To(BeNumerically("<=", 2))
 
-		for i := range r.Daemons {
+		for i := range h.Daemons {
 			s := note(fmt.Sprintf("elsewhere-%d", i))
 			s.Prompt = promptOf("x") + " " + poisonous
 			Eventually(func() state.Reason {
-				refused, _ := r.send(i, s).(state.Refused)
+				refused, _ := h.send(i, s).(state.Refused)
 				return refused.Reason
-			}).WithTimeout(patience).Should(Equal(state.ReasonQuarantined))
+			}).WithTimeout(testTimeout).Should(Equal(state.ReasonQuarantined))
 		}
-		Expect(r.Ledger.Crashes(promptOf("x") + " " + poisonous)).To(BeNumerically("<=", 2))
-		tokens, outcome := r.read(bystander, -1)
-		expectWhole(tokens, outcome, "bystander")
-		tokens, outcome = r.read(r.submit(1, note("after")), -1)
-		expectWhole(tokens, outcome, "after")
-		r.expectSound()
+		Expect(h.Ledger.Crashes(promptOf("x") + " " + poisonous)).To(BeNumerically("<=", 2))
+		tokens, outcome := h.read(bystander, -1)
+		expectComplete(tokens, outcome, "bystander")
+		tokens, outcome = h.read(h.submit(1, note("after")), -1)
+		expectComplete(tokens, outcome, "after")
+		h.expectNoViolations()
 	})
 })
 
-// send sends a request and returns how it ended.
-func (r *rig) send(n int, s caller.Submission) state.Outcome {
-	stream, outcome := r.Daemons[n].Submit(r.ctx, s)
+// send sends a request and returns its outcome.
+func (h *harness) send(n int, s caller.Submission) state.Outcome {
+	stream, outcome := h.Daemons[n].Submit(h.ctx, s)
 	if outcome != nil {
 		return outcome
 	}
-	_, outcome = r.read(stream, -1)
+	_, outcome = h.read(stream, -1)
 	return outcome
 }
--- a/daemon/record.go
+++ b/daemon/record.go
@@ -5,14 +5,16 @@
 	"github.com/hibiscuswick/hibiscuswick/trace"
 )
 
-// lifeDigits is how much of a life's name tells lives apart in a trace.
-const lifeDigits = 8
+// runIDDigits is the length of the run ID's prefix that distinguishes
+// incarnations in a trace.
+const runIDDigits = 8
 
-// record begins to record this life of the daemon, where the settings ask for
-// it. A file that fails later ends the recording, never a request.
-func (d *Daemon) record(life string) error {
-	by := string(d.set.ID) + "." + life[:lifeDigits]
-	recorder, err := trace.Open(d.set.RecordFile, by, func(err error) {
+// startRecording starts to record this incarnation of the daemon if the
+// settings enable it. A later write error ends the recording and affects no
+// request.
+func (d *Daemon) startRecording(runID string) error {
+	by := string(d.config.ID) + "." + runID[:runIDDigits]
+	recorder, err := trace.Open(d.config.RecordFile, by, func(err error) {
 		d.log.Emit(telemetry.EventRecordingFailed, telemetry.Detail(err.Error()))
 	})
 	if err != nil {
