--- a/daemon/replicas.go
+++ b/daemon/replicas.go
@@ -6,16 +6,16 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// replicas builds the replicas of a document from the addresses of the instance
+// replicas builds the replicas of a document from the addresses in the instance
 // list: its fixed chains, or those that the service's controller has published.
-// Chains with a backend server that is not listed are left out.
-func (p *instancesPart) replicas(doc *service.Document) []state.Replica {
+// Chains with a backend server that is not listed are omitted.
+func (it *instancesTracker) replicas(doc *service.Document) []state.Replica {
 	if isAuto(doc) {
-		return p.published(doc, p.c.controllers.table(doc.Service))
+		return it.tableReplicas(doc, it.c.controllers.table(doc.Service))
 	}
 	var replicas []state.Replica
 	for _, chain := range doc.Placement.Chains {
-		r, ok := p.replica(doc, chain)
+		r, ok := it.fixedReplica(doc, chain)
 		if ok {
 			replicas = append(replicas, r)
 		}
@@ -23,14 +23,14 @@
 	return replicas
 }
 
-// fixedID names a chain of a document site-wide.
-func fixedID(id state.ServiceID, chain state.ReplicaID) state.ReplicaID {
+// fixedReplicaID returns the site-wide ID of a document's chain.
+func fixedReplicaID(id state.ServiceID, chain state.ReplicaID) state.ReplicaID {
 	return state.ReplicaID(string(id) + "/" + string(chain))
 }
 
-func (p *instancesPart) replica(doc *service.Document, chain service.Chain) (state.Replica, bool) {
+func (it *instancesTracker) fixedReplica(doc *service.Document, chain service.Chain) (state.Replica, bool) {
 	r := state.Replica{
-		ID:      fixedID(doc.Service, chain.ID),
+		ID:      fixedReplicaID(doc.Service, chain.ID),
 		Service: doc.Service,
 		Slots:   doc.Capacity.SlotsPerReplica,
 		Speed:   1,
@@ -40,7 +40,7 @@
 		r.Version = doc.Model.Version
 	}
 	for _, s := range chain.Stages {
-		inst, ok := p.byID[state.InstanceID(s.Backend)]
+		inst, ok := it.byID[state.InstanceID(s.Backend)]
 		if !ok {
 			return r, false
 		}
@@ -56,18 +56,18 @@
 	return r, true
 }
 
-// published builds the replicas of a table.
-func (p *instancesPart) published(doc *service.Document, t controller.ReplicaTable) []state.Replica {
+// tableReplicas builds the replicas of a published table.
+func (it *instancesTracker) tableReplicas(doc *service.Document, t controller.ReplicaTable) []state.Replica {
 	var replicas []state.Replica
 	for _, r := range t.Replicas {
-		if replica, ok := p.placed(doc, r); ok {
+		if replica, ok := it.tableReplica(doc, r); ok {
 			replicas = append(replicas, replica)
 		}
 	}
 	return replicas
 }
 
-func (p *instancesPart) placed(doc *service.Document, pub controller.Replica) (state.Replica, bool) {
+func (it *instancesTracker) tableReplica(doc *service.Document, pub controller.Replica) (state.Replica, bool) {
 	r := state.Replica{
 		ID:      pub.Chain.ID,
 		Service: doc.Service,
@@ -76,7 +76,7 @@
 		Leaving: pub.Leaving,
 	}
 	for _, s := range pub.Chain.Stages {
-		inst, ok := p.byID[state.InstanceID(s.Backend)]
+		inst, ok := it.byID[state.InstanceID(s.Backend)]
 		if !ok {
 			return r, false
 		}
--- a/daemon/requests.go
+++ b/daemon/requests.go
@@ -9,34 +9,35 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// endedFor is how long the answer of an ended request is kept for callers that
-// come back for it.
-const endedFor = time.Minute
+// answerTTL is how long the answer of an ended request is kept for callers that
+// re-attach.
+const answerTTL = time.Minute
 
-// requests is the table of the requests that this daemon owns or ended lately.
+// requests is the table of the requests that this daemon owns or has ended
+// recently.
 type requests struct {
-	mu   sync.Mutex
-	live map[state.RequestID]*runner
-	past map[state.RequestID]*answer
-	idle chan struct{} // closed and replaced whenever live becomes empty
-
-	// byKey are the answers of never-repeat requests by idempotency key, for
-	// repeats that come to the same daemon.
-	byKey map[claims.Key]keyed
+	mu       sync.Mutex
+	live     map[state.RequestID]*runner
+	retained map[state.RequestID]*answer
+	idle     chan struct{} // closed and replaced whenever live becomes empty
+
+	// byKey holds the answers of never-repeat requests by idempotency key, for
+	// repeats that arrive at the same daemon.
+	byKey map[claims.Key]keyedAnswer
 }
 
-// keyed is the answer under one idempotency key.
-type keyed struct {
-	content string
-	answer  *answer
+// keyedAnswer is the answer under one idempotency key.
+type keyedAnswer struct {
+	contentDigest string
+	answer        *answer
 }
 
 func newRequests() *requests {
 	return &requests{
-		live:  make(map[state.RequestID]*runner),
-		past:  make(map[state.RequestID]*answer),
-		idle:  make(chan struct{}),
-		byKey: make(map[claims.Key]keyed),
+		live:     make(map[state.RequestID]*runner),
+		retained: make(map[state.RequestID]*answer),
+		idle:     make(chan struct{}),
+		byKey:    make(map[claims.Key]keyedAnswer),
 	}
 }
 
@@ -45,14 +46,14 @@
 	defer t.mu.Unlock()
 	t.live[r.spec.ID] = r
 	if r.spec.NeverRepeat {
-		t.byKey[keyOf(r.spec)] = keyed{content: r.content, answer: r.answer}
+		t.byKey[keyOf(r.spec)] = keyedAnswer{contentDigest: r.contentDigest, answer: r.answer}
 	}
 }
 
-// repeated returns the answer under a never-repeat request's key that is still
-// growing or that the caller can be given again. One that ended without a whole
-// answer is left to the claim row, which knows best what a repeat may do.
-func (t *requests) repeated(spec request.Spec) (keyed, bool) {
+// repeated returns the answer under a never-repeat request's key if it is still
+// running or complete. For one that ended incomplete, the claim row decides
+// what a repeat may do.
+func (t *requests) repeated(spec request.Spec) (keyedAnswer, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k, ok := t.byKey[keyOf(spec)]
@@ -64,19 +65,19 @@
 	return k, outcome == nil || completed
 }
 
-// attach adds an answer that this daemon gives without owning its request. It
-// returns the one that is there already, if any.
+// attach adds an answer whose request this daemon does not own. If there
+// already is one, that is returned.
 func (t *requests) attach(a *answer) *answer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r, ok := t.live[a.id]; ok {
 		return r.answer
 	}
-	if old, ok := t.past[a.id]; ok {
+	if old, ok := t.retained[a.id]; ok {
 		return old
 	}
-	t.past[a.id] = a
-	time.AfterFunc(endedFor, func() { t.forget(a) })
+	t.retained[a.id] = a
+	time.AfterFunc(answerTTL, func() { t.forget(a) })
 	return a
 }
 
@@ -90,30 +91,30 @@
 	}
 }
 
-// ended moves a request from live to the answers kept.
+// ended moves a request from live to the retained answers.
 func (t *requests) ended(r *runner) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.live[r.spec.ID] == r {
 		delete(t.live, r.spec.ID)
 	}
-	t.past[r.spec.ID] = r.answer
+	t.retained[r.spec.ID] = r.answer
 	if len(t.live) == 0 {
 		close(t.idle)
 		t.idle = make(chan struct{})
 	}
-	time.AfterFunc(endedFor, func() { t.forget(r.answer) })
+	time.AfterFunc(answerTTL, func() { t.forget(r.answer) })
 }
 
 func (t *requests) forget(a *answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, outcome, _ := a.after(0); outcome == nil {
-		time.AfterFunc(endedFor, func() { t.forget(a) })
-		return // still growing
+		time.AfterFunc(answerTTL, func() { t.forget(a) })
+		return // still running
 	}
-	if t.past[a.id] == a {
-		delete(t.past, a.id)
+	if t.retained[a.id] == a {
+		delete(t.retained, a.id)
 	}
 	for key, k := range t.byKey {
 		if k.answer == a {
@@ -122,7 +123,7 @@
 	}
 }
 
-// runner returns the live request of that id, or nil.
+// runner returns the live request with that ID, or nil.
 func (t *requests) runner(id state.RequestID) *runner {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,10 +137,10 @@
 	if r, ok := t.live[id]; ok {
 		return r.answer
 	}
-	return t.past[id]
+	return t.retained[id]
 }
 
-// active counts the live requests and returns a channel that is closed when
+// active returns the number of live requests and a channel that is closed when
 // there are none left.
 func (t *requests) active() (int, <-chan struct{}) {
 	t.mu.Lock()
--- a/daemon/retries.go
+++ b/daemon/retries.go
@@ -10,20 +10,20 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// retriesPart holds the retry budgets of this daemon's requests.
-type retriesPart struct {
+// retriesComponent holds the retry budgets of this daemon's requests.
+type retriesComponent struct {
 	c       *control
 	budgets *retry.Budgets
 }
 
-func newRetriesPart(c *control) *retriesPart {
-	return &retriesPart{c: c, budgets: retry.New(retry.Config{}, c.now, c.rng)}
+func newRetriesComponent(c *control) *retriesComponent {
+	return &retriesComponent{c: c, budgets: retry.New(retry.Config{}, c.now, c.rng)}
 }
 
-// decide answers a request whose attempt was lost.
-func (p *retriesPart) decide(r *runner, a request.DecideRetry) {
+// decide decides whether a request whose attempt was lost is retried.
+func (rc *retriesComponent) decide(r *runner, a request.DecideRetry) {
 	var policy service.Retry
-	if v, ok := p.c.documents.inForce[r.spec.Service]; ok {
+	if v, ok := rc.c.documents.active[r.spec.Service]; ok {
 		policy = v.Document.Retry
 	}
 	failure := retry.Failure{
@@ -37,34 +37,34 @@
 		Tried:      a.Tried,
 		Replica:    a.Replica,
 	}
-	switch d := p.budgets.Decide(p.c.now, failure).(type) {
+	switch d := rc.budgets.Decide(rc.c.now, failure).(type) {
 	case retry.Allow:
-		p.c.d.metrics.Retried(d.Reason)
-		p.c.d.log.Emit(telemetry.EventRequestRetried, telemetry.Request(r.spec.ID),
+		rc.c.d.metrics.Retried(d.Reason)
+		rc.c.d.log.Emit(telemetry.EventRequestRetried, telemetry.Request(r.spec.ID),
 			telemetry.RetryReason(d.Reason), telemetry.Replica(a.Replica))
-		at := p.c.now.Add(d.After)
+		at := rc.c.now.Add(d.After)
 		go r.post(request.RetryDecided{Allowed: true, At: at, Exclude: d.Exclude})
 	case retry.Deny:
-		p.denied(r, d.Denial)
+		rc.denied(r, d.Denial)
 		go r.post(request.RetryDecided{Reason: d.Denial.Reason()})
 	}
 }
 
-// denied counts a lost attempt that is not repeated.
-func (p *retriesPart) denied(r *runner, d retry.Denial) {
-	p.c.d.metrics.CountReason(telemetry.RetryDeniedTotal, string(d))
+// denied counts a lost attempt that is not retried.
+func (rc *retriesComponent) denied(r *runner, d retry.Denial) {
+	rc.c.d.metrics.CountReason(telemetry.RetryDeniedTotal, string(d))
 	if d == retry.DenialServiceBudget || d == retry.DenialCustomerBudget {
-		p.c.d.log.Emit(telemetry.EventRetryBudgetEmpty, telemetry.Service(r.spec.Service),
+		rc.c.d.log.Emit(telemetry.EventRetryBudgetEmpty, telemetry.Service(r.spec.Service),
 			telemetry.Customer(r.spec.Customer), telemetry.Detail(string(d)))
 	}
 }
 
-// ended feeds the budgets with what succeeded.
-func (p *retriesPart) ended(r *runner, o state.Outcome) {
+// requestEnded refills the budgets for a completed request.
+func (rc *retriesComponent) requestEnded(r *runner, o state.Outcome) {
 	if _, ok := o.(state.Completed); ok {
-		p.budgets.Succeeded(p.c.now, r.spec.Service, r.spec.Customer)
+		rc.budgets.Succeeded(rc.c.now, r.spec.Service, r.spec.Customer)
 	}
 }
 
-func (p *retriesPart) nextTick(time.Time) time.Time { return time.Time{} }
-func (p *retriesPart) tick(time.Time)               {}
+func (rc *retriesComponent) nextTick(time.Time) time.Time { return time.Time{} }
+func (rc *retriesComponent) tick(time.Time)               {}
--- a/daemon/rig_test.go
+++ b/daemon/rig_test.go
@@ -19,114 +19,116 @@
 )
 
 const (
-	patience   = 20 * time.Second // bound of everything that is waited for
-	noteTokens = 30
-	drafts     = state.ServiceID("drafts")
-	alerts     = state.ServiceID("alerts")
-	advocates  = state.CustomerID("advocates")
+	testTimeout = 20 * time.Second // bound of every wait
+	noteTokens  = 30
+	drafts      = state.ServiceID("drafts")
+	alerts      = state.ServiceID("alerts")
+	advocates   = state.CustomerID("advocates")
 )
 
 var chains = site.Chains{Prefix: "drafter", Replicas: 2, Stages: 2, Layers: 8}
 
-// rig is a site with daemons in service.
-type rig struct {
+// harness is a cluster of daemons with fake backend servers and platform.
+type harness struct {
 	*site.Site
 	ctx context.Context
 }
 
-// newRig starts daemons before two replicas of two stages and one plain server,
+// newHarness starts daemons, two replicas of two stages and one plain server,
 // and waits until all serve.
-func newRig(daemons int, step time.Duration) *rig {
+func newHarness(daemons int, step time.Duration) *harness {
 	GinkgoHelper()
 	s, err := site.New(telemetry.Discard())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(s.Close)
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
-	r := &rig{Site: s, ctx: ctx}
+	h := &harness{Site: s, ctx: ctx}
 	cfg := standin.EngineConfig{Service: drafts, Model: site.Model, Version: site.Version, Kind: "large", StepTime: step}
 	Expect(s.AddChains(chains, cfg)).To(Succeed())
 	Expect(s.AddPlain(standin.PlainConfig{ID: "alert-1"}, site.Domains[0])).To(Succeed())
 	for range daemons {
-		r.addDaemon(nil)
+		h.addDaemon(nil)
 	}
-	r.apply(0, draftsDocument())
-	r.apply(0, alertsDocument())
-	r.awaitServing(2)
-	r.awaitLimits()
-	return r
+	h.apply(0, draftsDocument())
+	h.apply(0, alertsDocument())
+	h.awaitServing(2)
+	h.awaitLimits()
+	return h
 }
 
-// awaitLimits waits until every daemon is lent tokens: the first lives of the
-// seats lend nothing until any loan of lives before them would have run out.
-func (r *rig) awaitLimits() {
+// awaitLimits waits until every daemon has tokens on loan. The first
+// incarnations of the seats grant none until any loan of earlier incarnations
+// would have expired.
+func (h *harness) awaitLimits() {
 	GinkgoHelper()
-	for i, d := range r.Daemons {
+	for i, d := range h.Daemons {
 		Eventually(func(g Gomega) {
-			stream, refused := d.Submit(r.ctx, summary(fmt.Sprintf("warm-%d-%d", i, time.Now().UnixNano())))
+			stream, refused := d.Submit(h.ctx, summary(fmt.Sprintf("warm-%d-%d", i, time.Now().UnixNano())))
 			g.Expect(refused).To(BeNil())
-			r.read(stream, -1)
-		}).WithTimeout(patience).Should(Succeed())
+			h.read(stream, -1)
+		}).WithTimeout(testTimeout).Should(Succeed())
 	}
 }
 
-func (r *rig) addDaemon(change func(*settings.Settings)) *daemon.Daemon {
+func (h *harness) addDaemon(change func(*settings.Settings)) *daemon.Daemon {
 	GinkgoHelper()
-	d, err := r.AddDaemon(change)
+	d, err := h.AddDaemon(change)
 	Expect(err).NotTo(HaveOccurred())
 	return d
 }
 
 // replaceDaemon starts a daemon in place of one that has stopped.
-func (r *rig) replaceDaemon(n int, change func(*settings.Settings)) *daemon.Daemon {
+func (h *harness) replaceDaemon(n int, change func(*settings.Settings)) *daemon.Daemon {
 	GinkgoHelper()
-	id := r.Daemons[n].DaemonStatus(r.ctx).ID
-	d := r.addDaemon(func(set *settings.Settings) {
+	id := h.Daemons[n].DaemonStatus(h.ctx).ID
+	d := h.addDaemon(func(set *settings.Settings) {
 		set.ID = id
 		set.Instance = state.InstanceID(id)
 		if change != nil {
 			change(set)
 		}
 	})
-	last := len(r.Daemons) - 1
-	r.Daemons[n] = d
-	r.Daemons = r.Daemons[:last]
-	r.awaitServing(2)
-	r.awaitLimits()
+	last := len(h.Daemons) - 1
+	h.Daemons[n] = d
+	h.Daemons = h.Daemons[:last]
+	h.awaitServing(2)
+	h.awaitLimits()
 	return d
 }
 
 func draftsDocument() service.Document {
 	classes := []service.Class{
-		{Name: "note", Priority: 0, Deadline: service.Duration(patience), NeverRepeat: true, MaxTokens: noteTokens},
-		{Name: "summary", Priority: 1, Deadline: service.Duration(patience), MaxTokens: noteTokens},
+		{Name: "note", Priority: 0, Deadline: service.Duration(testTimeout), NeverRepeat: true, MaxTokens: noteTokens},
+		{Name: "summary", Priority: 1, Deadline: service.Duration(testTimeout), MaxTokens: noteTokens},
 	}
 	return site.ModelDocument(drafts, chains, 8, classes, site.Customers(advocates))
 }
 
 func alertsDocument() service.Document {
-	classes := []service.Class{{Name: "alert", Deadline: service.Duration(patience), NeverRepeat: true}}
+	classes := []service.Class{{Name: "alert", Deadline: service.Duration(testTimeout), NeverRepeat: true}}
 	return site.PlainDocument(alerts, []state.BackendID{"alert-1"}, 8, classes, site.Customers(advocates))
 }
 
-// apply edits a document at one daemon, based on the version in force there.
-func (r *rig) apply(n int, doc service.Document) state.DocumentVersion {
+// apply edits a document at one daemon, based on the version active there.
+func (h *harness) apply(n int, doc service.Document) state.DocumentVersion {
 	GinkgoHelper()
-	current, _ := r.Daemons[n].Document(r.ctx, doc.Service)
-	res := r.Daemons[n].Apply(r.ctx, caller.Edit{
+	current, _ := h.Daemons[n].Document(h.ctx, doc.Service)
+	res := h.Daemons[n].Apply(h.ctx, caller.Edit{
 		Base: current.Version, EditID: fmt.Sprintf("%s-%d", doc.Service, time.Now().UnixNano()), Text: doc.Encode(),
 	})
 	Expect(res.Status).To(Equal(caller.EditAccepted), "%v", res.Faults)
 	return res.Version
 }
 
-// awaitServing waits until all live daemons know each other and have documents.
-func (r *rig) awaitServing(documents int) {
+// awaitServing waits until all live daemons know each other and have the
+// documents.
+func (h *harness) awaitServing(documents int) {
 	GinkgoHelper()
-	live := r.Live()
+	live := h.Live()
 	for _, d := range live {
 		Eventually(func(g Gomega) {
-			s := d.DaemonStatus(r.ctx)
+			s := d.DaemonStatus(h.ctx)
 			g.Expect(s.Documents).To(HaveLen(documents))
 			g.Expect(s.Isolated).To(BeFalse())
 			alive := 0
@@ -136,17 +138,17 @@
 				}
 			}
 			g.Expect(alive).To(Equal(len(live)))
-		}).WithTimeout(patience).Should(Succeed())
+		}).WithTimeout(testTimeout).Should(Succeed())
 	}
 }
 
-// addReplica starts one more replica and names it in the document.
-func (r *rig) addReplica(n int) {
+// addReplica starts one more replica and adds it to the document.
+func (h *harness) addReplica(n int) {
 	GinkgoHelper()
 	more := chains
 	more.Replicas = n
 	for stage := 1; stage <= chains.Stages; stage++ {
-		Expect(r.AddEngine(standin.EngineConfig{
+		Expect(h.AddEngine(standin.EngineConfig{
 			ID: more.Engine(n, stage), Service: drafts, Model: site.Model, Version: site.Version, Kind: "large",
 			StepTime: time.Millisecond, Layers: more.Range(stage), ModelLayers: more.Layers,
 		}, site.Domains[0])).To(Succeed())
@@ -154,10 +156,11 @@
 	doc := draftsDocument()
 	doc.Placement = more.Placement()
 	doc.Capacity.Replicas = n
-	r.apply(0, doc)
+	h.apply(0, doc)
 }
 
-// promptOf returns a prompt for key whose answer is as long as the class allows.
+// promptOf returns a prompt for key whose answer has the maximum length of the
+// class.
 func promptOf(key string) string {
 	for i := 0; ; i++ {
 		prompt := fmt.Sprintf("prompt of %s, %d", key, i)
@@ -167,7 +170,7 @@
 	}
 }
 
-// note is a request that is never to be repeated; summary one that may be.
+// note returns a never-repeat request; summary returns a repeatable one.
 func note(key string) caller.Submission {
 	return caller.Submission{Service: drafts, Customer: advocates, Class: "note", IdempotencyKey: state.IdempotencyKey(key), Prompt: promptOf(key), After: -1}
 }
@@ -185,28 +188,28 @@
 	return s
 }
 
-// submit sends a request that has to be taken. On a machine that is busy the
-// daemons' loans of a customer's limit may run out for a moment; the request is
-// then sent again, as its refusal says.
-func (r *rig) submit(n int, s caller.Submission) caller.Stream {
+// submit sends a request that must be accepted. On a busy machine a daemon's
+// loan of a customer's limit may run out for a moment; the request is then sent
+// again, as its refusal allows.
+func (h *harness) submit(n int, s caller.Submission) caller.Stream {
 	GinkgoHelper()
 	var stream caller.Stream
 	Eventually(func() state.Outcome {
 		var outcome state.Outcome
-		stream, outcome = r.Daemons[n].Submit(r.ctx, s)
+		stream, outcome = h.Daemons[n].Submit(h.ctx, s)
 		if refused, ok := outcome.(state.Refused); ok && refused.Reason == state.ReasonCustomerLimit {
 			return outcome
 		}
 		Expect(outcome).To(BeNil())
 		return nil
-	}).WithTimeout(patience).Should(BeNil())
+	}).WithTimeout(testTimeout).Should(BeNil())
 	return stream
 }
 
-// read takes tokens until n are there or the answer ends; n < 0 reads to the end.
-func (r *rig) read(stream caller.Stream, n int) ([]caller.Token, state.Outcome) {
+// read reads tokens until it has n or the answer ends; n < 0 reads to the end.
+func (h *harness) read(stream caller.Stream, n int) ([]caller.Token, state.Outcome) {
 	GinkgoHelper()
-	ctx, cancel := context.WithTimeout(r.ctx, patience)
+	ctx, cancel := context.WithTimeout(h.ctx, testTimeout)
 	defer cancel()
 	var tokens []caller.Token
 	for n < 0 || len(tokens) < n {
@@ -220,8 +223,8 @@
 	return tokens, nil
 }
 
-// expectWhole checks an answer against what the model makes of its prompt.
-func expectWhole(tokens []caller.Token, outcome state.Outcome, key string) {
+// expectComplete compares an answer with the model's output for its prompt.
+func expectComplete(tokens []caller.Token, outcome state.Outcome, key string) {
 	GinkgoHelper()
 	Expect(outcome).To(Equal(state.Completed{Tokens: len(tokens)}))
 	want := standin.ExpectedTokens(promptOf(key), noteTokens)
@@ -232,21 +235,23 @@
 	}
 }
 
-// expectSound checks what the stand-ins saw: no layer twice or out of order.
-func (r *rig) expectSound() {
+// expectNoViolations checks that the fakes saw no layer run twice or out of
+// order.
+func (h *harness) expectNoViolations() {
 	GinkgoHelper()
-	Expect(r.Ledger.Violations()).To(BeEmpty())
+	Expect(h.Ledger.Violations()).To(BeEmpty())
 }
 
-// runs counts the executions of a key's prompt that began.
-func (r *rig) runs(key string) int {
-	return r.Ledger.Runs(promptOf(key))
+// runCount counts the executions of a key's prompt that started.
+func (h *harness) runCount(key string) int {
+	return h.Ledger.Runs(promptOf(key))
 }
 
-// replicaOf returns which replica runs a request, counted from 1.
-func (r *rig) replicaOf(id state.RequestID) int {
+// replicaOf returns the number of the replica that runs a request, from 1, or
+// 0.
+func (h *harness) replicaOf(id state.RequestID) int {
 	for n := 1; n <= chains.Replicas; n++ {
-		if r.Engines[chains.Engine(n, 1)].Runs(id) {
+		if h.Engines[chains.Engine(n, 1)].Runs(id) {
 			return n
 		}
 	}
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -14,93 +14,95 @@
 )
 
 const (
-	// eventBacklog is how many events may wait for a request's goroutine
-	// before their senders wait too. One step is under way at a time, so that
-	// few do.
+	// eventBacklog is how many events may wait for a request's goroutine before
+	// their senders block. A request has one step in flight at a time, so the
+	// queue stays short.
 	eventBacklog = 16
 
-	// releaseDelay is how long the stages keep the KV cache of a whole answer,
-	// so that it can be read there should this daemon die before the answer is
-	// at its registrars.
+	// releaseDelay is how long the stages keep the KV cache of a complete
+	// answer. The answer can be read there if this daemon dies before it has
+	// reached the registrars.
 	releaseDelay = time.Second
 )
 
-// runner drives one request: it owns its state machine, carries out what the
-// machine asks for, and feeds the results back.
+// runner drives one request: it owns the request's state machine, carries out
+// its actions, and feeds the results back.
 type runner struct {
-	d       *Daemon
-	spec    request.Spec
-	content string // digest of what makes the work what it is
-	m       *request.Request
-	trace   *trace.Run
-	answer  *answer
+	d             *Daemon
+	spec          request.Spec
+	contentDigest string // identifies the work; see digestContent
+	machine       *request.Request
+	trace         *trace.Run
+	answer        *answer
 
-	// execution is the request id that backend servers know the work by. It is
-	// another's where a claimed attempt of a daemon that is gone is continued.
-	execution atomic.Pointer[state.RequestID]
-	// granted is the replica of the last slot; nil before the first.
-	granted atomic.Pointer[state.Replica]
-	// fateUnknown is set while it can't be told whether the backend server that
-	// failed the attempt lives.
-	fateUnknown atomic.Bool
-	// suspect is set while the attempt may end its backend server.
+	// executionID is the request ID under which backend servers know the work.
+	// It is another request's if a claimed attempt of a daemon that is gone is
+	// continued.
+	executionID atomic.Pointer[state.RequestID]
+	// grantedReplica is the replica of the last slot; nil before the first.
+	grantedReplica atomic.Pointer[state.Replica]
+	// backendStateUnknown is set while it can't be determined whether the
+	// backend server that failed the attempt is alive.
+	backendStateUnknown atomic.Bool
+	// suspect is set while the attempt is suspected of crashing its backend
+	// server.
 	suspect atomic.Bool
-	// followed is set before the end where another request of the same key has
-	// the answer.
-	followed atomic.Pointer[followed]
+	// joined is set before the end if another request of the same key has the
+	// answer.
+	joined atomic.Pointer[joinedRequest]
 
-	follows int // owners of the key that were gone before this try
+	joinAttempts int // owners of the key that were gone before this attempt
 
 	events chan request.Event
 	done   chan struct{} // closed when run returns
 
-	// ctx ends with the request, and so do the calls still under way for it.
+	// ctx is canceled when the request ends, which cancels its calls in flight.
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	began      request.AttemptStarted // the attempt that surely runs
-	arrived    time.Time
-	firstToken time.Time // of the attempt in hand, for the replica's speed
-	lastToken  time.Time
-	made       int  // tokens of the attempt in hand
-	completing bool // the actions under way end with a whole answer
+	startedAttempt request.AttemptStarted // the attempt that is known to run
+	arrived        time.Time
+	firstTokenAt   time.Time // of the current attempt, for the replica's speed
+	lastTokenAt    time.Time
+	tokenCount     int  // tokens of the current attempt
+	completing     bool // the current actions end the request with a complete answer
 }
 
 func newRunner(d *Daemon, spec request.Spec, a *answer) *runner {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &runner{
-		d:       d,
-		spec:    spec,
-		content: contentOf(spec),
-		m:       request.New(spec),
-		answer:  a,
-		events:  make(chan request.Event, eventBacklog),
-		done:    make(chan struct{}),
-		ctx:     ctx,
-		cancel:  cancel,
-		arrived: time.Now(),
+		d:             d,
+		spec:          spec,
+		contentDigest: digestContent(spec),
+		machine:       request.New(spec),
+		answer:        a,
+		events:        make(chan request.Event, eventBacklog),
+		done:          make(chan struct{}),
+		ctx:           ctx,
+		cancel:        cancel,
+		arrived:       time.Now(),
 	}
-	r.setExecution(spec.ID)
+	r.setExecutionID(spec.ID)
 	return r
 }
 
-func (r *runner) setExecution(id state.RequestID) {
-	r.execution.Store(&id)
+func (r *runner) setExecutionID(id state.RequestID) {
+	r.executionID.Store(&id)
 }
 
-// post gives the machine an event. It is dropped once the request has ended,
-// except that slots are then given back.
+// post passes an event to the state machine. Events after the request's end are
+// dropped, but slots that they grant are returned.
 func (r *runner) post(ev request.Event) {
 	select {
 	case r.events <- ev:
 	case <-r.done:
-		r.afterEnd(ev)
+		r.handleLateEvent(ev)
 	}
 }
 
-// afterEnd returns a slot that was granted to an ended request; nothing else
-// needs an answer then.
-func (r *runner) afterEnd(ev request.Event) {
+// handleLateEvent returns a slot that was granted to an ended request. No other
+// event needs an answer then.
+func (r *runner) handleLateEvent(ev request.Event) {
 	switch g := ev.(type) {
 	case request.SlotGranted:
 		r.release(request.ReleaseSlot{Grant: g.Grant, Replica: g.Replica.ID, Unused: true})
@@ -116,8 +118,8 @@
 	r.step(request.Start{})
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	for !r.m.Ended() {
-		r.arm(timer)
+	for !r.machine.Ended() {
+		r.resetTimer(timer)
 		select {
 		case ev := <-r.events:
 			r.step(ev)
@@ -129,16 +131,16 @@
 	}
 }
 
-// arm sets the timer to the machine's next tick.
-func (r *runner) arm(timer *time.Timer) {
+// resetTimer sets the timer to the state machine's next tick.
+func (r *runner) resetTimer(timer *time.Timer) {
 	wait := time.Hour
-	if at := r.m.NextTick(); !at.IsZero() {
+	if at := r.machine.NextTick(); !at.IsZero() {
 		wait = max(time.Until(at), 0)
 	}
 	timer.Reset(wait)
 }
 
-// finish lets go of everything that is bound to the request. Events that were
+// finish releases everything that belongs to the request. Events that were
 // queued behind the last one are handled as late.
 func (r *runner) finish() {
 	close(r.done)
@@ -147,7 +149,7 @@
 	for {
 		select {
 		case ev := <-r.events:
-			r.afterEnd(ev)
+			r.handleLateEvent(ev)
 		default:
 			return
 		}
@@ -156,41 +158,42 @@
 
 func (r *runner) step(ev request.Event) {
 	now := time.Now()
-	actions := r.m.Step(now, ev)
+	actions := r.machine.Step(now, ev)
 	r.trace.Step(now, ev, actions)
-	r.completing = endsWhole(actions)
+	r.completing = completesAnswer(actions)
 	for _, a := range actions {
 		r.carryOut(a)
 	}
 }
 
-// endsWhole reports whether the actions end a request with its whole answer.
-func endsWhole(actions []request.Action) bool {
+// completesAnswer reports whether the actions end a request with a complete
+// answer.
+func completesAnswer(actions []request.Action) bool {
 	for _, a := range actions {
 		if end, ok := a.(request.End); ok {
-			_, whole := end.Outcome.(state.Completed)
-			return whole
+			_, complete := end.Outcome.(state.Completed)
+			return complete
 		}
 	}
 	return false
 }
 
-// carryOut does one action. Those that wait for something do so elsewhere and
+// carryOut performs one action. Actions that block run in another goroutine and
 // post their result.
 func (r *runner) carryOut(a request.Action) {
 	switch a := a.(type) {
 	case request.RunStep:
 		go r.runStep(a)
 	case request.QueryStage:
-		go r.askHeld(a)
+		go r.queryStage(a)
 	case request.CancelAttempt:
-		go r.d.cancelAttempt(*r.execution.Load(), r.spec.Plain, a.Attempt, a.Replica)
+		go r.d.cancelAttempt(*r.executionID.Load(), r.spec.Plain, a.Attempt, a.Replica)
 	case request.ReleaseSlot:
 		r.release(a)
 	case request.ReleaseAttempt:
 		r.releaseAttempt(a)
 	case request.AttemptStarted:
-		r.attemptBegan(a)
+		r.attemptStarted(a)
 	case request.Emit:
 		r.emit(a)
 	case request.End:
@@ -201,13 +204,13 @@
 	}
 }
 
-// carryOut does the actions of a request that concern control state.
+// carryOut performs the actions of a request that concern control state.
 func (c *control) carryOut(r *runner, a request.Action) {
 	switch a := a.(type) {
 	case request.AcquireSlot:
-		c.quarantine.ask(r, a)
+		c.quarantine.requestRun(r, a)
 	case request.CancelSlotRequest:
-		c.quarantine.stop(r, a.Attempt)
+		c.quarantine.cancel(r, a.Attempt)
 	case request.PutClaim:
 		c.claims.put(r, a)
 	case request.AbandonClaim:
@@ -222,32 +225,32 @@
 }
 
 func (r *runner) release(a request.ReleaseSlot) {
-	tokens, busy := r.made, r.lastToken.Sub(r.firstToken)
-	r.made = 0
+	tokens, busy := r.tokenCount, r.lastTokenAt.Sub(r.firstTokenAt)
+	r.tokenCount = 0
 	c := r.d.control
-	how := howEnded(a, r.completing, r.fateUnknown.Load())
+	result := runResult(a, r.completing, r.backendStateUnknown.Load())
 	c.post(func() {
 		c.slots.release(r.spec.ID, a, tokens, busy)
-		c.quarantine.ended(r, how)
+		c.quarantine.runEnded(r, result)
 	})
 }
 
-// releaseAttempt lets the stages free the KV cache of a whole answer, once it is
-// kept elsewhere.
+// releaseAttempt lets the stages free the KV cache of a complete answer, once
+// its outcome is stored.
 func (r *runner) releaseAttempt(a request.ReleaseAttempt) {
-	id := *r.execution.Load()
+	id := *r.executionID.Load()
 	free := func() { r.d.cancelAttempt(id, r.spec.Plain, a.Attempt, a.Replica) }
 	c := r.d.control
 	c.post(func() {
-		c.claims.whenReleased(r, func() { time.AfterFunc(releaseDelay, free) })
+		c.claims.afterRelease(r, func() { time.AfterFunc(releaseDelay, free) })
 	})
 }
 
-func (r *runner) attemptBegan(a request.AttemptStarted) {
-	r.began = a
+func (r *runner) attemptStarted(a request.AttemptStarted) {
+	r.startedAttempt = a
 	r.answer.setRunning()
 	if r.spec.Plain {
-		return // its one token comes with it
+		return // its one token arrives with it
 	}
 	rec := recordOf(r, a)
 	c := r.d.control
@@ -259,22 +262,22 @@
 	m := r.d.metrics
 	if a.Index == 0 {
 		m.ObserveClass(telemetry.FirstTokenSeconds, r.spec.Service, r.spec.Class, now.Sub(r.arrived))
-	} else if !r.lastToken.IsZero() {
-		m.ObserveClass(telemetry.TokenGapSeconds, r.spec.Service, r.spec.Class, now.Sub(r.lastToken))
+	} else if !r.lastTokenAt.IsZero() {
+		m.ObserveClass(telemetry.TokenGapSeconds, r.spec.Service, r.spec.Class, now.Sub(r.lastTokenAt))
 	}
-	if r.made == 0 {
-		r.firstToken = now
+	if r.tokenCount == 0 {
+		r.firstTokenAt = now
 	}
-	r.made++
-	r.lastToken = now
+	r.tokenCount++
+	r.lastTokenAt = now
 	if r.suspect.Load() {
 		c := r.d.control
-		c.post(func() { c.quarantine.made(r, a.Index) })
+		c.post(func() { c.quarantine.tokenEmitted(r, a.Index) })
 	}
 	m.Tokens(1)
 	if !r.answer.append(caller.Token{Index: a.Index, Value: a.Value, Text: a.Text}) {
-		// A new attempt made another token than the caller already has. The
-		// answer can't be whole any more; it is ended rather than mixed.
+		// A new attempt produced another token than the one already delivered.
+		// The answer is failed, since it would mix two executions.
 		r.d.log.Emit(telemetry.EventOrderBroken, telemetry.Request(r.spec.ID), telemetry.Count(a.Index))
 		r.answer.end(state.Failed{Reason: state.ReasonBackendFailed, Tokens: a.Index})
 		go r.post(request.Cancel{})
@@ -284,26 +287,27 @@
 func (r *runner) end(o state.Outcome) {
 	c := r.d.control
 	c.post(func() {
-		c.retries.ended(r, o)
-		c.claims.ended(r)
+		c.retries.requestEnded(r, o)
+		c.claims.detachRequest(r)
 	})
-	if f := r.followed.Load(); f != nil {
-		go r.followOn(*f, o)
+	if first := r.joined.Load(); first != nil {
+		go r.deliverJoined(*first, o)
 		return
 	}
 	r.d.metrics.Ended(r.spec.Service, r.spec.Class, o)
-	r.d.logEnd(r.spec, o)
-	r.registerEnd(o)
+	r.d.logOutcome(r.spec, o)
+	r.registerAnswer(o)
 	r.answer.end(o)
 }
 
-// registerEnd keeps a whole answer with the request's registrars, for a caller
-// whose connection ends with this daemon before it has read everything.
-func (r *runner) registerEnd(o state.Outcome) {
-	if r.began.Attempt == 0 {
+// registerAnswer stores the ended answer at the request's registrars, for a
+// caller that loses its connection when this daemon stops before the caller has
+// read everything.
+func (r *runner) registerAnswer(o state.Outcome) {
+	if r.startedAttempt.Attempt == 0 {
 		return
 	}
-	rec := recordOf(r, r.began)
+	rec := recordOf(r, r.startedAttempt)
 	rec.Prompt = ""
 	tokens, _, _ := r.answer.after(0)
 	rec.Answer = &streams.Answer{Tokens: tokens, Outcome: streams.NewOutcome(o)}
--- a/daemon/slots.go
+++ b/daemon/slots.go
@@ -16,55 +16,56 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// slotsPart gets slots for this daemon's requests, and gives out those of the
-// pools that it is home of.
-type slotsPart struct {
+// slotsComponent acquires slots for this daemon's requests, and grants those of
+// the pools that this daemon is home of.
+type slotsComponent struct {
 	c      *control
 	router *route.Router
 	homes  *home.Home
 
-	docs     map[state.ServiceID]*service.Versioned
-	replicas map[state.ReplicaID]state.Replica
-	leaving  map[state.ReplicaID]bool
-	pools    []home.PoolSpec // that this daemon is home of
-	wants    map[home.SlotRequestID]*runner
-	// unheard are the backend servers of newly assigned pools that have not said
-	// yet whether they are leaving.
-	unheard map[state.BackendID]bool
-	// unproved are newly assigned pools that wait for those words, and until when.
-	unproved map[home.PoolID]time.Time
-	// early are asks for slots of those pools.
-	early []earlyAsk
+	documents map[state.ServiceID]*service.Versioned
+	replicas  map[state.ReplicaID]state.Replica
+	leaving   map[state.ReplicaID]bool
+	pools     []home.PoolSpec // that this daemon is home of
+	waiting   map[home.SlotRequestID]*runner
+	// unreported holds the backend servers of newly assigned pools that have
+	// not reported yet whether they are leaving.
+	unreported map[state.BackendID]bool
+	// pending holds the newly assigned pools that wait for these reports, with
+	// the time until which they wait.
+	pending map[home.PoolID]time.Time
+	// deferred holds the slot requests for pending pools.
+	deferred []deferredRequest
 }
 
-// earlyAsk is an ask that came before its pool was taken up.
-type earlyAsk struct {
+// deferredRequest is a slot request that arrived while its pool was pending.
+type deferredRequest struct {
 	from state.Member
 	msg  home.SlotRequest
 }
 
-func newSlotsPart(c *control) *slotsPart {
-	return &slotsPart{
-		c:        c,
-		router:   route.New(route.Config{Self: c.d.self, Region: c.d.set.Region}, c.rng),
-		homes:    home.New(home.Config{}),
-		docs:     make(map[state.ServiceID]*service.Versioned),
-		replicas: make(map[state.ReplicaID]state.Replica),
-		leaving:  make(map[state.ReplicaID]bool),
-		wants:    make(map[home.SlotRequestID]*runner),
-		unheard:  make(map[state.BackendID]bool),
-		unproved: make(map[home.PoolID]time.Time),
+func newSlotsComponent(c *control) *slotsComponent {
+	return &slotsComponent{
+		c:          c,
+		router:     route.New(route.Config{Self: c.d.self, Region: c.d.config.Region}, c.rng),
+		homes:      home.New(home.Config{}),
+		documents:  make(map[state.ServiceID]*service.Versioned),
+		replicas:   make(map[state.ReplicaID]state.Replica),
+		leaving:    make(map[state.ReplicaID]bool),
+		waiting:    make(map[home.SlotRequestID]*runner),
+		unreported: make(map[state.BackendID]bool),
+		pending:    make(map[home.PoolID]time.Time),
 	}
 }
 
-func (p *slotsPart) nextTick(now time.Time) time.Time {
-	for _, until := range p.unproved {
+func (sc *slotsComponent) nextTick(now time.Time) time.Time {
+	for _, until := range sc.pending {
 		if !now.Before(until) {
 			return now
 		}
 	}
-	a, b := p.router.NextTick(), p.homes.NextTick(now)
-	for _, until := range p.unproved {
+	a, b := sc.router.NextTick(), sc.homes.NextTick(now)
+	for _, until := range sc.pending {
 		if b.IsZero() || until.Before(b) {
 			b = until
 		}
@@ -75,76 +76,78 @@
 	return a
 }
 
-func (p *slotsPart) tick(time.Time) {
-	if len(p.unproved) > 0 {
-		p.takeUp()
+func (sc *slotsComponent) tick(time.Time) {
+	if len(sc.pending) > 0 {
+		sc.assignReady()
 	}
-	p.route(route.Tick{})
-	p.home(home.Tick{})
+	sc.stepRouter(route.Tick{})
+	sc.stepHomes(home.Tick{})
 }
 
-// route gives the router an event and carries out its actions.
-func (p *slotsPart) route(ev route.Event) {
+// stepRouter passes an event to the router and carries out its actions.
+func (sc *slotsComponent) stepRouter(ev route.Event) {
 	if v, ok := ev.(route.ViewChanged); ok {
 		live := lo.Map(v.Live, func(peer route.Peer, _ int) state.Member { return peer.Member })
-		p.home(home.ViewChanged{Live: live})
+		sc.stepHomes(home.ViewChanged{Live: live})
 	}
-	for _, a := range slices.Clone(p.router.Step(p.c.now, ev)) {
+	for _, a := range slices.Clone(sc.router.Step(sc.c.now, ev)) {
 		switch a := a.(type) {
 		case route.Send:
-			p.send(a.To, a.Msg)
+			sc.send(a.To, a.Msg)
 		case route.Granted:
-			p.granted(a)
+			sc.handleGranted(a)
 		case route.Refused:
-			p.refused(a)
+			sc.handleRefused(a)
 		case route.PoolsAssigned:
-			p.assigned(a.Pools)
+			sc.handleAssigned(a.Pools)
 		}
 	}
 }
 
-// firstWordWait is how long a new home waits for the first word of its backend
-// servers: a round trip, and some slack for a busy machine.
-const firstWordWait = 300 * time.Millisecond
-
-// assigned takes up the pools that this daemon is home of. A new home asks each
-// backend server at once, and takes a pool up only after their first words: only
-// homes ask, so that a server which began to leave while its pool had none would
-// get new work until the next report, a second later. Where this daemon was home of
-// the service's pool before, the pool has only changed, as in a roll-out: it is taken
-// up at once, since requests that wait for it would find no home and be refused.
-func (p *slotsPart) assigned(pools []home.PoolSpec) {
-	old := make(map[home.PoolID]bool, len(p.pools))
-	homed := make(map[state.ServiceID]bool, len(p.pools))
-	for _, pool := range p.pools {
+// firstReportTimeout is how long a new home waits for the first reports of its
+// backend servers: a round trip, and some slack for a busy machine.
+const firstReportTimeout = 300 * time.Millisecond
+
+// handleAssigned applies the set of pools that this daemon is home of. A new home
+// queries each backend server immediately and activates a pool only after their
+// first reports. Only homes query servers, so a server that began to leave
+// while its pool had no home would otherwise get new work until the next
+// report, a second later. If this daemon was already home of the service's
+// pool, the pool has only changed, as in a roll-out. It is then activated
+// immediately, because requests that wait for it would find no home and be
+// refused.
+func (sc *slotsComponent) handleAssigned(pools []home.PoolSpec) {
+	old := make(map[home.PoolID]bool, len(sc.pools))
+	homed := make(map[state.ServiceID]bool, len(sc.pools))
+	for _, pool := range sc.pools {
 		old[pool.ID] = true
-		homed[pool.Service] = homed[pool.Service] || !p.waits(pool.ID)
+		homed[pool.Service] = homed[pool.Service] || !sc.isPending(pool.ID)
 	}
-	p.pools = pools
-	for id := range p.unproved {
+	sc.pools = pools
+	for id := range sc.pending {
 		if !slices.ContainsFunc(pools, func(pool home.PoolSpec) bool { return pool.ID == id }) {
-			delete(p.unproved, id)
+			delete(sc.pending, id)
 		}
 	}
 	for _, pool := range pools {
 		if old[pool.ID] {
 			continue
 		}
-		p.c.backends.soon()
+		sc.c.backends.queryNow()
 		if homed[pool.Service] {
 			continue
 		}
-		p.unproved[pool.ID] = p.c.now.Add(firstWordWait)
+		sc.pending[pool.ID] = sc.c.now.Add(firstReportTimeout)
 		for _, s := range stagesOf(pool) {
-			p.unheard[s.Backend] = true
+			sc.unreported[s.Backend] = true
 		}
 	}
-	p.takeUp()
+	sc.assignReady()
 }
 
-// waits reports whether a pool is not taken up yet.
-func (p *slotsPart) waits(id home.PoolID) bool {
-	_, ok := p.unproved[id]
+// isPending reports whether a pool is not active yet.
+func (sc *slotsComponent) isPending(id home.PoolID) bool {
+	_, ok := sc.pending[id]
 	return ok
 }
 
@@ -156,115 +159,119 @@
 	return out
 }
 
-// takeUp gives the homes the pools whose servers have all said whether they are
-// leaving, or had time to. The replicas of those that have not get no work yet.
-func (p *slotsPart) takeUp() {
+// assignReady assigns to the homes the pools whose servers have all reported
+// whether they are leaving, or whose wait has expired. Replicas with a server
+// that has not reported get no work yet.
+func (sc *slotsComponent) assignReady() {
 	var ready []home.PoolSpec
-	var silent []state.ReplicaID
-	waits := func(s state.Stage) bool { return p.unheard[s.Backend] }
-	for _, pool := range p.pools {
-		until, unproved := p.unproved[pool.ID]
-		if unproved && p.c.now.Before(until) && slices.ContainsFunc(stagesOf(pool), waits) {
+	var incomplete []state.ReplicaID
+	notReported := func(s state.Stage) bool { return sc.unreported[s.Backend] }
+	for _, pool := range sc.pools {
+		until, wasPending := sc.pending[pool.ID]
+		if wasPending && sc.c.now.Before(until) && slices.ContainsFunc(stagesOf(pool), notReported) {
 			continue
 		}
 		ready = append(ready, pool)
-		if !unproved {
+		if !wasPending {
 			continue
 		}
-		delete(p.unproved, pool.ID)
+		delete(sc.pending, pool.ID)
 		for _, r := range pool.Replicas {
-			if slices.ContainsFunc(r.Stages, waits) {
-				silent = append(silent, r.ID)
+			if slices.ContainsFunc(r.Stages, notReported) {
+				incomplete = append(incomplete, r.ID)
 			}
 		}
 	}
-	p.home(home.PoolsAssigned{Pools: ready})
-	for _, id := range silent {
-		p.home(home.ReplicaLeaving{Replica: id})
+	sc.stepHomes(home.PoolsAssigned{Pools: ready})
+	for _, id := range incomplete {
+		sc.stepHomes(home.ReplicaLeaving{Replica: id})
 	}
-	p.answerEarly()
+	sc.handleDeferred()
 }
 
-// answerEarly hands the asks that came early to their homes. Without it they would
-// be told that nobody is home, and after some such answers be refused.
-func (p *slotsPart) answerEarly() {
-	early := p.early
-	p.early = nil
-	for _, a := range early {
-		p.received(a.from, a.msg)
+// handleDeferred passes the deferred slot requests to their homes. Without the
+// deferral they would be answered with NotHome, and be refused after some such
+// answers.
+func (sc *slotsComponent) handleDeferred() {
+	deferred := sc.deferred
+	sc.deferred = nil
+	for _, a := range deferred {
+		sc.handleMessage(a.from, a.msg)
 	}
 }
 
-// heard notes the first word of a backend server, or that it gives none.
-func (p *slotsPart) heard(id state.BackendID) {
-	if !p.unheard[id] {
+// serverReported records that a server's first query has ended, with a report
+// or without one.
+func (sc *slotsComponent) serverReported(id state.BackendID) {
+	if !sc.unreported[id] {
 		return
 	}
-	delete(p.unheard, id)
-	if len(p.unproved) > 0 {
-		p.takeUp()
+	delete(sc.unreported, id)
+	if len(sc.pending) > 0 {
+		sc.assignReady()
 	}
-	for _, r := range p.replicas {
+	for _, r := range sc.replicas {
 		if !slices.ContainsFunc(r.Stages, func(s state.Stage) bool { return s.Backend == id }) {
 			continue
 		}
-		waits := slices.ContainsFunc(r.Stages, func(s state.Stage) bool { return p.unheard[s.Backend] })
-		if !waits && !r.Leaving && !p.anyLeaving(r) {
-			p.home(home.ReplicaReturned{Replica: r.ID})
+		notReported := slices.ContainsFunc(r.Stages, func(s state.Stage) bool { return sc.unreported[s.Backend] })
+		if !notReported && !r.Leaving && !sc.hasLeavingServer(r) {
+			sc.stepHomes(home.ReplicaReturned{Replica: r.ID})
 		}
 	}
 }
 
-// home gives this daemon's own homes an event and carries out their actions.
-func (p *slotsPart) home(ev home.Event) {
-	for _, a := range slices.Clone(p.homes.Step(p.c.now, ev)) {
+// stepHomes passes an event to this daemon's homes and carries out their
+// actions.
+func (sc *slotsComponent) stepHomes(ev home.Event) {
+	for _, a := range slices.Clone(sc.homes.Step(sc.c.now, ev)) {
 		switch a := a.(type) {
 		case home.Send:
-			p.send(a.To, a.Msg)
+			sc.send(a.To, a.Msg)
 		case home.Suspected:
-			p.c.d.log.Emit(telemetry.EventReplicaDown, telemetry.Replica(a.Replica))
+			sc.c.d.log.Emit(telemetry.EventReplicaDown, telemetry.Replica(a.Replica))
 		case home.Recovered:
-			p.c.d.log.Emit(telemetry.EventReplicaUp, telemetry.Replica(a.Replica))
+			sc.c.d.log.Emit(telemetry.EventReplicaUp, telemetry.Replica(a.Replica))
 		case home.GrantsRecovered:
-			// A new home began to grant; nothing is to be done.
+			// A new home has started to grant slots; there is nothing to do.
 		}
 	}
 }
 
 // send delivers a message to a daemon, this one included.
-func (p *slotsPart) send(to state.DaemonID, msg home.Message) {
-	if to == p.c.d.self.ID {
-		p.c.later(func() { p.received(p.c.d.self, msg) })
+func (sc *slotsComponent) send(to state.DaemonID, msg home.Message) {
+	if to == sc.c.d.self.ID {
+		sc.c.afterStep(func() { sc.handleMessage(sc.c.d.self, msg) })
 		return
 	}
-	p.c.d.send(p.c.members.address(to), msg)
+	sc.c.d.send(sc.c.members.address(to), msg)
 }
 
-// received hands a message to the side that it is for: what homes say goes to
-// the router, what entry daemons say to the homes.
-func (p *slotsPart) received(from state.Member, msg home.Message) {
+// handleMessage passes messages of homes to the router, and messages of entry
+// daemons to the homes.
+func (sc *slotsComponent) handleMessage(from state.Member, msg home.Message) {
 	switch m := msg.(type) {
 	case home.SlotGrant, home.SlotRefusal, home.NotHome, home.ReportQuery:
-		p.route(route.Received{From: from, Msg: msg})
+		sc.stepRouter(route.Received{From: from, Msg: msg})
 		return
 	case home.SlotRequest:
-		if p.waits(m.Pool) {
-			p.early = append(p.early, earlyAsk{from: from, msg: m})
+		if sc.isPending(m.Pool) {
+			sc.deferred = append(sc.deferred, deferredRequest{from: from, msg: m})
 			return
 		}
 	}
-	p.home(home.Received{From: from, Msg: msg})
+	sc.stepHomes(home.Received{From: from, Msg: msg})
 }
 
-// ask begins to get a slot for a request's next attempt.
-// Alone asks for a replica that runs nothing else meanwhile.
-func (p *slotsPart) ask(r *runner, a request.AcquireSlot, alone bool) {
-	ask := home.SlotRequestID{Request: r.spec.ID, Attempt: a.Attempt}
-	p.wants[ask] = r
+// acquire requests a slot for a request's next attempt. An exclusive one is for
+// a replica that runs nothing else meanwhile.
+func (sc *slotsComponent) acquire(r *runner, a request.AcquireSlot, exclusive bool) {
+	id := home.SlotRequestID{Request: r.spec.ID, Attempt: a.Attempt}
+	sc.waiting[id] = r
 	prefixes := state.Prefixes(r.spec.Prompt)
 	slices.Reverse(prefixes)
-	p.route(route.AcquireSlot{
-		ID:        ask,
+	sc.stepRouter(route.AcquireSlot{
+		ID:        id,
 		Service:   r.spec.Service,
 		Class:     r.spec.Class,
 		Customer:  r.spec.Customer,
@@ -272,128 +279,129 @@
 		Cost:      uint32(max(r.spec.MaxTokens, 1)),
 		Prefixes:  prefixes,
 		Exclude:   a.Exclude,
-		Exclusive: alone,
-		Staggered: alone,
+		Exclusive: exclusive,
+		Staggered: exclusive,
 	})
 }
 
-// passed lets others begin on the replica of a request that was alone.
-func (p *slotsPart) passed(r *runner, attempt state.Attempt) {
-	p.route(route.ExclusiveEnded{ID: home.SlotRequestID{Request: r.spec.ID, Attempt: attempt}})
+// exclusiveEnded lets other requests start on the replica of an exclusive
+// request.
+func (sc *slotsComponent) exclusiveEnded(r *runner, attempt state.Attempt) {
+	sc.stepRouter(route.ExclusiveEnded{ID: home.SlotRequestID{Request: r.spec.ID, Attempt: attempt}})
 }
 
-func (p *slotsPart) stop(r *runner, attempt state.Attempt) {
-	ask := home.SlotRequestID{Request: r.spec.ID, Attempt: attempt}
-	if _, waits := p.wants[ask]; !waits {
+func (sc *slotsComponent) cancel(r *runner, attempt state.Attempt) {
+	id := home.SlotRequestID{Request: r.spec.ID, Attempt: attempt}
+	if _, ok := sc.waiting[id]; !ok {
 		return
 	}
-	delete(p.wants, ask)
-	p.route(route.CancelAcquire{ID: ask})
+	delete(sc.waiting, id)
+	sc.stepRouter(route.CancelAcquire{ID: id})
 }
 
-func (p *slotsPart) release(id state.RequestID, a request.ReleaseSlot, tokens int, busy time.Duration) {
-	use := home.OutcomeServed
+func (sc *slotsComponent) release(id state.RequestID, a request.ReleaseSlot, tokens int, busy time.Duration) {
+	outcome := home.OutcomeServed
 	switch {
 	case a.Unused:
-		use = home.OutcomeUnused
+		outcome = home.OutcomeUnused
 	case a.Failed:
-		use = home.OutcomeFailed
+		outcome = home.OutcomeFailed
 	}
-	p.route(route.ReleaseSlot{
+	sc.stepRouter(route.ReleaseSlot{
 		ID:         home.SlotRequestID{Request: id, Attempt: a.Grant},
-		Outcome:    use,
+		Outcome:    outcome,
 		Tokens:     uint32(tokens),
 		DecodeTime: busy,
 	})
 }
 
-func (p *slotsPart) granted(a route.Granted) {
-	r, ok := p.wants[a.ID]
-	replica, known := p.replicas[a.Replica]
-	delete(p.wants, a.ID)
+func (sc *slotsComponent) handleGranted(a route.Granted) {
+	r, ok := sc.waiting[a.ID]
+	replica, known := sc.replicas[a.Replica]
+	delete(sc.waiting, a.ID)
 	switch {
 	case !ok:
-		p.c.later(func() { p.route(route.ReleaseSlot{ID: a.ID, Outcome: home.OutcomeUnused}) })
+		sc.c.afterStep(func() { sc.stepRouter(route.ReleaseSlot{ID: a.ID, Outcome: home.OutcomeUnused}) })
 	case !known:
-		// The home has a newer document than this daemon. The request asks
-		// again for another replica; it would wait for ever otherwise.
+		// The home has a newer document than this daemon. The request has to
+		// ask for another replica; otherwise it would wait forever.
 		go r.post(request.SlotUnusable{Grant: a.ID.Attempt, Replica: a.Replica, UnknownReplica: true})
 	default:
-		p.c.d.metrics.ObserveClass(telemetry.QueueSeconds, r.spec.Service, r.spec.Class, p.c.now.Sub(r.arrived))
-		p.c.quarantine.began(r, replica.ID)
-		go r.grant(a.ID.Attempt, replica)
+		sc.c.d.metrics.ObserveClass(telemetry.QueueSeconds, r.spec.Service, r.spec.Class, sc.c.now.Sub(r.arrived))
+		sc.c.quarantine.runStarted(r, replica.ID)
+		go r.grantSlot(a.ID.Attempt, replica)
 	}
 }
 
-func (p *slotsPart) refused(a route.Refused) {
-	r, ok := p.wants[a.ID]
-	delete(p.wants, a.ID)
+func (sc *slotsComponent) handleRefused(a route.Refused) {
+	r, ok := sc.waiting[a.ID]
+	delete(sc.waiting, a.ID)
 	if ok {
 		if a.Reason == state.ReasonQueueFull {
-			p.c.d.log.Emit(telemetry.EventQueueFull, telemetry.Service(r.spec.Service), telemetry.Class(r.spec.Class))
+			sc.c.d.log.Emit(telemetry.EventQueueFull, telemetry.Service(r.spec.Service), telemetry.Class(r.spec.Class))
 		}
 		go r.post(request.SlotRefused{Reason: a.Reason, RetryAfter: a.RetryAfter})
 	}
 }
 
-// documentChanged takes a document's chains up.
-func (p *slotsPart) documentChanged(v *service.Versioned) {
-	p.docs[v.Document.Service] = v
-	p.rebuild(v)
+// documentChanged applies a document's chains.
+func (sc *slotsComponent) documentChanged(v *service.Versioned) {
+	sc.documents[v.Document.Service] = v
+	sc.rebuild(v)
 }
 
-// instancesChanged looks all chains up anew in the instance list.
-func (p *slotsPart) instancesChanged() {
-	for _, v := range p.docs {
-		p.rebuild(v)
+// instancesChanged resolves all chains again from the instance list.
+func (sc *slotsComponent) instancesChanged() {
+	for _, v := range sc.documents {
+		sc.rebuild(v)
 	}
 }
 
-// rebuild tells the router which replicas a service has.
-func (p *slotsPart) rebuild(v *service.Versioned) {
-	replicas := p.c.instances.replicas(&v.Document)
+// rebuild passes a service's replicas to the router.
+func (sc *slotsComponent) rebuild(v *service.Versioned) {
+	replicas := sc.c.instances.replicas(&v.Document)
 	for _, r := range replicas {
-		p.replicas[r.ID] = r
+		sc.replicas[r.ID] = r
 	}
-	p.route(route.ReplicasChanged{
+	sc.stepRouter(route.ReplicasChanged{
 		Service:  v.Document.Service,
 		Capacity: v.Document.Capacity.Replicas,
 		Replicas: replicas,
 	})
 	for _, r := range replicas {
-		if r.Leaving || p.anyLeaving(r) {
-			p.replicaLeaving(r.ID)
+		if r.Leaving || sc.hasLeavingServer(r) {
+			sc.replicaLeaving(r.ID)
 		}
 	}
 }
 
-// tableChanged takes up the replicas that a service's controller has published.
-func (p *slotsPart) tableChanged(id state.ServiceID) {
-	if v, ok := p.docs[id]; ok && isAuto(&v.Document) {
-		p.rebuild(v)
+// tableChanged applies the replicas that a service's controller has published.
+func (sc *slotsComponent) tableChanged(id state.ServiceID) {
+	if v, ok := sc.documents[id]; ok && isAuto(&v.Document) {
+		sc.rebuild(v)
 	}
 }
 
-func (p *slotsPart) anyLeaving(r state.Replica) bool {
+func (sc *slotsComponent) hasLeavingServer(r state.Replica) bool {
 	return slices.ContainsFunc(r.Stages, func(s state.Stage) bool {
-		fact, ok := p.c.members.view.Backends[s.Backend]
+		fact, ok := sc.c.members.view.Backends[s.Backend]
 		return ok && fact.Kind == membership.BackendLeaving
 	})
 }
 
 // backendLeaving stops new work on every replica with the backend server.
-func (p *slotsPart) backendLeaving(id state.BackendID) {
-	for _, r := range p.replicas {
+func (sc *slotsComponent) backendLeaving(id state.BackendID) {
+	for _, r := range sc.replicas {
 		if slices.ContainsFunc(r.Stages, func(s state.Stage) bool { return s.Backend == id }) {
-			p.replicaLeaving(r.ID)
+			sc.replicaLeaving(r.ID)
 		}
 	}
 }
 
-// recorded returns the replica that a claim row names, with the lives that its
-// processes were seen in then.
-func (p *slotsPart) recorded(slot claims.Slot) (state.Replica, bool) {
-	r, ok := p.replicas[slot.Replica]
+// recordedReplica returns the replica that a claim row names, with the boot IDs
+// that its processes had then.
+func (sc *slotsComponent) recordedReplica(slot claims.Slot) (state.Replica, bool) {
+	r, ok := sc.replicas[slot.Replica]
 	if !ok || len(r.Stages) != len(slot.Backends) {
 		return state.Replica{}, false
 	}
@@ -407,23 +415,23 @@
 	return r, true
 }
 
-// backendReturned gives the replicas with a backend server work again, unless
-// another of their servers is still leaving.
-func (p *slotsPart) backendReturned(id state.BackendID) {
-	for _, r := range p.replicas {
+// backendReturned allows work on the replicas with a backend server again,
+// unless another of their servers is still leaving.
+func (sc *slotsComponent) backendReturned(id state.BackendID) {
+	for _, r := range sc.replicas {
 		if !slices.ContainsFunc(r.Stages, func(s state.Stage) bool { return s.Backend == id }) {
 			continue
 		}
-		waits := slices.ContainsFunc(r.Stages, func(s state.Stage) bool { return p.unheard[s.Backend] })
-		if waits || r.Leaving || p.anyLeaving(r) {
+		notReported := slices.ContainsFunc(r.Stages, func(s state.Stage) bool { return sc.unreported[s.Backend] })
+		if notReported || r.Leaving || sc.hasLeavingServer(r) {
 			continue
 		}
-		p.route(route.ReplicaReturned{Replica: r.ID})
-		p.home(home.ReplicaReturned{Replica: r.ID})
+		sc.stepRouter(route.ReplicaReturned{Replica: r.ID})
+		sc.stepHomes(home.ReplicaReturned{Replica: r.ID})
 	}
 }
 
-func (p *slotsPart) replicaLeaving(id state.ReplicaID) {
-	p.route(route.ReplicaLeaving{Replica: id})
-	p.home(home.ReplicaLeaving{Replica: id})
+func (sc *slotsComponent) replicaLeaving(id state.ReplicaID) {
+	sc.stepRouter(route.ReplicaLeaving{Replica: id})
+	sc.stepHomes(home.ReplicaLeaving{Replica: id})
 }
--- a/daemon/steps.go
+++ b/daemon/steps.go
@@ -16,26 +16,26 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/enginehttp"
 )
 
-// cancelTimeout bounds the courtesy of telling stages that an attempt is over;
-// they free it by themselves in the end.
+// cancelTimeout bounds the call that informs a stage of the end of an attempt.
+// Stages without that call free the attempt after their own timeout.
 const cancelTimeout = 2 * time.Second
 
-// lifeTimeout bounds the question which life a backend server's process is in,
+// bootIDTimeout bounds the query for the boot ID of a backend server's process
 // before the first step.
-const lifeTimeout = 300 * time.Millisecond
+const bootIDTimeout = 300 * time.Millisecond
 
-// runStep sends one step to its stage, once, and posts what became of it.
+// runStep sends one step to its stage, once, and posts the result.
 func (r *runner) runStep(a request.RunStep) {
 	if r.spec.Plain {
 		r.callPlain(a)
 		return
 	}
 	e := r.d.clients.engine(a.Stage.Address)
-	began := time.Now()
+	start := time.Now()
 	res, err := e.steps.Step(r.ctx, r.stepRequest(a))
-	r.d.metrics.ObserveService(telemetry.StepSeconds, r.spec.Service, time.Since(began))
+	r.d.metrics.ObserveService(telemetry.StepSeconds, r.spec.Service, time.Since(start))
 	if err != nil || res.Status != engine.StepDone {
-		e.seen("") // perhaps another life of the process by now
+		e.setBootID("") // the process may have restarted
 	}
 	switch {
 	case err != nil:
@@ -54,7 +54,7 @@
 func (r *runner) stepRequest(a request.RunStep) engine.StepRequest {
 	spec := r.spec
 	return engine.StepRequest{
-		Request:     *r.execution.Load(),
+		Request:     *r.executionID.Load(),
 		Attempt:     a.Step.Attempt,
 		BootID:      a.Stage.BootID,
 		Epoch:       a.Step.Epoch,
@@ -70,18 +70,19 @@
 	}
 }
 
-// stepError posts a call that was not answered.
+// stepError posts that a call was not answered.
 func (r *runner) stepError(a request.RunStep, err error) {
-	silent := errors.Is(err, enginehttp.ErrUnresponsive)
+	unresponsive := errors.Is(err, enginehttp.ErrUnresponsive)
 	if engine.NotSent(err) && a.Prompt == "" && r.ctx.Err() == nil {
-		// The attempt had begun, and nobody listens any more. A first step is
-		// left out: its content has not been there.
+		// The attempt had started there, and no process accepts connections any
+		// more. First steps are excluded: their content has not reached the
+		// server.
 		r.stageDied(a.Step.Stage)
 	}
-	if r.spec.Plain && !silent && !engine.NotSent(err) && r.ctx.Err() == nil {
-		r.checkPlain(a)
+	if r.spec.Plain && !unresponsive && !engine.NotSent(err) && r.ctx.Err() == nil {
+		r.checkPlainServer(a)
 	}
-	r.post(request.StepUnanswered{Step: a.Step, NotSent: engine.NotSent(err), Silent: silent})
+	r.post(request.StepUnanswered{Step: a.Step, NotSent: engine.NotSent(err), Silent: unresponsive})
 }
 
 func (r *runner) callPlain(a request.RunStep) {
@@ -97,65 +98,67 @@
 	}
 }
 
-// askHeld asks a stage what it holds, on a connection of its own if the last
-// one went silent.
-func (r *runner) askHeld(a request.QueryStage) {
-	ctx, cancel := context.WithTimeout(r.ctx, r.d.askTimeout)
+// queryStage queries the state of a stage, on a new connection if the last one
+// became unresponsive.
+func (r *runner) queryStage(a request.QueryStage) {
+	ctx, cancel := context.WithTimeout(r.ctx, r.d.queryTimeout)
 	defer cancel()
 	e := r.d.clients.engine(a.Stage.Address)
-	held, err := e.Resume(ctx, *r.execution.Load(), a.Step.Attempt, a.Step.Epoch)
+	resumed, err := e.Resume(ctx, *r.executionID.Load(), a.Step.Attempt, a.Step.Epoch)
 	if err != nil {
 		if engine.NotSent(err) {
 			r.stageDied(a.Step.Stage)
 		}
-		r.fateUnknown.Store(!engine.NotSent(err))
+		r.backendStateUnknown.Store(!engine.NotSent(err))
 		r.post(request.StageQueryFailed{
 			Step: a.Step, Superseded: errors.Is(err, engine.ErrStaleEpoch), NotSent: engine.NotSent(err),
 		})
 		return
 	}
-	if a.Stage.BootID != "" && held.BootID != a.Stage.BootID {
-		r.stageDied(a.Step.Stage) // and is back already
+	if a.Stage.BootID != "" && resumed.BootID != a.Stage.BootID {
+		r.stageDied(a.Step.Stage) // it has already restarted
 	}
 	r.post(request.StageState{
 		Step:       a.Step,
-		Life:       held.BootID,
-		Known:      held.Known,
-		Canceled:   held.Canceled,
-		NextToken:  held.NextToken,
-		LastOutput: held.LastOutput,
-		Tokens:     held.Tokens,
-		Final:      held.Final,
+		Life:       resumed.BootID,
+		Known:      resumed.Known,
+		Canceled:   resumed.Canceled,
+		NextToken:  resumed.NextToken,
+		LastOutput: resumed.LastOutput,
+		Tokens:     resumed.Tokens,
+		Final:      resumed.Final,
 	})
 }
 
-// checkPlain finds out whether a plain server that broke a call off is gone.
-func (r *runner) checkPlain(a request.RunStep) {
-	ctx, cancel := context.WithTimeout(r.ctx, lifeTimeout)
+// checkPlainServer determines whether a plain server that broke off a call is
+// gone.
+func (r *runner) checkPlainServer(a request.RunStep) {
+	ctx, cancel := context.WithTimeout(r.ctx, bootIDTimeout)
 	defer cancel()
 	_, err := r.d.clients.plain(a.Stage.Address).Load(ctx)
 	if engine.NotSent(err) {
 		r.stageDied(a.Step.Stage)
 	}
-	r.fateUnknown.Store(err != nil && !engine.NotSent(err))
+	r.backendStateUnknown.Store(err != nil && !engine.NotSent(err))
 }
 
-// stageDied reports that nobody listens any more at a stage that had the request.
-// It comes before the request's own end, so that the death implicates it.
+// stageDied reports that a stage which had the request accepts no connections
+// any more. It is called before the request's own end, so that the death
+// implicates the request.
 func (r *runner) stageDied(stage int) {
-	replica := r.granted.Load()
+	replica := r.grantedReplica.Load()
 	if replica == nil {
-		return // an attempt that another daemon began
+		return // an attempt that another daemon started
 	}
 	c := r.d.control
 	tokens, _, _ := r.answer.after(0)
 	c.post(func() {
-		c.quarantine.stopped(r, len(tokens))
-		c.quarantine.died(*replica, stage)
+		c.quarantine.recordPosition(r, len(tokens))
+		c.quarantine.reportDeath(*replica, stage)
 	})
 }
 
-// cancelAttempt tells every stage of a replica that an attempt is over.
+// cancelAttempt informs every stage of a replica that an attempt has ended.
 func (d *Daemon) cancelAttempt(id state.RequestID, plain bool, attempt state.Attempt, replica state.Replica) {
 	if plain {
 		return
@@ -163,104 +166,106 @@
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	for _, s := range replica.Stages {
-		// An unanswered cancel costs the stage memory until it forgets the
-		// attempt by itself; nothing rests on it.
+		// After an unanswered cancel the stage keeps the attempt's memory until
+		// the attempt expires there; correctness does not depend on it.
 		_, _ = d.clients.engine(s.Address).Cancel(ctx, id, attempt)
 	}
 }
 
-// grant gives the machine a slot, with the lives that the replica's processes are
-// seen in: without them a stage's word that it never ran a step is no proof. A
-// stage that failed a call is asked first. Where it does not answer, nothing is
-// sent to the replica: a request that is never repeated would be lost to it, once
-// the stages before had begun.
-func (r *runner) grant(attempt state.Attempt, replica state.Replica) {
+// grantSlot passes a slot to the state machine, with the boot IDs of the
+// replica's processes: without them a stage's statement that it never ran a
+// step proves nothing. A stage that failed a call is queried first. If it does
+// not answer, nothing is sent to the replica: a never-repeat request would be
+// lost there once the preceding stages had started it.
+func (r *runner) grantSlot(attempt state.Attempt, replica state.Replica) {
 	if !r.spec.Plain {
-		stages, answered := r.d.withLives(r.ctx, replica.Stages, r.spec.NeverRepeat)
+		stages, answered := r.d.withBootIDs(r.ctx, replica.Stages, r.spec.NeverRepeat)
 		if !answered {
 			r.post(request.SlotUnusable{Grant: attempt, Replica: replica.ID})
 			return
 		}
 		replica.Stages = stages
 	}
-	r.granted.Store(&replica)
-	r.fateUnknown.Store(false)
+	r.grantedReplica.Store(&replica)
+	r.backendStateUnknown.Store(false)
 	r.post(request.SlotGranted{Grant: attempt, Replica: replica})
 }
 
-// withLives returns stages with the life of each process, asked for where it is
-// not known, or always if fresh: a process that restarted unnoticed refuses what is
-// meant for the one before, and a request that is never repeated would be lost once
-// the stages before had begun. It reports false if one does not answer.
-func (d *Daemon) withLives(ctx context.Context, stages []state.Stage, fresh bool) ([]state.Stage, bool) {
+// withBootIDs returns stages with the boot ID of each process. Unknown ones are
+// queried, and all of them if fresh is set: a process that restarted unnoticed
+// rejects what was meant for its predecessor, and a never-repeat request would
+// be lost once the preceding stages had started it. It reports false if a stage
+// does not answer.
+func (d *Daemon) withBootIDs(ctx context.Context, stages []state.Stage, fresh bool) ([]state.Stage, bool) {
 	out := slices.Clone(stages)
-	var silent atomic.Bool
+	var unanswered atomic.Bool
 	var wg sync.WaitGroup
 	for i := range out {
 		e := d.clients.engine(out[i].Address)
-		if out[i].BootID = e.lastLife(); out[i].BootID != "" && !fresh {
+		if out[i].BootID = e.lastBootID(); out[i].BootID != "" && !fresh {
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			life, err := d.askLife(ctx, e)
-			out[i].BootID = life
+			bootID, err := d.queryBootID(ctx, e)
+			out[i].BootID = bootID
 			if err != nil {
-				silent.Store(true)
+				unanswered.Store(true)
 			}
 		}()
 	}
 	wg.Wait()
-	return out, !silent.Load()
+	return out, !unanswered.Load()
 }
 
-func (d *Daemon) askLife(ctx context.Context, e *engineClient) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, lifeTimeout)
+func (d *Daemon) queryBootID(ctx context.Context, e *engineClient) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, bootIDTimeout)
 	defer cancel()
 	load, err := e.Load(ctx)
 	if err != nil {
 		return "", err
 	}
-	e.seen(load.BootID)
+	e.setBootID(load.BootID)
 	return load.BootID, nil
 }
 
-// askRecorded asks the backend servers of a claimed attempt, whose owner is gone,
-// what became of it, and bars the old owner's steps there.
-func (d *Daemon) askRecorded(rec claims.Record, answer func(claims.Evidence)) {
+// queryRecordedAttempt queries the backend servers of a claimed attempt, whose
+// owner is gone, for its state. The query's epoch makes them reject further
+// steps of that owner.
+func (d *Daemon) queryRecordedAttempt(rec claims.Record, answer func(claims.Evidence)) {
 	ev := claims.Evidence{Epoch: rec.Epoch, Kind: claims.EvidenceNone}
-	replica, ok := ask(context.Background(), d.control, func() state.Replica {
-		r, _ := d.control.slots.recorded(rec.Slot)
+	replica, ok := callControl(context.Background(), d.control, func() state.Replica {
+		r, _ := d.control.slots.recordedReplica(rec.Slot)
 		return r
 	})
 	if !ok || len(replica.Stages) == 0 || replica.Stages[0].Layers.Len() == 0 {
-		answer(ev) // a plain service can't be asked
+		answer(ev) // plain servers can't be queried
 		return
 	}
-	held := 0
+	stagesHolding := 0
 	for _, s := range replica.Stages {
-		ctx, cancel := context.WithTimeout(context.Background(), d.askTimeout)
-		h, err := d.clients.engine(s.Address).Resume(ctx, rec.Request, rec.Slot.Attempt, rec.Epoch)
+		ctx, cancel := context.WithTimeout(context.Background(), d.queryTimeout)
+		resumed, err := d.clients.engine(s.Address).Resume(ctx, rec.Request, rec.Slot.Attempt, rec.Epoch)
 		cancel()
 		if err != nil {
-			// A process that is gone has lost what it held; one that only
-			// doesn't answer may be asked again.
+			// A process that is gone has lost what it held; one that only does
+			// not answer may be queried again.
 			if !engine.NotSent(err) && !errors.Is(err, engine.ErrStaleEpoch) {
 				ev.Kind = claims.EvidenceUnavailable
 			}
 			answer(ev)
 			return
 		}
-		ev.BootIDs = append(ev.BootIDs, h.BootID)
-		if h.Known && !h.Canceled {
-			held++
+		ev.BootIDs = append(ev.BootIDs, resumed.BootID)
+		if resumed.Known && !resumed.Canceled {
+			stagesHolding++
 		}
 	}
 	ev.Kind = claims.EvidenceNotStarted
-	if held > 0 {
-		// Stages may stand one token apart; the request's machine finds the
-		// next step.
+	if stagesHolding > 0 {
+		// Stages may be one token apart; the request's state machine determines
+		// the next step.
 		ev.Kind = claims.EvidenceHeld
 	}
 	answer(ev)
--- a/daemon/store.go
+++ b/daemon/store.go
@@ -15,101 +15,103 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/platformhttp"
 )
 
-// statusThrottled is the table service's own refusal for rate.
+// statusThrottled is the table service's HTTP status for exceeding its rate
+// limit.
 const statusThrottled = 429
 
-// storePart sends the calls of all machines to the table service, within this
-// daemon's share of its rate.
-type storePart struct {
+// storeComponent sends the calls of all components to the table service, within
+// this daemon's share of its rate.
+type storeComponent struct {
 	c       *control
 	budget  *storebudget.Budget
 	waiting map[uint64]storeCall
-	last    uint64
+	lastID  uint64
 	down    bool
 }
 
-// storeCall is one call that waits for its turn or its answer.
+// storeCall is one call that waits to be sent or answered.
 type storeCall struct {
 	call   store.Call
 	answer func(store.Result)
 }
 
-func newStorePart(c *control) *storePart {
+func newStoreComponent(c *control) *storeComponent {
 	cfg := storebudget.DefaultConfig()
-	cfg.WritesPerSecond = c.d.set.Store.WritesPerSecond
-	cfg.ReadsPerSecond = c.d.set.Store.ReadsPerSecond
+	cfg.WritesPerSecond = c.d.config.Store.WritesPerSecond
+	cfg.ReadsPerSecond = c.d.config.Store.ReadsPerSecond
 	roles := storebudget.Roles{Members: 1, KeyHomes: 1, KeyHome: true, Services: 1}
-	return &storePart{
+	return &storeComponent{
 		c:       c,
 		budget:  storebudget.New(cfg, c.rng, roles, c.now),
 		waiting: make(map[uint64]storeCall),
 	}
 }
 
-func (s *storePart) nextTick(time.Time) time.Time { return s.budget.NextTick() }
-func (s *storePart) tick(time.Time)               { s.step(storebudget.Tick{}) }
+func (sc *storeComponent) nextTick(time.Time) time.Time { return sc.budget.NextTick() }
+func (sc *storeComponent) tick(time.Time)               { sc.step(storebudget.Tick{}) }
 
-// rolesChanged tells the budget what this daemon has to do.
-func (s *storePart) rolesChanged() {
-	homes := s.c.members.keyHomes
-	s.step(storebudget.RolesChanged{Roles: storebudget.Roles{
-		Members:  len(s.c.members.live()),
+// rolesChanged passes this daemon's current roles to the budget.
+func (sc *storeComponent) rolesChanged() {
+	homes := sc.c.members.keyHomes
+	sc.step(storebudget.RolesChanged{Roles: storebudget.Roles{
+		Members:  len(sc.c.members.live()),
 		KeyHomes: len(homes),
-		KeyHome:  slices.Contains(homes, s.c.d.self.ID),
-		Services: max(1, len(s.c.documents.inForce)),
-		Leases:   s.c.leases.held(),
+		KeyHome:  slices.Contains(homes, sc.c.d.self.ID),
+		Services: max(1, len(sc.c.documents.active)),
+		Leases:   sc.c.leases.heldCount(),
 	}})
 }
 
-// do makes one call; answer runs on the control goroutine, exactly once.
-func (s *storePart) do(call store.Call, answer func(store.Result)) {
-	s.last++
-	s.waiting[s.last] = storeCall{call: call, answer: answer}
+// do makes one call; answer runs exactly once, on the control goroutine.
+func (sc *storeComponent) do(call store.Call, answer func(store.Result)) {
+	sc.lastID++
+	sc.waiting[sc.lastID] = storeCall{call: call, answer: answer}
 	kind := storebudget.Read
 	if call.Writes() {
 		kind = storebudget.Write
 	}
-	s.step(storebudget.Request{ID: s.last, Class: call.Class, Kind: kind})
+	sc.step(storebudget.Request{ID: sc.lastID, Class: call.Class, Kind: kind})
 }
 
-func (s *storePart) step(ev storebudget.Event) {
-	for _, a := range s.budget.Step(s.c.now, ev) {
+func (sc *storeComponent) step(ev storebudget.Event) {
+	for _, a := range sc.budget.Step(sc.c.now, ev) {
 		switch a := a.(type) {
 		case storebudget.Grant:
-			go s.perform(a.ID, s.waiting[a.ID].call)
+			go sc.perform(a.ID, sc.waiting[a.ID].call)
 		case storebudget.Shed:
-			s.c.d.log.Emit(telemetry.EventStoreBudgetSpent)
-			s.finish(a.ID, store.Result{Status: store.NotSent})
+			sc.c.d.log.Emit(telemetry.EventStoreBudgetSpent)
+			sc.finish(a.ID, store.Result{Status: store.NotSent})
 		}
 	}
 }
 
-// perform makes a granted call in a goroutine of its own.
-func (s *storePart) perform(id uint64, call store.Call) {
-	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), s.c.d.set.Store.Timeout.Std())
+// perform makes a granted call; it runs in its own goroutine.
+func (sc *storeComponent) perform(id uint64, call store.Call) {
+	start := time.Now()
+	ctx, cancel := context.WithTimeout(context.Background(), sc.c.d.config.Store.Timeout.Std())
 	defer cancel()
-	rows, err := callTable(ctx, s.c.d.table, call.Request)
-	took := time.Since(began)
-	s.c.post(func() {
+	rows, err := callTable(ctx, sc.c.d.table, call.Request)
+	elapsed := time.Since(start)
+	sc.c.post(func() {
 		res := store.Result{Status: statusOf(err), Rows: rows}
-		s.step(storebudget.Finished{ID: id, Status: res.Status, Took: took, Throttled: throttled(err)})
-		s.note(call, res, took)
-		s.finish(id, res)
+		sc.step(storebudget.Finished{ID: id, Status: res.Status, Took: elapsed, Throttled: throttled(err)})
+		sc.recordCall(call, res, elapsed)
+		sc.finish(id, res)
 	})
 }
 
-func (s *storePart) finish(id uint64, res store.Result) {
-	w := s.waiting[id]
-	delete(s.waiting, id)
+func (sc *storeComponent) finish(id uint64, res store.Result) {
+	w := sc.waiting[id]
+	delete(sc.waiting, id)
 	res.Call = w.call.ID
-	s.c.later(func() { w.answer(res) })
+	sc.c.afterStep(func() { w.answer(res) })
 }
 
-// note counts one answered call and logs when the store goes down or comes back.
-func (s *storePart) note(call store.Call, res store.Result, took time.Duration) {
-	m := s.c.d.metrics
-	m.Observe(telemetry.StoreCallSeconds, took)
+// recordCall updates the metrics for one answered call and logs when the store
+// becomes unavailable or recovers.
+func (sc *storeComponent) recordCall(call store.Call, res store.Result, elapsed time.Duration) {
+	m := sc.c.d.metrics
+	m.Observe(telemetry.StoreCallSeconds, elapsed)
 	switch {
 	case call.Writes():
 		m.Add(telemetry.StoreWritesTotal, 1)
@@ -123,19 +125,19 @@
 		m.Add(telemetry.StoreUnansweredTotal, 1)
 	default:
 	}
-	down := s.budget.Usage().Down
-	if down != s.down {
+	down := sc.budget.Usage().Down
+	if down != sc.down {
 		event := telemetry.EventStoreRecovered
 		if down {
 			event = telemetry.EventStoreUnavailable
 		}
-		s.c.d.log.Emit(event)
+		sc.c.d.log.Emit(event)
 	}
-	s.down = down
+	sc.down = down
 }
 
-// callTable makes one call to the table service. Rows of a read that found nothing
-// are empty.
+// callTable makes one call to the table service. A read that finds nothing
+// returns no rows and no error.
 func callTable(ctx context.Context, table platform.Table, r store.Request) ([]store.Row, error) {
 	switch r := r.(type) {
 	case store.Commit:
--- a/daemon/stream.go
+++ b/daemon/stream.go
@@ -8,8 +8,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// answer is the growing answer of one request: its tokens by index, then its
-// outcome. The request's goroutine appends; any number of views read.
+// answer is the answer of one request: its tokens by index, then its outcome.
+// The request's goroutine appends; any number of streams read it concurrently.
 type answer struct {
 	id state.RequestID
 
@@ -24,10 +24,10 @@
 	return &answer{id: id, changed: make(chan struct{})}
 }
 
-// append adds the token if it is the next. One that the answer has already comes
-// from an attempt that was taken over and began anew; it is dropped if it is the
-// same. It reports false, and the answer is not to be gone on with, if the token
-// differs: two executions would be mixed in one answer.
+// append adds the token if it is the next one. A token that is already present
+// comes from an attempt that was taken over and restarted; it is dropped if it
+// is the same. If it differs, append reports false and the answer must not be
+// continued, since it would mix two executions.
 func (a *answer) append(t caller.Token) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,7 +48,7 @@
 	a.running = true
 }
 
-// end gives the outcome. The first one stays.
+// end sets the outcome, unless one is set.
 func (a *answer) end(o state.Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,8 +64,8 @@
 	a.changed = make(chan struct{})
 }
 
-// after returns the tokens from index from on, the outcome once there is one, and
-// a channel that is closed at the next change. The tokens must not be changed.
+// after returns the tokens from index from on, the outcome if there is one, and
+// a channel that is closed at the next change. The tokens must not be modified.
 func (a *answer) after(from int) ([]caller.Token, state.Outcome, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -86,13 +86,13 @@
 	return s
 }
 
-// streamView is one caller's place in an answer.
+// streamView is one caller's position in an answer.
 type streamView struct {
 	answer *answer
 	next   int
 }
 
-// newView returns a view that begins after index after, -1 for the start.
+// newView returns a stream that starts after index after, -1 for the beginning.
 func newView(a *answer, after int) *streamView {
 	return &streamView{answer: a, next: after + 1}
 }
--- a/daemon/streams.go
+++ b/daemon/streams.go
@@ -12,40 +12,40 @@
 )
 
 const (
-	registrars    = 2                      // daemons that keep a request's record
-	lookUpTimeout = 500 * time.Millisecond // for all registrars together
-	recordBytes   = 512                    // of a record without prompt and tokens, about
-	tokenBytes    = 16                     // of one token of a record, about
+	numRegistrars = 2                      // daemons that store a request's record
+	lookupTimeout = 500 * time.Millisecond // for all registrars together
+	recordBytes   = 512                    // approximate size of a record without prompt and tokens
+	tokenBytes    = 16                     // approximate size of one token of a record
 )
 
-// streamsPart keeps the records of other daemons' requests.
-type streamsPart struct {
+// streamsComponent holds the records of other daemons' requests.
+type streamsComponent struct {
 	c       *control
 	records *registry.Registry[streams.Record]
 }
 
-func newStreamsPart(c *control) *streamsPart {
-	return &streamsPart{c: c, records: registry.New[streams.Record](registry.DefaultConfig())}
+func newStreamsComponent(c *control) *streamsComponent {
+	return &streamsComponent{c: c, records: registry.New[streams.Record](registry.DefaultConfig())}
 }
 
-func (p *streamsPart) nextTick(time.Time) time.Time { return time.Time{} }
-func (p *streamsPart) tick(time.Time)               {}
+func (sc *streamsComponent) nextTick(time.Time) time.Time { return time.Time{} }
+func (sc *streamsComponent) tick(time.Time)               {}
 
-func (p *streamsPart) put(rec streams.Record) {
+func (sc *streamsComponent) put(rec streams.Record) {
 	size := recordBytes + len(rec.Prompt)
 	if rec.Answer != nil {
 		size += tokenBytes * len(rec.Answer.Tokens)
 	}
-	p.records.Put(p.c.now, rec.Request, rec.Epoch, size, rec)
+	sc.records.Put(sc.c.now, rec.Request, rec.Epoch, size, rec)
 }
 
-// registrarsOf lists the daemons that keep a request's record, as this daemon
-// sees the fleet.
-func (p *streamsPart) registrarsOf(id state.RequestID, without state.DaemonID) []state.DaemonID {
-	ranked := rendezvous.Rank(string(id), p.c.members.liveIDs(), registrars+1)
-	out := make([]state.DaemonID, 0, registrars)
+// registrarsOf returns the daemons that store a request's record, according to
+// this daemon's membership view.
+func (sc *streamsComponent) registrarsOf(id state.RequestID, without state.DaemonID) []state.DaemonID {
+	ranked := rendezvous.Rank(string(id), sc.c.members.liveIDs(), numRegistrars+1)
+	out := make([]state.DaemonID, 0, numRegistrars)
 	for _, m := range ranked {
-		if m != without && len(out) < registrars {
+		if m != without && len(out) < numRegistrars {
 			out = append(out, m)
 		}
 	}
@@ -53,13 +53,13 @@
 }
 
 // register sends a record to its registrars.
-func (p *streamsPart) register(rec streams.Record) {
-	for _, id := range p.registrarsOf(rec.Request, p.c.d.self.ID) {
-		p.c.d.send(p.c.members.address(id), streams.Register{Record: rec})
+func (sc *streamsComponent) register(rec streams.Record) {
+	for _, id := range sc.registrarsOf(rec.Request, sc.c.d.self.ID) {
+		sc.c.d.send(sc.c.members.address(id), streams.Register{Record: rec})
 	}
 }
 
-// recordOf describes a runner's request as its attempt runs now.
+// recordOf returns the record of a runner's request for its current attempt.
 func recordOf(r *runner, a request.AttemptStarted) streams.Record {
 	return streams.Record{
 		Request:   r.spec.ID,
@@ -78,22 +78,23 @@
 	}
 }
 
-// lookUp finds the record of a request at this daemon or its registrars. The
-// newest owner's wins.
-func (d *Daemon) lookUp(ctx context.Context, id state.RequestID) (streams.Record, bool) {
-	ctx, cancel := context.WithTimeout(ctx, lookUpTimeout)
+// lookup finds the record of a request at this daemon or its registrars. Of
+// several, the one with the highest epoch is returned.
+func (d *Daemon) lookup(ctx context.Context, id state.RequestID) (streams.Record, bool) {
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	type local struct {
 		rec       streams.Record
 		known     bool
 		addresses []string
 	}
-	got, ok := ask(ctx, d.control, func() local {
-		p := d.control.streams
-		rec, known := p.records.Get(d.control.now, id)
+	got, ok := callControl(ctx, d.control, func() local {
+		sc := d.control.streams
+		rec, known := sc.records.Get(d.control.now, id)
 		l := local{rec: rec, known: known}
-		// The owner is not known, so that one more is asked than registers.
-		for _, m := range rendezvous.Rank(string(id), d.control.members.liveIDs(), registrars+1) {
+		// The owner is unknown, and it is not a registrar itself, so one more
+		// daemon is queried than store the record.
+		for _, m := range rendezvous.Rank(string(id), d.control.members.liveIDs(), numRegistrars+1) {
 			if m != d.self.ID {
 				l.addresses = append(l.addresses, d.control.members.address(m))
 			}
@@ -122,8 +123,9 @@
 	return best, known
 }
 
-// ask runs f on the control goroutine and waits for its value.
-func ask[T any](ctx context.Context, c *control, f func() T) (T, bool) {
+// callControl runs f on the control goroutine and returns its result. It
+// reports false if ctx or the daemon ends first.
+func callControl[T any](ctx context.Context, c *control, f func() T) (T, bool) {
 	answer := make(chan T, 1)
 	c.post(func() { answer <- f() })
 	select {
--- a/daemon/submit.go
+++ b/daemon/submit.go
@@ -19,13 +19,13 @@
 
 // Submit implements caller.Daemon.
 func (d *Daemon) Submit(ctx context.Context, s caller.Submission) (caller.Stream, state.Outcome) {
-	spec, reason := d.specify(s)
+	spec, reason := d.buildSpec(s)
 	if reason != "" {
 		return nil, d.refuse(reason)
 	}
 	if spec.NeverRepeat {
 		if k, ok := d.requests.repeated(spec); ok {
-			return d.joined(k, spec, s.After)
+			return d.joinAnswer(k, spec, s.After)
 		}
 	}
 	if refused := d.admit(ctx, s); refused != nil {
@@ -37,31 +37,32 @@
 	return newView(r.answer, s.After), nil
 }
 
-// start makes a runner live and runs it.
+// start registers a runner as live and runs it.
 func (d *Daemon) start(r *runner) {
 	d.requests.add(r)
 	go r.run()
 }
 
-// joined answers a repeat of a key with the answer that is there.
-func (d *Daemon) joined(k keyed, spec request.Spec, after int) (caller.Stream, state.Outcome) {
-	if k.content != contentOf(spec) {
+// joinAnswer answers a repeat of a key with the existing answer.
+func (d *Daemon) joinAnswer(k keyedAnswer, spec request.Spec, after int) (caller.Stream, state.Outcome) {
+	if k.contentDigest != digestContent(spec) {
 		return nil, d.refuse(state.ReasonKeyReused)
 	}
 	d.metrics.Add(telemetry.JoinedRepeatsTotal, 1)
 	return newView(k.answer, after), nil
 }
 
-// refuse builds the refusal of a request that never came as far as a runner.
+// refuse builds the refusal of a request for which no runner was started.
 func (d *Daemon) refuse(reason state.Reason) state.Outcome {
 	d.metrics.Refused(reason)
 	return state.Conclude(state.NewDispatches(), reason, 0, 0)
 }
 
-// specify checks a submission against its service's document.
-func (d *Daemon) specify(s caller.Submission) (request.Spec, state.Reason) {
+// buildSpec checks a submission against its service's document and builds its
+// spec.
+func (d *Daemon) buildSpec(s caller.Submission) (request.Spec, state.Reason) {
 	v := d.view()
-	if reason := v.servesNow(time.Now()); reason != "" {
+	if reason := v.refusalReason(time.Now()); reason != "" {
 		return request.Spec{}, reason
 	}
 	doc, ok := v.documents[s.Service]
@@ -75,10 +76,10 @@
 	if !ok || class.NeverRepeat && s.IdempotencyKey == "" {
 		return request.Spec{}, state.ReasonBadRequest
 	}
-	return d.specOf(s, doc, class), ""
+	return d.newSpec(s, doc, class), ""
 }
 
-func (d *Daemon) specOf(s caller.Submission, doc *service.Versioned, class service.Class) request.Spec {
+func (d *Daemon) newSpec(s caller.Submission, doc *service.Versioned, class service.Class) request.Spec {
 	deadline := class.Deadline.Std()
 	if s.Deadline > 0 {
 		deadline = min(deadline, s.Deadline)
@@ -92,7 +93,7 @@
 		maxTokens = 1
 	}
 	return request.Spec{
-		ID:                 state.RequestID(string(d.set.ID) + "-" + newLife()),
+		ID:                 state.RequestID(string(d.config.ID) + "-" + randomID()),
 		Service:            s.Service,
 		Customer:           s.Customer,
 		Class:              s.Class,
@@ -103,14 +104,14 @@
 		Prompt:             s.Prompt,
 		Adapter:            s.Adapter,
 		MaxTokens:          maxTokens,
-		Owner:              d.owner,
+		Owner:              d.ownerNumber,
 		FirstTokenDeadline: time.Now().Add(deadline),
 	}
 }
 
-// contentOf digests what makes a request the work that it is, so that a key that
-// comes again with other work is found out.
-func contentOf(spec request.Spec) string {
+// digestContent returns a digest of what defines a request's work. It detects a
+// key that is reused for other work.
+func digestContent(spec request.Spec) string {
 	h := xxhash.New()
 	for _, part := range []string{string(spec.Class), spec.Adapter, strconv.Itoa(spec.MaxTokens), spec.Prompt} {
 		_, _ = h.WriteString(strconv.Itoa(len(part)))
@@ -125,22 +126,22 @@
 	if a := d.requests.answer(id); a != nil {
 		return newView(a, after), nil
 	}
-	rec, ok := d.lookUp(ctx, id)
+	rec, ok := d.lookup(ctx, id)
 	if !ok {
 		return nil, state.Unknown{Reason: state.ReasonUnknownRequest}
 	}
 	a := newAnswer(id)
-	if there := d.requests.attach(a); there != a {
-		return newView(there, after), nil // another caller came first
+	if existing := d.requests.attach(a); existing != a {
+		return newView(existing, after), nil // another caller attached concurrently
 	}
 	go d.resume(a, rec)
 	return newView(a, after), nil
 }
 
-// takeOver drives on a request whose owner is gone. What is never to be repeated
-// comes as a repeat of its key, so that its claim row decides.
+// takeOver continues a request whose owner is gone. A never-repeat request is
+// submitted as a repeat of its key, so that its claim row decides.
 func (d *Daemon) takeOver(a *answer, rec streams.Record) {
-	spec, reason := d.specify(caller.Submission{
+	spec, reason := d.buildSpec(caller.Submission{
 		Service: rec.Service, Customer: rec.Customer, Class: rec.Class, IdempotencyKey: rec.Key,
 		Prompt: rec.Prompt, Adapter: rec.Adapter, MaxTokens: rec.MaxTokens, Deadline: rec.Deadline,
 	})
@@ -160,7 +161,7 @@
 	if a := d.requests.answer(id); a != nil {
 		return a.status(), true
 	}
-	rec, ok := d.lookUp(ctx, id)
+	rec, ok := d.lookup(ctx, id)
 	if !ok {
 		return caller.Status{}, false
 	}
@@ -179,7 +180,7 @@
 		r.post(request.Cancel{})
 		return d.Status(ctx, id)
 	}
-	if rec, ok := d.lookUp(ctx, id); ok && rec.Answer == nil {
+	if rec, ok := d.lookup(ctx, id); ok && rec.Answer == nil {
 		d.cancelAtOwner(ctx, rec)
 	}
 	return d.Status(ctx, id)
@@ -191,7 +192,8 @@
 		return
 	}
 	if info, ok := v.members.Lookup(rec.Owner.ID); ok {
-		// Unanswered: the status that follows says where the request stands.
+		// If it is unanswered, the status that follows tells the request's
+		// phase.
 		_, _ = d.node.Call(ctx, info.Meta.PeerAddress, streams.CancelRequest{Request: rec.Request})
 	}
 }
--- a/daemon/twofaults_test.go
+++ b/daemon/twofaults_test.go
@@ -11,102 +11,98 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-var _ = Describe("Two faults at once", func() {
-	// One replica's link is degraded, so that its answers crawl; a stage of the
-	// other dies. A reader of the dead chain sees a pause, then a slower rest.
-	// Cause: the only replica left is the slow one; it is avoided while there
-	// is a better one, and used when there is none.
+var _ = Describe("Two simultaneous faults", func() {
+	// Guards against a request that waits for a better replica. The chain that
+	// runs it loses a stage, and the other replica's link is degraded: a slow
+	// replica is avoided, but used if it is the only one.
 	It("finishes over a degraded link when a stage dies", Label("failure:stage-dies-mid-stream", "failure:link-degrades"), func() {
-		r := newRig(2, time.Millisecond)
-		r.Engines[chains.Engine(1, 1)].Slow(8)
-		stream := r.submit(0, summary("a"))
-		first, _ := r.read(stream, 3)
-		r.Engines[chains.Engine(r.replicaOf(stream.ID()), 2)].Kill()
-		rest, outcome := r.read(stream, -1)
-		expectWhole(append(first, rest...), outcome, "a")
-		r.expectSound()
+		h := newHarness(2, time.Millisecond)
+		h.Engines[chains.Engine(1, 1)].Slow(8)
+		stream := h.submit(0, summary("a"))
+		first, _ := h.read(stream, 3)
+		h.Engines[chains.Engine(h.replicaOf(stream.ID()), 2)].Kill()
+		rest, outcome := h.read(stream, -1)
+		expectComplete(append(first, rest...), outcome, "a")
+		h.expectNoViolations()
 	})
 
-	// A whole failure domain is lost, daemon and replica, at the moment at
-	// which a new replica joins in another one. Callers of the lost daemon come
-	// back elsewhere and get whole answers.
-	It("goes on when a failure domain is lost while an instance joins",
+	// Guards against incomplete answers when a failure domain with a daemon and
+	// a replica is lost while a replica joins in another one. Callers of the
+	// lost daemon re-attach elsewhere.
+	It("survives the loss of a failure domain while an instance joins",
 		Label("failure:daemon-dies-mid-stream", "failure:instance-joins-under-load"), func() {
-			r := newRig(3, slowStep)
+			h := newHarness(3, slowStepTime)
 			var streams []caller.Stream
 			for i := range 6 {
-				streams = append(streams, r.submit(1, summary(fmt.Sprintf("k%d", i))))
+				streams = append(streams, h.submit(1, summary(fmt.Sprintf("k%d", i))))
 			}
 			first := make([][]caller.Token, len(streams))
 			for i, s := range streams {
-				first[i], _ = r.read(s, 3)
+				first[i], _ = h.read(s, 3)
 			}
-			r.Daemons[1].Kill()
-			r.Engines[chains.Engine(2, 1)].Kill()
-			r.Engines[chains.Engine(2, 2)].Kill()
-			r.addReplica(3)
+			h.Daemons[1].Kill()
+			h.Engines[chains.Engine(2, 1)].Kill()
+			h.Engines[chains.Engine(2, 2)].Kill()
+			h.addReplica(3)
 			for i, s := range streams {
-				again, outcome := r.Daemons[i%2*2].Attach(r.ctx, s.ID(), 2)
+				again, outcome := h.Daemons[i%2*2].Attach(h.ctx, s.ID(), 2)
 				Expect(outcome).To(BeNil())
-				rest, outcome := r.read(again, -1)
-				expectWhole(append(first[i], rest...), outcome, fmt.Sprintf("k%d", i))
+				rest, outcome := h.read(again, -1)
+				expectComplete(append(first[i], rest...), outcome, fmt.Sprintf("k%d", i))
 			}
-			r.expectSound()
+			h.expectNoViolations()
 		})
 
-	// A daemon is being stopped as planned when its connections to the engines
-	// go silent. The note that it is writing still comes whole, written once,
-	// and the process ends. Cause: a drain waits for its streams, and those
-	// ask their stages on new connections.
-	It("drains to the end over connections that went silent", Label("failure:planned-stop", "failure:silent-connection"), func() {
-		r := newRig(3, slowStep)
-		stream := r.submit(1, note("a"))
-		first, _ := r.read(stream, 3)
-		r.Daemons[1].Drain(r.ctx)
-		for _, e := range r.Engines {
+	// Guards against a drain that never ends or a note that runs twice. While a
+	// daemon drains, its connections to the engines become unresponsive; its
+	// open streams query their stages on new connections.
+	It("drains completely despite unresponsive connections", Label("failure:planned-stop", "failure:silent-connection"), func() {
+		h := newHarness(3, slowStepTime)
+		stream := h.submit(1, note("a"))
+		first, _ := h.read(stream, 3)
+		h.Daemons[1].Drain(h.ctx)
+		for _, e := range h.Engines {
 			e.SilenceConnections()
 		}
-		rest, outcome := r.read(stream, -1)
-		expectWhole(append(first, rest...), outcome, "a")
-		Expect(r.runs("a")).To(Equal(1))
-		Eventually(r.Daemons[1].Done()).WithTimeout(patience).Should(BeClosed())
-		r.expectSound()
+		rest, outcome := h.read(stream, -1)
+		expectComplete(append(first, rest...), outcome, "a")
+		Expect(h.runCount("a")).To(Equal(1))
+		Eventually(h.Daemons[1].Done()).WithTimeout(testTimeout).Should(BeClosed())
+		h.expectNoViolations()
 	})
 
-	// The daemon that writes a note dies while the table service is down. The
-	// caller comes back to another daemon and waits; when the store is back
-	// the note goes on from where it was, and was written once. Cause: taking
-	// a never-repeat request over needs its claim row.
-	It("takes a note over once the store is back", Label("failure:daemon-dies-mid-stream", "failure:store-down"), func() {
-		r := newRig(3, slowStep)
-		stream := r.submit(1, note("a"))
-		first, _ := r.read(stream, 3)
-		r.Platform.Down(true)
-		r.Daemons[1].Kill()
-		again, outcome := r.Daemons[0].Attach(r.ctx, stream.ID(), 2)
+	// Guards against a second run of a note whose owner dies while the table
+	// service is down. A takeover of a never-repeat request needs its claim
+	// row, so it waits for the store and then continues the attempt.
+	It("takes over a note once the store is available again", Label("failure:daemon-dies-mid-stream", "failure:store-down"), func() {
+		h := newHarness(3, slowStepTime)
+		stream := h.submit(1, note("a"))
+		first, _ := h.read(stream, 3)
+		h.Platform.Down(true)
+		h.Daemons[1].Kill()
+		again, outcome := h.Daemons[0].Attach(h.ctx, stream.ID(), 2)
 		Expect(outcome).To(BeNil())
-		time.AfterFunc(700*time.Millisecond, func() { r.Platform.Down(false) })
-		rest, outcome := r.read(again, -1)
-		expectWhole(append(first, rest...), outcome, "a")
-		Expect(r.runs("a")).To(Equal(1))
-		r.expectSound()
+		time.AfterFunc(700*time.Millisecond, func() { h.Platform.Down(false) })
+		rest, outcome := h.read(again, -1)
+		expectComplete(append(first, rest...), outcome, "a")
+		Expect(h.runCount("a")).To(Equal(1))
+		h.expectNoViolations()
 	})
 
-	// A note is sent again through another daemon while the one that writes it
-	// dies. Whoever reads on gets the one note. Cause: the repeat joins an
-	// owner that dies under it.
-	It("gives the repeat of a note its answer when the first daemon dies",
+	// Guards against a lost answer when a repeat of a note has joined an owner
+	// that then dies.
+	It("answers the repeat of a note when the first daemon dies",
 		Label("failure:repeat-at-two-daemons", "failure:daemon-dies-mid-stream"), func() {
-			r := newRig(3, slowStep)
-			stream := r.submit(1, note("a"))
-			r.read(stream, 3)
-			repeat := r.submit(2, note("a"))
-			r.read(repeat, 2)
-			r.Daemons[1].Kill()
-			rest, outcome := r.read(repeat, -1)
+			h := newHarness(3, slowStepTime)
+			stream := h.submit(1, note("a"))
+			h.read(stream, 3)
+			repeat := h.submit(2, note("a"))
+			h.read(repeat, 2)
+			h.Daemons[1].Kill()
+			rest, outcome := h.read(repeat, -1)
 			Expect(outcome).To(Equal(state.Completed{Tokens: noteTokens}))
 			Expect(rest).To(HaveLen(noteTokens - 2))
-			Expect(r.runs("a")).To(Equal(1))
-			r.expectSound()
+			Expect(h.runCount("a")).To(Equal(1))
+			h.expectNoViolations()
 		})
 })
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -9,19 +9,19 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// view is what traffic goroutines see of the control state. It is immutable; the
+// view is the control state as traffic goroutines see it. It is immutable; the
 // control goroutine publishes a new one at each change.
 type view struct {
 	documents  map[state.ServiceID]*service.Versioned
 	members    *membership.View
-	ready      bool // the documents were current once
+	ready      bool // the documents have been current at least once
 	isolated   bool
 	draining   bool
 	freshUntil time.Time
 }
 
-// publish changes the view. Only the control goroutine calls it, and Drain
-// before it.
+// publish replaces the view by a changed copy. Only the control goroutine calls
+// it.
 func (d *Daemon) publish(change func(*view)) {
 	next := *d.view()
 	change(&next)
@@ -42,10 +42,11 @@
 	return next
 }
 
-// servesNow says why this daemon takes no new request now, or "". The freshness
-// of the documents is checked against the clock here, so that a daemon that was
-// paused refuses before its control goroutine has noticed.
-func (v *view) servesNow(now time.Time) state.Reason {
+// refusalReason returns why this daemon currently accepts no new requests, or
+// "". The freshness of the documents is compared with the clock here, so that a
+// daemon that was paused refuses requests before its control goroutine has
+// noticed the pause.
+func (v *view) refusalReason(now time.Time) state.Reason {
 	switch {
 	case v.draining:
 		return state.ReasonDraining
