--- a/transport/inbound/conn.go
+++ b/transport/inbound/conn.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// Limits are the bounds of callers' connections. A zero field is Default's.
+// Limits are the timeouts of callers' connections. A zero field takes the value of
+// DefaultLimits.
 type Limits struct {
-	HeaderTimeout time.Duration // for a whole header to arrive
-	IdleTimeout   time.Duration // of a kept connection between two requests
+	HeaderTimeout time.Duration // for a complete header to arrive
+	IdleTimeout   time.Duration // of a keep-alive connection between two requests
 }
 
-// Default holds until a configuration names other bounds: those of the site that the
-// first users run.
+// DefaultLimits apply until a configuration sets others. They are those of the first
+// users' site.
 var DefaultLimits = Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
-// or replaces zero fields by those of d.
-func (l Limits) or(d Limits) Limits {
+// withDefaults replaces zero fields by those of d.
+func (l Limits) withDefaults(d Limits) Limits {
 	if l.HeaderTimeout <= 0 {
 		l.HeaderTimeout = d.HeaderTimeout
 	}
@@ -27,7 +28,7 @@
 	return l
 }
 
-// listener gives out connections whose deadlines follow limits.
+// listener accepts connections whose read deadlines follow limits.
 type listener struct {
 	net.Listener
 	limits func() Limits
@@ -43,22 +44,23 @@
 }
 
 // conn replaces the read deadlines of net/http, which are fixed when a server starts.
-// The server sets one when a connection becomes idle, and another one for a header.
+// The server sets one deadline when a connection becomes idle and another one for each
+// header.
 type conn struct {
 	net.Conn
-	limits func() Limits
-	idle   atomic.Bool // it became idle: the next deadline is that of the wait
+	limits     func() Limits
+	becameIdle atomic.Bool // the next deadline set is that of an idle connection
 }
 
-// SetReadDeadline implements net.Conn. None, or one in the past, which aborts a read,
-// is left as it is.
+// SetReadDeadline implements net.Conn. A zero deadline, or one in the past, which
+// aborts a read, is set as given.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	now := time.Now()
 	if !t.After(now) {
 		return c.Conn.SetReadDeadline(t)
 	}
-	limits := c.limits().or(DefaultLimits)
-	if c.idle.Swap(false) {
+	limits := c.limits().withDefaults(DefaultLimits)
+	if c.becameIdle.Swap(false) {
 		return c.Conn.SetReadDeadline(now.Add(limits.IdleTimeout))
 	}
 	return c.Conn.SetReadDeadline(now.Add(limits.HeaderTimeout))
--- a/transport/inbound/doc.go
+++ b/transport/inbound/doc.go
@@ -1,19 +1,19 @@
-// Package inbound opens a daemon's HTTP ports and bounds what callers' connections
-// may take of it.
+// Package inbound opens a daemon's HTTP ports and bounds the resources that callers'
+// connections may use.
 //
-// How long a header may take, and how long a kept connection may be idle, are asked
-// of the caller of Open each time they begin, since a configuration may change them
-// while connections are open.
+// The header and idle timeouts are read through the function given to New each time
+// one of them starts to run, because a configuration may change them while
+// connections are open.
 //
-// # Failures that the guards are for
+// # Failures handled
 //
-//   - A caller sends half a header and stops: its connection is closed when the time
-//     for a header is over.
-//   - Callers keep connections that they don't use: each is closed when it has been
-//     idle for its time, and not sooner: one that is closed while a caller sends its
-//     next request loses it.
-//   - A caller sends an endless header: it gets 431, and no more than MaxHeader bytes
-//     are kept.
-//   - More callers connect than the process has descriptors for: those beyond a share
-//     wait, so that the others are still answered.
+//   - A caller sends half a header and stops: its connection is closed after the
+//     header timeout.
+//   - Callers keep connections open without using them: each is closed after the idle
+//     timeout, and not sooner, because closing it while the caller sends its next
+//     request would lose that request.
+//   - A caller sends an endless header: it gets 431, and no more than MaxHeaderBytes
+//     bytes are read.
+//   - More callers connect than the process has file descriptors for: connections
+//     beyond a share of them wait, so that the others are still answered.
 package inbound
--- a/transport/inbound/inbound_test.go
+++ b/transport/inbound/inbound_test.go
@@ -20,7 +20,7 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/inbound"
 )
 
-// descriptors leaves room for 1,200 callers.
+// descriptors allows 1,200 connections of callers.
 const descriptors = 2000
 
 const request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -54,7 +54,7 @@
 		DeferCleanup(func() { _ = c.Close() })
 		return c
 	}
-	ask := func(c net.Conn) {
+	get := func(c net.Conn) {
 		_, err := io.WriteString(c, request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.SetReadDeadline(time.Now().Add(5 * time.Second))).To(Succeed())
@@ -63,44 +63,44 @@
 		Expect(resp.StatusCode).To(Equal(http.StatusOK))
 		_, _ = io.Copy(io.Discard, resp.Body)
 	}
-	// open is how long a connection stays open.
+	// open returns how long a connection stays open.
 	open := func(c net.Conn) time.Duration {
-		began := time.Now()
-		Expect(c.SetReadDeadline(began.Add(5 * time.Second))).To(Succeed())
+		start := time.Now()
+		Expect(c.SetReadDeadline(start.Add(5 * time.Second))).To(Succeed())
 		_, _ = io.Copy(io.Discard, c)
-		return time.Since(began)
+		return time.Since(start)
 	}
 
-	It("close a connection whose header does not come", Label("failure:half-a-header"), func() {
+	It("close a connection whose header does not arrive in time", Label("failure:half-a-header"), func() {
 		c := dial()
 		_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(open(c)).To(BeNumerically("~", 150*time.Millisecond, 140*time.Millisecond))
 	})
 
-	// A caller sends its second request on a kept connection slowly, and holds it.
-	It("bound the header of each request", Label("failure:half-a-header"), func() {
+	// A caller holds a keep-alive connection by sending its second request slowly.
+	It("apply the header timeout to each request", Label("failure:half-a-header"), func() {
 		c := dial()
-		ask(c)
+		get(c)
 		_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(open(c)).To(BeNumerically("<", 500*time.Millisecond))
 	})
 
-	// A configuration lets callers keep connections for longer. One that is closed at
-	// the old time loses the request that its caller is just sending.
-	It("follow changed bounds without a restart", Label("failure:kept-connection-closed"), func() {
+	// A configuration raises the idle timeout. A connection that is closed after the old
+	// one loses the request that its caller is just sending.
+	It("apply changed timeouts without a restart", Label("failure:kept-connection-closed"), func() {
 		c := dial()
 		limits.Store(&inbound.Limits{HeaderTimeout: 150 * time.Millisecond, IdleTimeout: 1500 * time.Millisecond})
-		ask(c)
+		get(c)
 		time.Sleep(900 * time.Millisecond)
-		ask(c)
+		get(c)
 		limits.Store(&inbound.Limits{HeaderTimeout: 150 * time.Millisecond, IdleTimeout: 200 * time.Millisecond})
-		ask(c)
+		get(c)
 		Expect(open(c)).To(BeNumerically("<", 700*time.Millisecond))
 	})
 
-	It("refuse a header without end", Label("failure:huge-header"), func() {
+	It("reject an endless header", Label("failure:huge-header"), func() {
 		c := dial()
 		go func() {
 			_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n")
@@ -116,8 +116,8 @@
 		Expect(resp.StatusCode).To(Equal(http.StatusRequestHeaderFieldsTooLarge))
 	})
 
-	// A configuration allows less than the ports: the bounds of one request.
-	DescribeTable("refuse a request beyond its bounds",
+	// A configuration may set lower limits for a request than the ports do.
+	DescribeTable("reject a request over its limits",
 		func(b inbound.Bounds, want int) {
 			r := httptest.NewRequest(http.MethodPost, "/", strings.NewReader("12345"))
 			r.Header.Set("X-A", strings.Repeat("a", 100))
@@ -127,36 +127,37 @@
 				Expect(string(body)).To(Equal("12345"))
 			}
 		},
-		Entry("none are set", inbound.Bounds{}, 0),
-		Entry("all hold", inbound.Bounds{HeaderBytes: 200, BodyBytes: 5}, 0),
-		Entry("a header", inbound.Bounds{HeaderBytes: 100}, http.StatusRequestHeaderFieldsTooLarge),
-		Entry("a body", inbound.Bounds{BodyBytes: 4}, http.StatusRequestEntityTooLarge),
+		Entry("no limits", inbound.Bounds{}, 0),
+		Entry("within all limits", inbound.Bounds{HeaderBytes: 200, BodyBytes: 5}, 0),
+		Entry("header over its limit", inbound.Bounds{HeaderBytes: 100}, http.StatusRequestHeaderFieldsTooLarge),
+		Entry("body over its limit", inbound.Bounds{BodyBytes: 4}, http.StatusRequestEntityTooLarge),
 	)
 
-	It("refuse a body that breaks off", func() {
+	It("reject a truncated body", func() {
 		r := httptest.NewRequest(http.MethodPost, "/", iotest.ErrReader(io.ErrUnexpectedEOF))
 		_, status := inbound.ReadBody(httptest.NewRecorder(), r, inbound.Bounds{})
 		Expect(status).To(Equal(http.StatusBadRequest))
 	})
 
-	// More callers connect than the process can hold. It still reaches its servers,
-	// and the callers beyond its share are answered as others end.
-	It("let callers wait beyond their share of descriptors", Label("failure:flood-of-callers"), func() {
+	// More callers connect than the process has descriptors for. It must still be able to
+	// connect to backend servers, and callers beyond the share are answered as other
+	// connections close.
+	It("delay connections beyond the callers' share of descriptors", Label("failure:flood-of-callers"), func() {
 		const share = 1200
 		const header = 1500 * time.Millisecond
 		limits.Store(&inbound.Limits{HeaderTimeout: header, IdleTimeout: time.Second})
-		first := time.Now()
+		firstDial := time.Now()
 		for range share {
 			_, err := io.WriteString(dial(), "GET")
 			Expect(err).NotTo(HaveOccurred())
 		}
-		ask(dial())
-		Expect(time.Since(first)).To(BeNumerically(">=", header), "it waited for the first of the slow ones to be closed")
+		get(dial())
+		Expect(time.Since(firstDial)).To(BeNumerically(">=", header), "a connection beyond the share was served before a slow one was closed")
 	})
 
-	// Many callers open connections and send half a header. Others are served
-	// meanwhile, and what the slow ones hold is given back.
-	It("serve others beside many slow callers", Label("failure:half-a-header"), func() {
+	// Many callers open connections and send half a header. Other callers must be served
+	// meanwhile, and each slow connection may take only a bounded amount of memory.
+	It("serve other callers while many are slow", Label("failure:half-a-header"), func() {
 		const slow = 1000
 		limits.Store(&inbound.Limits{HeaderTimeout: 1500 * time.Millisecond, IdleTimeout: time.Second})
 		var before, during runtime.MemStats
@@ -167,14 +168,14 @@
 			Expect(err).NotTo(HaveOccurred())
 		}
 		for range 20 {
-			began := time.Now()
-			ask(dial())
-			Expect(time.Since(began)).To(BeNumerically("<", time.Second))
+			start := time.Now()
+			get(dial())
+			Expect(time.Since(start)).To(BeNumerically("<", time.Second))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&during)
-		each := (int64(during.HeapInuse+during.StackInuse) - int64(before.HeapInuse+before.StackInuse)) / slow
-		AddReportEntry("bytes a slow connection, both ends", fmt.Sprint(each))
-		Expect(each).To(BeNumerically("<", 64<<10), "4,100 of them fit into 284 MB")
+		perConn := (int64(during.HeapInuse+during.StackInuse) - int64(before.HeapInuse+before.StackInuse)) / slow
+		AddReportEntry("bytes per slow connection, both ends", fmt.Sprint(perConn))
+		Expect(perConn).To(BeNumerically("<", 64<<10), "4,100 of them fit into 284 MB")
 	})
 })
--- a/transport/inbound/ports.go
+++ b/transport/inbound/ports.go
@@ -12,76 +12,80 @@
 )
 
 const (
-	// MaxHeader bounds a header, in bytes. A configuration may allow less, which is
-	// the handler's to refuse. 4,100 connections that each fill it hold 262 MB.
+	// MaxHeaderBytes bounds a request header. A configuration may set a lower limit,
+	// which the handler enforces. 4,100 connections that each fill it hold 262 MB.
 	MaxHeaderBytes = 64 << 10
-	// closeWait is how long answers under way have when the ports are closed.
-	closeWait = 50 * time.Millisecond
-	// callersShare is the part of a process's descriptors that callers may take. The
-	// rest is for backend servers, of which 998 took 995 connections, other daemons and
-	// the store: without it a flood of callers leaves none to answer them by.
-	callersShare = 0.6
+	// shutdownTimeout is how long in-flight requests may take to finish when the ports
+	// are closed.
+	shutdownTimeout = 50 * time.Millisecond
+	// callerDescriptorShare is the fraction of the process's file descriptors that
+	// callers' connections may use. The rest is for backend servers (998 of them took
+	// 995 connections), other daemons and the store: without that reserve a flood of
+	// callers leaves no descriptors for the connections that serve their requests.
+	callerDescriptorShare = 0.6
 )
 
 // Ports are a daemon's HTTP ports.
 type Ports struct {
-	limits  func() Limits
-	most    int // connections at one port; 0 for no bound
-	servers []*http.Server
-	ports   []net.Listener
+	limits    func() Limits
+	maxConns  int // connections at one port; 0 for no bound
+	servers   []*http.Server
+	listeners []net.Listener
 }
 
-// New returns no ports yet. limits is asked whenever a connection begins to wait.
-// descriptors is how many the process may have open, 0 for no bound: connections
-// beyond a port's part wait until one of it ends.
+// New returns Ports without any open port. limits is called whenever a connection
+// starts to wait for a header or becomes idle. descriptors is the process's file
+// descriptor limit, 0 for none: connections beyond a port's share of it wait until
+// another one of that port closes.
 func New(limits func() Limits, descriptors int) *Ports {
-	return &Ports{limits: limits, most: int(callersShare * float64(descriptors))}
+	return &Ports{limits: limits, maxConns: int(callerDescriptorShare * float64(descriptors))}
 }
 
-// Open listens on address, host:port. Requests are served from Serve on.
+// Open listens on address, given as host:port. Requests are served once Serve is
+// called.
 func (p *Ports) Open(address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	if p.most > 0 {
-		l = netutil.LimitListener(l, p.most)
+	if p.maxConns > 0 {
+		l = netutil.LimitListener(l, p.maxConns)
 	}
-	p.ports = append(p.ports, &listener{Listener: l, limits: p.limits})
+	p.listeners = append(p.listeners, &listener{Listener: l, limits: p.limits})
 	p.servers = append(p.servers, &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: DefaultLimits.HeaderTimeout, // see conn
-		IdleTimeout:       DefaultLimits.IdleTimeout,   // see conn
+		ReadHeaderTimeout: DefaultLimits.HeaderTimeout, // replaced by conn.SetReadDeadline
+		IdleTimeout:       DefaultLimits.IdleTimeout,   // replaced by conn.SetReadDeadline
 		MaxHeaderBytes:    MaxHeaderBytes,
 		ConnState: func(c net.Conn, s http.ConnState) {
 			if c, ok := c.(*conn); ok && s == http.StateIdle {
-				c.idle.Store(true)
+				c.becameIdle.Store(true)
 			}
 		},
 	})
 	return nil
 }
 
-// Serve serves all ports until Close. Its error is that of a port that failed.
+// Serve serves all ports until Close. It returns the first error of a port.
 func (p *Ports) Serve() error {
-	var all errgroup.Group
+	var group errgroup.Group
 	for i, s := range p.servers {
-		all.Go(func() error {
-			if err := s.Serve(p.ports[i]); !errors.Is(err, http.ErrServerClosed) {
+		group.Go(func() error {
+			if err := s.Serve(p.listeners[i]); !errors.Is(err, http.ErrServerClosed) {
 				return err
 			}
 			return nil
 		})
 	}
-	return all.Wait()
+	return group.Wait()
 }
 
-// Close closes the ports, and what is under way after a moment.
+// Close closes the ports. In-flight requests get shutdownTimeout to finish.
 func (p *Ports) Close() {
 	for _, s := range p.servers {
-		ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		if s.Shutdown(ctx) != nil {
-			_ = s.Close() // its connections end here, answered or not
+			_ = s.Close() // closes the remaining connections, answered or not
 		}
 		cancel()
 	}
--- a/transport/inbound/request.go
+++ b/transport/inbound/request.go
@@ -6,15 +6,15 @@
 	"net/http"
 )
 
-// Bounds are what a request may hold. A zero field sets no bound.
+// Bounds limit the size of a request. A zero field sets no limit.
 type Bounds struct {
 	HeaderBytes int
 	BodyBytes   int64
 }
 
-// ReadBody reads a request's body whole. status is the refusal that its caller is to
-// get, or 0: 431 or 413 for a header or body beyond its bound, 400 for a body that
-// breaks off. The connection is of no use after one.
+// ReadBody reads a request's complete body. status is 0 or the error status for the
+// caller: 431 or 413 for a header or body over its limit, 400 for a truncated body.
+// The connection can't be reused after such an error.
 func ReadBody(w http.ResponseWriter, r *http.Request, b Bounds) (body []byte, status int) {
 	if b.HeaderBytes > 0 && headerBytes(r) > b.HeaderBytes {
 		return nil, http.StatusRequestHeaderFieldsTooLarge
@@ -22,14 +22,14 @@
 	if r.Body == nil || r.ContentLength == 0 {
 		return nil, 0
 	}
-	from := io.Reader(r.Body)
+	reader := io.Reader(r.Body)
 	if b.BodyBytes > 0 {
-		from = http.MaxBytesReader(w, r.Body, b.BodyBytes)
+		reader = http.MaxBytesReader(w, r.Body, b.BodyBytes)
 	}
-	body, err := io.ReadAll(from)
-	var large *http.MaxBytesError
+	body, err := io.ReadAll(reader)
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return nil, http.StatusRequestEntityTooLarge
 	case err != nil:
 		return nil, http.StatusBadRequest
@@ -37,7 +37,7 @@
 	return body, 0
 }
 
-// headerBytes is how many bytes a request's header took on the wire, or a few less.
+// headerBytes returns the size of a request's header on the wire, or a few bytes less.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len("  HTTP/1.1\r\n\r\n") + len("Host: \r\n") + len(r.Host)
 	for name, values := range r.Header {
