--- a/transport/enginehttp/batcher.go
+++ b/transport/enginehttp/batcher.go
@@ -19,25 +19,25 @@
 	DefaultYields                = 32
 )
 
-// BatcherOptions set how steps are joined. Zero fields take the defaults.
+// BatcherOptions configure a Batcher. Zero fields take the defaults.
 type BatcherOptions struct {
-	// MaxOutstanding is how many batches may be unanswered at one time. With
-	// 2, a full batch waits at the engine while the one before it runs.
+	// MaxOutstanding bounds the batches that are unanswered at one time. With 2, a
+	// full batch waits at the engine while the one before it runs.
 	MaxOutstanding int
 
-	// MaxPartial is how many may be unanswered for one to leave when less than
-	// a full batch waits. With 1, steps gather while the engine is busy with
-	// others: best where this daemon is the engine's only one. Where several
-	// are, the engine forms its next batch of what all have sent, and steps
-	// that are held back here miss it.
+	// MaxOutstandingPartial bounds the unanswered batches while fewer steps than
+	// MaxBatch are waiting. With 1, steps accumulate while the engine is busy:
+	// best if this daemon is the engine's only client. If several daemons use the
+	// engine, it forms its next batch from the steps that all of them have sent,
+	// and steps held back here miss that batch.
 	MaxOutstandingPartial int
 
-	// MaxBatch is the most steps of one batch; the engine's own batch cap is
-	// the best value.
+	// MaxBatch bounds the steps of one batch. The engine's own batch cap is the
+	// best value.
 	MaxBatch int
 
-	// Yields is how often the processor is given to other goroutines before a
-	// batch is formed; negative for never.
+	// Yields is how many times runtime.Gosched is called before a batch is formed;
+	// a negative value disables it.
 	Yields int
 }
 
@@ -57,35 +57,38 @@
 	return o
 }
 
-// Batcher joins the steps of concurrent streams toward one engine. A batch
-// leaves as soon as fewer than MaxPartial are unanswered; otherwise steps gather
-// until one comes back or they fill a batch. The smallest priority number goes
-// first, and no step ever waits for a timer.
+// Batcher combines the steps of concurrent streams to one engine into batches. A
+// batch is sent as soon as fewer than MaxOutstandingPartial are unanswered;
+// otherwise steps accumulate until one is answered or they fill a batch. Steps with
+// the smallest priority number are sent first, and no step waits for a timer.
 //
-// Steps of unlike priority never share a batch. The engine runs the urgent ones
-// first, but answers a call only when all its steps are done, so that a check
-// would wait for the drafts that it was sent with.
+// Steps of different priorities never share a batch. The engine runs the urgent
+// ones first, but answers a call only when all its steps are done, so a check would
+// wait for the drafts in its batch.
 //
-// A batch's streams all come back at the same moment and ask for their next step
-// within microseconds. If the first of them left alone, the streams would split
-// into groups that take turns at the engine, each batch far below its cap, and
-// every token would wait for the other groups' steps. So the processor is first
-// given to whoever is ready to run. docs/design/batching.md has the figures.
+// The streams of a batch all receive their results at the same moment and submit
+// their next steps within microseconds. If the first of these were sent alone, the
+// streams would split into groups that alternate at the engine, each batch far below
+// its cap, and every token would wait for the other groups' steps. So before it forms
+// a batch, the Batcher yields to the goroutines that are ready to run.
+// docs/design/batching.md has the figures.
 type Batcher struct {
 	engine engine.Engine
 	opts   BatcherOptions
 
 	mu          sync.Mutex
 	waiting     []*waiter // by priority, then arrival
-	outstanding int
-	forming     bool // a goroutine is about to form a batch
+	outstanding int       // unanswered batches
+	forming     bool      // a sendBatches goroutine is scheduled
 }
 
+// attemptKey identifies an attempt of a request.
 type attemptKey struct {
 	request state.RequestID
 	attempt state.Attempt
 }
 
+// waiter is a call of Step that waits for its result.
 type waiter struct {
 	step  engine.StepRequest
 	batch *batch // nil until sent
@@ -94,19 +97,19 @@
 	err   error
 }
 
-// batch is a call under way. It is canceled once none of its waiters is left.
+// batch is an in-flight call. It is canceled once all its waiters have given up.
 type batch struct {
-	cancel context.CancelFunc
-	left   int
+	cancel    context.CancelFunc
+	remaining int // waiters that have not given up
 }
 
-// NewBatcher returns a batcher toward e.
+// NewBatcher returns a Batcher that sends its batches to e.
 func NewBatcher(e engine.Engine, opts BatcherOptions) *Batcher {
 	return &Batcher{engine: e, opts: opts.withDefaults()}
 }
 
-// Step runs one step. Its errors are those of engine.Engine.Step; a step that
-// was given up before its batch left is engine.NotSent.
+// Step runs one step. Its errors are those of engine.Engine.Step; if ctx ends before
+// the step's batch is sent, engine.NotSent reports true for the error.
 func (b *Batcher) Step(ctx context.Context, step engine.StepRequest) (engine.StepResult, error) {
 	if err := ctx.Err(); err != nil {
 		return engine.StepResult{}, engine.MarkNotSent(err)
@@ -125,14 +128,14 @@
 	}
 }
 
-// Waiting counts the steps that no batch has taken yet.
+// Waiting returns the number of steps that are not in a batch yet.
 func (b *Batcher) Waiting() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.waiting)
 }
 
-// enqueue keeps waiting sorted by priority, then arrival.
+// enqueue inserts w and keeps waiting sorted by priority, then arrival.
 func (b *Batcher) enqueue(w *waiter) {
 	at := sort.Search(len(b.waiting), func(i int) bool {
 		return b.waiting[i].step.Priority > w.step.Priority
@@ -142,13 +145,14 @@
 	b.waiting[at] = w
 }
 
-// abandon gives up w. Once its batch has left, the step may run.
+// abandon removes w after its context ended. If its batch has been sent, the step
+// may still run, and the error is not marked as not sent.
 func (b *Batcher) abandon(w *waiter, err error) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if w.batch != nil {
-		w.batch.left--
-		if w.batch.left == 0 {
+		w.batch.remaining--
+		if w.batch.remaining == 0 {
 			w.batch.cancel()
 		}
 		return err
@@ -162,8 +166,8 @@
 	return engine.MarkNotSent(err)
 }
 
-// mayLeave reports whether a batch may be formed now. The caller holds mu.
-func (b *Batcher) mayLeave() bool {
+// canSend reports whether a batch may be sent now. The caller holds mu.
+func (b *Batcher) canSend() bool {
 	switch n := len(b.waiting); {
 	case n == 0:
 		return false
@@ -174,28 +178,29 @@
 	}
 }
 
-// dispatch sees to it that what may leave does so soon. The caller holds mu.
+// dispatch starts sendBatches if a batch may be sent and it is not already scheduled.
+// The caller holds mu.
 func (b *Batcher) dispatch() {
-	if b.forming || !b.mayLeave() {
+	if b.forming || !b.canSend() {
 		return
 	}
 	b.forming = true
-	go b.form()
+	go b.sendBatches()
 }
 
-// form lets other streams add their steps and sends the batches that may leave
-// then.
-func (b *Batcher) form() {
+// sendBatches yields so that other streams can add their steps, then sends all
+// batches that may be sent.
+func (b *Batcher) sendBatches() {
 	for range b.opts.Yields {
 		runtime.Gosched()
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.forming = false
-	for b.mayLeave() {
-		ws := b.take()
+	for b.canSend() {
+		ws := b.nextBatch()
 		ctx, cancel := context.WithCancel(context.Background())
-		sent := &batch{cancel: cancel, left: len(ws)}
+		sent := &batch{cancel: cancel, remaining: len(ws)}
 		for _, w := range ws {
 			w.batch = sent
 		}
@@ -204,9 +209,9 @@
 	}
 }
 
-// take removes the next batch from waiting: steps of the first one's priority.
-// Steps of one attempt never stand twice in a batch: the second stays.
-func (b *Batcher) take() []*waiter {
+// nextBatch removes the next batch from waiting: steps of the first one's priority.
+// A batch holds at most one step of an attempt; further ones stay in waiting.
+func (b *Batcher) nextBatch() []*waiter {
 	ws := make([]*waiter, 0, min(len(b.waiting), b.opts.MaxBatch))
 	seen := make(map[attemptKey]bool, cap(ws))
 	priority := b.waiting[0].step.Priority
@@ -225,6 +230,7 @@
 	return ws
 }
 
+// send sends a batch and delivers its results to the waiters.
 func (b *Batcher) send(ctx context.Context, cancel context.CancelFunc, ws []*waiter) {
 	defer cancel()
 	steps := make([]engine.StepRequest, len(ws))
@@ -233,7 +239,7 @@
 	}
 	results, err := b.engine.Step(ctx, steps)
 	if err == nil && len(results) != len(ws) {
-		err = errors.New("engine answered another number of steps")
+		err = errors.New("engine returned a different number of results than steps")
 	}
 	for i, w := range ws {
 		w.err = err
--- a/transport/enginehttp/batcher_test.go
+++ b/transport/enginehttp/batcher_test.go
@@ -18,25 +18,25 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/enginehttp"
 )
 
-const generous = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// gate is an engine whose batches wait until the test lets them go.
-type gate struct {
+// gatedEngine is an engine whose batches wait until the test replies to them.
+type gatedEngine struct {
 	engine.Engine
-	calls chan *gateCall
+	calls chan *gatedCall
 }
 
-type gateCall struct {
+type gatedCall struct {
 	ctx   context.Context
 	steps []engine.StepRequest
 	reply chan error
 }
 
-func newGate() *gate { return &gate{calls: make(chan *gateCall, 64)} }
+func newGatedEngine() *gatedEngine { return &gatedEngine{calls: make(chan *gatedCall, 64)} }
 
-// Step answers each step with its own name, so that a mix-up is seen.
-func (g *gate) Step(ctx context.Context, steps []engine.StepRequest) ([]engine.StepResult, error) {
-	c := &gateCall{ctx, steps, make(chan error)}
+// Step answers each step with its request's ID, so that a mix-up is detected.
+func (g *gatedEngine) Step(ctx context.Context, steps []engine.StepRequest) ([]engine.StepResult, error) {
+	c := &gatedCall{ctx, steps, make(chan error)}
 	g.calls <- c
 	select {
 	case err := <-c.reply:
@@ -53,11 +53,11 @@
 	return out, nil
 }
 
-func stepOf(request string, priority int) engine.StepRequest {
+func newStep(request string, priority int) engine.StepRequest {
 	return engine.StepRequest{Request: state.RequestID(request), Attempt: 1, Priority: priority}
 }
 
-func names(c *gateCall) []string {
+func requestIDs(c *gatedCall) []string {
 	out := make([]string, 0, len(c.steps))
 	for _, s := range c.steps {
 		out = append(out, string(s.Request))
@@ -66,38 +66,38 @@
 }
 
 var _ = Describe("Batcher", func() {
-	var g *gate
+	var g *gatedEngine
 	var b *enginehttp.Batcher
 	var running sync.WaitGroup
 
 	BeforeEach(func() {
-		g = newGate()
+		g = newGatedEngine()
 		b = enginehttp.NewBatcher(g, enginehttp.BatcherOptions{MaxOutstanding: 1, MaxBatch: 3})
 		DeferCleanup(running.Wait)
 	})
 
-	// submit starts a step and returns once the batcher has it.
+	// submit starts a step and returns once the batcher has accepted it.
 	submit := func(ctx context.Context, request string, priority int) <-chan error {
 		GinkgoHelper()
 		out := make(chan error, 1)
 		before := b.Waiting()
 		running.Go(func() {
-			r, err := b.Step(ctx, stepOf(request, priority))
+			r, err := b.Step(ctx, newStep(request, priority))
 			if err == nil && r.Detail != request {
 				err = fmt.Errorf("%s got the answer of %s", request, r.Detail)
 			}
 			out <- err
 		})
 		if len(g.calls) == 0 {
-			Eventually(func() bool { return b.Waiting() > before || len(g.calls) > 0 }, generous).Should(BeTrue())
+			Eventually(func() bool { return b.Waiting() > before || len(g.calls) > 0 }, testTimeout).Should(BeTrue())
 		}
 		return out
 	}
 
-	It("sends the first step at once and joins those that come meanwhile, each priority for itself", func(ctx SpecContext) {
+	It("sends the first step at once and batches those that arrive meanwhile by priority", func(ctx SpecContext) {
 		out := []<-chan error{submit(ctx, "first", 1)}
 		first := <-g.calls
-		Expect(names(first)).To(Equal([]string{"first"}))
+		Expect(requestIDs(first)).To(Equal([]string{"first"}))
 		for _, s := range []struct {
 			name     string
 			priority int
@@ -107,23 +107,23 @@
 		Expect(g.calls).To(BeEmpty())
 		first.reply <- nil
 		second := <-g.calls
-		Expect(names(second)).To(Equal([]string{"check"}))
+		Expect(requestIDs(second)).To(Equal([]string{"check"}))
 		second.reply <- nil
 		third := <-g.calls
-		Expect(names(third)).To(Equal([]string{"draft-1", "draft-2", "draft-3"}))
+		Expect(requestIDs(third)).To(Equal([]string{"draft-1", "draft-2", "draft-3"}))
 		third.reply <- nil
 		for _, o := range out {
 			Expect(<-o).To(Succeed())
 		}
-	}, SpecTimeout(generous))
+	}, SpecTimeout(testTimeout))
 
-	// A caller cancels while its step waits for a batch. If the step went out
-	// all the same, it would run after it was reported as not sent.
-	It("never sends a step that was given up while it waited", func(ctx SpecContext) {
+	// A caller cancels while its step waits for a batch. If the step were sent
+	// anyway, it would run after it was reported as not sent.
+	It("never sends a step that was canceled while it waited", func(ctx SpecContext) {
 		first := submit(ctx, "first", 0)
 		call := <-g.calls
-		given, cancel := context.WithCancel(ctx)
-		out := submit(given, "given-up", 0)
+		canceled, cancel := context.WithCancel(ctx)
+		out := submit(canceled, "canceled", 0)
 		other := submit(ctx, "other", 0)
 		cancel()
 		err := <-out
@@ -131,13 +131,13 @@
 		Expect(err).To(MatchError(context.Canceled))
 		call.reply <- nil
 		next := <-g.calls
-		Expect(names(next)).To(Equal([]string{"other"}))
+		Expect(requestIDs(next)).To(Equal([]string{"other"}))
 		next.reply <- nil
 		Expect(<-first).To(Succeed())
 		Expect(<-other).To(Succeed())
-	}, SpecTimeout(generous))
+	}, SpecTimeout(testTimeout))
 
-	It("cancels a batch only when all its steps were given up, and does not call them unsent", func(ctx SpecContext) {
+	It("cancels a batch only when all its steps were canceled, and does not report them as not sent", func(ctx SpecContext) {
 		holder := submit(ctx, "holder", 0)
 		call := <-g.calls
 		one, cancelOne := context.WithCancel(ctx)
@@ -153,62 +153,62 @@
 		Expect(batch.ctx.Err()).NotTo(HaveOccurred())
 		cancelTwo()
 		Expect(engine.NotSent(<-outTwo)).To(BeFalse())
-		Eventually(batch.ctx.Done(), generous).Should(BeClosed())
-	}, SpecTimeout(generous))
+		Eventually(batch.ctx.Done(), testTimeout).Should(BeClosed())
+	}, SpecTimeout(testTimeout))
 
-	It("gives every step of a batch the batch's error", func(ctx SpecContext) {
+	It("returns the error of a batch to each of its steps", func(ctx SpecContext) {
 		out := submit(ctx, "first", 0)
 		(<-g.calls).reply <- engine.MarkNotSent(errors.New("refused"))
 		Expect(engine.NotSent(<-out)).To(BeTrue())
-	}, SpecTimeout(generous))
+	}, SpecTimeout(testTimeout))
 
-	It("forms the batches that its rules give, in any order of events", func() {
-		rapid.Check(GinkgoT(), checkRules)
+	It("forms the same batches as a reference model, in any order of events", func() {
+		rapid.Check(GinkgoT(), checkAgainstModel)
 	})
 })
 
-// rules are what a Batcher is to do, one event after another.
-type rules struct {
-	opts    enginehttp.BatcherOptions
-	waiting []engine.StepRequest // in the order of their arrival
-	open    int
+// batcherModel is a sequential reference model of Batcher.
+type batcherModel struct {
+	opts        enginehttp.BatcherOptions
+	waiting     []engine.StepRequest // in order of arrival
+	outstanding int
 }
 
-// leaves returns the batches that leave now.
-func (r *rules) leaves() [][]engine.StepRequest {
+// nextBatches returns the batches that are to be sent now.
+func (r *batcherModel) nextBatches() [][]engine.StepRequest {
 	var out [][]engine.StepRequest
 	for len(r.waiting) > 0 {
 		limit := r.opts.MaxOutstanding
 		if len(r.waiting) < r.opts.MaxBatch {
 			limit = min(limit, r.opts.MaxOutstandingPartial)
 		}
-		if r.open >= limit {
+		if r.outstanding >= limit {
 			break
 		}
 		var batch []engine.StepRequest
 		batch, r.waiting = nextBatch(r.waiting, r.opts.MaxBatch)
-		r.open++
+		r.outstanding++
 		out = append(out, batch)
 	}
 	return out
 }
 
-// checkRules lets random steps come and batches return, one at a time, and
-// compares what leaves with the rules.
-func checkRules(t *rapid.T) {
-	r := &rules{opts: enginehttp.BatcherOptions{
+// checkAgainstModel submits steps and answers batches in random order, one at a time,
+// and compares the batches sent with those of the model.
+func checkAgainstModel(t *rapid.T) {
+	r := &batcherModel{opts: enginehttp.BatcherOptions{
 		MaxOutstanding:        rapid.IntRange(1, 3).Draw(t, "outstanding"),
 		MaxOutstandingPartial: rapid.IntRange(1, 3).Draw(t, "partial"),
 		MaxBatch:              rapid.IntRange(1, 5).Draw(t, "batch"),
 	}}
-	g := newGate()
+	g := newGatedEngine()
 	b := enginehttp.NewBatcher(g, r.opts)
 	var callers sync.WaitGroup
-	var open []*gateCall
+	var openCalls []*gatedCall
 	expect := func() {
-		for _, want := range r.leaves() {
+		for _, want := range r.nextBatches() {
 			got := <-g.calls
-			open = append(open, got)
+			openCalls = append(openCalls, got)
 			if !slices.EqualFunc(got.steps, want, sameStep) {
 				t.Fatalf("batch is %v, want %v", got.steps, want)
 			}
@@ -217,7 +217,7 @@
 			runtime.Gosched()
 		}
 		if len(g.calls) > 0 {
-			t.Fatalf("batch %v is not to leave", (<-g.calls).steps)
+			t.Fatalf("unexpected batch %v", (<-g.calls).steps)
 		}
 	}
 	arrive := func(step engine.StepRequest) {
@@ -231,35 +231,34 @@
 		expect()
 	}
 	answer := func() {
-		open[0].reply <- nil
-		open = open[1:]
-		r.open--
+		openCalls[0].reply <- nil
+		openCalls = openCalls[1:]
+		r.outstanding--
 		expect()
 	}
 	for range rapid.IntRange(1, 60).Draw(t, "events") {
-		if len(open) > 0 && rapid.IntRange(0, 3).Draw(t, "event") == 0 {
+		if len(openCalls) > 0 && rapid.IntRange(0, 3).Draw(t, "event") == 0 {
 			answer()
 		} else {
 			arrive(drawStep(t))
 		}
 	}
-	for len(open) > 0 {
+	for len(openCalls) > 0 {
 		answer()
 	}
 	callers.Wait()
 }
 
 func drawStep(t *rapid.T) engine.StepRequest {
-	return stepOf(fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "request")), rapid.IntRange(0, 2).Draw(t, "priority"))
+	return newStep(fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "request")), rapid.IntRange(0, 2).Draw(t, "priority"))
 }
 
 func sameStep(a, b engine.StepRequest) bool {
 	return a.Request == b.Request && a.Priority == b.Priority
 }
 
-// nextBatch is the rule of Batcher on steps in the order of their arrival: by
-// priority, then arrival, one priority only, no attempt twice, not more than
-// limit.
+// nextBatch takes the next batch from steps in order of arrival: by priority, then
+// arrival, a single priority, each attempt once, at most limit steps.
 func nextBatch(waiting []engine.StepRequest, limit int) (batch, rest []engine.StepRequest) {
 	sorted := slices.Clone(waiting)
 	slices.SortStableFunc(sorted, func(a, b engine.StepRequest) int { return a.Priority - b.Priority })
--- a/transport/enginehttp/bench_test.go
+++ b/transport/enginehttp/bench_test.go
@@ -16,13 +16,13 @@
 )
 
 // BenchmarkSteps runs concurrent streams through a Batcher and HTTP to one
-// stand-in engine. It reports steps a second, the bytes that a step takes on
-// the wire in both directions, the processor time of a step (client and
-// stand-in together), and the share of the engine's own bound, which is its
-// batch cap, or the number of streams if that is smaller, a step time.
+// stand-in engine. It reports steps per second, the wire bytes per step in both
+// directions, the CPU time per step (client and stand-in together), and the fraction
+// of the engine's maximum rate, which is its batch cap, or the number of streams if
+// that is smaller, per step time.
 //
-// The step time of 200 µs shows what the calls themselves cost; that of 5 ms
-// shows how well batches form.
+// The step time of 200 µs shows the cost of the calls themselves; that of 5 ms shows
+// how well batches are filled.
 func BenchmarkSteps(b *testing.B) {
 	for _, stepTime := range []time.Duration{standin.DefaultStepTime, 5 * time.Millisecond} {
 		for _, streams := range []int{1, 8, 64} {
@@ -59,7 +59,8 @@
 	b.ReportMetric(float64(cpu)/float64(b.N), "cpu-ns/step")
 }
 
-// runStreams runs n steps over all streams, each a token after another.
+// runStreams runs n steps in total over all streams. Each stream runs one token after
+// another.
 func runStreams(b *testing.B, e engine.Engine, layers state.LayerRange, streams, n int, name string) {
 	batcher := enginehttp.NewBatcher(e, enginehttp.BatcherOptions{MaxBatch: standin.DefaultBatchCap})
 	var left atomic.Int64
@@ -82,7 +83,7 @@
 	workers.Wait()
 }
 
-// wireBytes measures the bytes of a step, with HTTP's own, through a proxy.
+// wireBytes returns the bytes per step, including HTTP headers, measured by a proxy.
 func wireBytes(b *testing.B, proxy *standin.Proxy, layers state.LayerRange, streams int) float64 {
 	const steps = 512
 	client := enginehttp.New(proxy.Address(), enginehttp.Options{})
@@ -91,7 +92,7 @@
 	return float64(proxy.Bytes(standin.ToServer)+proxy.Bytes(standin.ToClient)) / steps
 }
 
-// processorTime is what this process has used, in nanoseconds.
+// processorTime returns the CPU time used by this process, in nanoseconds.
 func processorTime() int64 {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
--- a/transport/enginehttp/chain_bench_test.go
+++ b/transport/enginehttp/chain_bench_test.go
@@ -19,20 +19,20 @@
 	chainStepTime = 5 * time.Millisecond
 )
 
-// BenchmarkChain runs streams through a chain of three engines from one daemon
-// or four, and compares ways to form batches:
+// BenchmarkChain runs streams through a chain of three engines from one daemon or
+// four, and compares batching options:
 //
-//	eager:   two batches may be unanswered, full or not; a step leaves at once
-//	partial: one batch may be unanswered, full or not; a step leaves at once
+//	eager:   two batches may be unanswered, full or not; a step is sent at once
+//	partial: one batch may be unanswered, full or not; a step is sent at once
 //	gather:  partial, but streams that are ready to run add their steps first
 //	full:    gather, and a second batch may be unanswered if it is full
 //	default: gather, but with many batches unanswered, full or not
 //
-// It reports the share of the chain's own bound, which is the batch cap, or the
-// streams over the stages if that is smaller, a step time; and the mean time of
-// a token.
+// It reports the fraction of the chain's maximum rate, which is the batch cap, or the
+// streams divided by the stages if that is smaller, per step time; and the mean time
+// per token.
 func BenchmarkChain(b *testing.B) {
-	ways := []struct {
+	variants := []struct {
 		name string
 		opts enginehttp.BatcherOptions
 	}{
@@ -44,9 +44,9 @@
 	}
 	for _, daemons := range []int{1, 4} {
 		for _, streams := range []int{8, 32, 128, 224} {
-			for _, way := range ways {
-				b.Run(fmt.Sprintf("daemons=%d/streams=%d/%s", daemons, streams, way.name), func(b *testing.B) {
-					benchChain(b, daemons, streams, way.opts)
+			for _, variant := range variants {
+				b.Run(fmt.Sprintf("daemons=%d/streams=%d/%s", daemons, streams, variant.name), func(b *testing.B) {
+					benchChain(b, daemons, streams, variant.opts)
 				})
 			}
 		}
@@ -71,7 +71,7 @@
 	for d := range daemons {
 		stages := make([]*enginehttp.Batcher, chainStages)
 		for i, e := range engines {
-			client := enginehttp.New(e.Address(), enginehttp.Options{ProgressTimeout: generous})
+			client := enginehttp.New(e.Address(), enginehttp.Options{ProgressTimeout: testTimeout})
 			defer client.Close()
 			stages[i] = enginehttp.NewBatcher(client, opts)
 		}
@@ -87,7 +87,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// streamTokens makes one stream's tokens until none is left to make.
+// streamTokens runs one stream until the streams together have generated all tokens.
 func streamTokens(b *testing.B, stages []*enginehttp.Batcher, engines []*standin.Engine, name string, left *atomic.Int64) {
 	prompt := "tokens=1000000000"
 	var last int64
--- a/transport/enginehttp/client.go
+++ b/transport/enginehttp/client.go
@@ -1,9 +1,9 @@
 // Package enginehttp is the HTTP/1.1 binding of the engine contract: clients of
-// model engines and plain services, and a Batcher that joins concurrent steps
-// toward one engine into batches.
+// model engines and plain services, and a Batcher that combines concurrent steps
+// to one engine into batches.
 //
-// Every answer that is not a whole, well-formed 200 is an error and so, by the
-// contract, "not answered". No client repeats a call by itself.
+// Any answer that is not a complete, well-formed 200 is an error and so, by the
+// contract, "not answered". The clients never retry a call.
 package enginehttp
 
 import (
@@ -19,10 +19,10 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/httpcall"
 )
 
-// Options set how a client treats its connections.
+// Options configure a client's connections.
 type Options = httpcall.Options
 
-// ErrSilent marks calls whose connection carried no byte for
+// ErrUnresponsive marks calls whose connection carried no byte for
 // Options.ProgressTimeout. Whether such a call took effect is unknown.
 var ErrUnresponsive = httpcall.ErrUnresponsive
 
@@ -32,7 +32,7 @@
 	Detail string
 }
 
-// Error gives the status and the engine's own words.
+// Error returns the status and the engine's error text.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("status %d: %s", e.Status, e.Detail)
 }
@@ -45,8 +45,8 @@
 
 var _ engine.Engine = (*Client)(nil)
 
-// New returns a client of the engine at address, given as host:port. No
-// connection is made before the first call.
+// New returns a client of the engine at address, given as host:port. It connects
+// on the first call.
 func New(address string, opts Options) *Client {
 	return &Client{base: "http://" + address, caller: httpcall.New(opts)}
 }
@@ -72,7 +72,7 @@
 func (c *Client) Resume(ctx context.Context, request state.RequestID, attempt state.Attempt, epoch state.Epoch) (engine.AttemptState, error) {
 	body := engine.ResumeCall{Request: request, Attempt: attempt, Epoch: epoch}
 	held, err := call[engine.AttemptState](ctx, c.caller, http.MethodPost, c.base+engine.PathResume, body)
-	return held, replace(err, http.StatusConflict, engine.ErrStaleEpoch)
+	return held, mapStatus(err, http.StatusConflict, engine.ErrStaleEpoch)
 }
 
 // Cancel implements engine.Engine.
@@ -85,14 +85,14 @@
 func (c *Client) ExportKV(ctx context.Context, request state.RequestID, attempt state.Attempt) ([]byte, error) {
 	body := engine.AttemptCall{Request: request, Attempt: attempt}
 	kv, err := call[engine.KV](ctx, c.caller, http.MethodPost, c.base+engine.PathExportKV, body)
-	return kv.KV, replace(err, http.StatusConflict, engine.ErrCacheNotHeld)
+	return kv.KV, mapStatus(err, http.StatusConflict, engine.ErrCacheNotHeld)
 }
 
 // ImportKV implements engine.Engine.
 func (c *Client) ImportKV(ctx context.Context, request state.RequestID, attempt state.Attempt, kv []byte) error {
 	body := engine.KV{Request: request, Attempt: attempt, KV: kv}
 	_, err := call[struct{}](ctx, c.caller, http.MethodPost, c.base+engine.PathImportKV, body)
-	return replace(err, http.StatusConflict, engine.ErrCacheNotHeld)
+	return mapStatus(err, http.StatusConflict, engine.ErrCacheNotHeld)
 }
 
 // Load implements engine.Engine.
@@ -146,7 +146,7 @@
 	return call[engine.Load](ctx, c.caller, http.MethodGet, c.base+engine.PathLoad, nil)
 }
 
-// call makes one call with in as its JSON body, nil for none.
+// call makes one call with in as its JSON body; nil means no body.
 func call[T any](ctx context.Context, caller *httpcall.Caller, method, url string, in any) (T, error) {
 	var out T
 	var body []byte
@@ -169,11 +169,12 @@
 	}
 	if err := json.Unmarshal(answer.Body, &out); err != nil {
 		var zero T
-		return zero, fmt.Errorf("broken answer: %w", err)
+		return zero, fmt.Errorf("malformed answer: %w", err)
 	}
 	return out, nil
 }
 
+// statusError returns the error of an answer whose status is not 200.
 func statusError(a httpcall.Answer) error {
 	var f engine.Fault
 	if json.Unmarshal(a.Body, &f) != nil {
@@ -182,8 +183,8 @@
 	return &StatusError{Status: a.Status, Detail: f.Error}
 }
 
-// replace gives meaning to one status of a call.
-func replace(err error, status int, meaning error) error {
+// mapStatus replaces a StatusError of the given status by meaning.
+func mapStatus(err error, status int, meaning error) error {
 	var s *StatusError
 	if errors.As(err, &s) && s.Status == status {
 		return fmt.Errorf("%w: %s", meaning, s.Detail)
--- a/transport/enginehttp/load_bench_test.go
+++ b/transport/enginehttp/load_bench_test.go
@@ -10,7 +10,7 @@
 )
 
 // BenchmarkLoad reads an engine's load report and its new cache events, as the home
-// of its pool does every second. The processor time is that of both sides.
+// of its pool does every second. The CPU time includes both sides.
 //
 //	go test ./transport/enginehttp -run xxx -bench Load
 func BenchmarkLoad(b *testing.B) {
