--- a/transport/httpcall/caller.go
+++ b/transport/httpcall/caller.go
@@ -22,23 +22,24 @@
 	DefaultMaxConns        = 0
 )
 
-// Options set how a Caller treats its connections. Zero fields take the
-// defaults.
+// Options configure a Caller's connections. Zero fields take the defaults.
 type Options struct {
-	// DialTimeout bounds the making of one connection.
+	// DialTimeout bounds the establishment of one connection.
 	DialTimeout time.Duration
 
-	// ProgressTimeout is how long a call may see no byte move, in either
-	// direction, before its connection counts as silent.
+	// ProgressTimeout is how long a call may go without a byte in either direction
+	// before its connection counts as unresponsive.
 	ProgressTimeout time.Duration
 
-	// MaxResponse is the longest answer in bytes; a longer one is unanswered.
+	// MaxResponse bounds the body of an answer, in bytes. A call whose answer is
+	// longer fails with ErrTooLong.
 	MaxResponse int64
 
 	MaxIdle  int // idle connections kept
-	MaxConns int // connections at one time; 0 is no bound
+	MaxConns int // concurrent connections; 0 means no limit
 
-	// OnSilent, if set, is called after a connection went silent.
+	// OnUnresponsive, if set, is called after a call ended because its connection
+	// was unresponsive.
 	OnUnresponsive func()
 }
 
@@ -58,30 +59,30 @@
 	return o
 }
 
-// Errors of a call, to be told apart with errors.Is. The context's own error is
-// returned when the context ended the call.
+// Errors of a call, for use with errors.Is. If the context ended the call, its error
+// is returned instead.
 var (
 	// ErrNotSent: not one byte of the call left this process.
 	ErrNotSent = errors.New("not sent")
-	// ErrSilent: the connection carried no byte for ProgressTimeout.
-	ErrUnresponsive = errors.New("connection is silent")
+	// ErrUnresponsive: the connection carried no byte for ProgressTimeout.
+	ErrUnresponsive = errors.New("connection is unresponsive")
 	// ErrTooLong: the answer is longer than MaxResponse.
 	ErrTooLong = errors.New("answer is too long")
 )
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Status int
 	Body   []byte
 }
 
-// Caller makes calls to servers. Its methods may be called by many goroutines.
+// Caller makes calls to servers. It is safe for concurrent use.
 type Caller struct {
 	opts      Options
 	transport *http.Transport
 }
 
-// New returns a Caller with its own connections.
+// New returns a Caller with its own connection pool.
 func New(opts Options) *Caller {
 	opts = opts.withDefaults()
 	dialer := &net.Dialer{Timeout: opts.DialTimeout}
@@ -107,25 +108,25 @@
 	c.transport.CloseIdleConnections()
 }
 
-// Do makes one call with a POST, PUT or GET body and reads its answer whole.
+// Do makes one POST, PUT or GET call and reads its complete answer.
 //
-// An error that is ErrNotSent proves that no byte left. The proof holds through
-// http.Transport's own repeats: it repeats a POST or PUT only when nothing was
-// written to a reused connection, and every connection that it tried is looked
-// at. It would repeat a GET after bytes left; a GET changes nothing.
+// An error that wraps ErrNotSent proves that no byte was sent. This also covers
+// http.Transport's own retries: it retries a POST or PUT only if nothing was written
+// to a reused connection, and every connection that it tried is checked. It may
+// retry a GET after bytes were sent; a GET has no side effects.
 //
-// A connection that the network forgot shows as a call on which no byte moves.
-// After ProgressTimeout the call ends with ErrSilent and its connection is
-// closed, so that later calls use new ones. Idle connections are closed too:
-// what forgot one has probably forgotten those of the same age.
+// If the network drops the state of a connection, no byte moves on it any more. After
+// ProgressTimeout the call ends with ErrUnresponsive and its connection is closed, so
+// that later calls use new ones. Idle connections are closed too: whatever dropped
+// the state of one has probably dropped those of the same age.
 func (c *Caller) Do(ctx context.Context, method, url string, body []byte) (Answer, error) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	t := &track{progress: progress{start: time.Now()}}
-	watch := c.watch(&t.progress, cancel)
-	defer watch.stop()
+	t := &connTracker{progress: progress{start: time.Now()}}
+	w := c.startWatchdog(&t.progress, cancel)
+	defer w.stop()
 
-	callCtx = httptrace.WithClientTrace(callCtx, &httptrace.ClientTrace{GotConn: t.got})
+	callCtx = httptrace.WithClientTrace(callCtx, &httptrace.ClientTrace{GotConn: t.gotConn})
 	req, err := http.NewRequestWithContext(callCtx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return Answer{}, errors.Join(ErrNotSent, err)
@@ -137,7 +138,7 @@
 	if err == nil {
 		return answer, nil
 	}
-	return Answer{}, c.explain(ctx, callCtx, t, err)
+	return Answer{}, c.classifyError(ctx, callCtx, t, err)
 }
 
 func (c *Caller) roundTrip(req *http.Request) (Answer, error) {
@@ -156,19 +157,20 @@
 	return Answer{Status: resp.StatusCode, Body: body}, nil
 }
 
-// explain gives err its meaning.
-func (c *Caller) explain(ctx, callCtx context.Context, t *track, err error) error {
-	silent := errors.Is(context.Cause(callCtx), ErrUnresponsive)
+// classifyError replaces the transport's error by one that says why the call failed
+// and marks it as not sent if that is certain.
+func (c *Caller) classifyError(ctx, callCtx context.Context, t *connTracker, err error) error {
+	unresponsive := errors.Is(context.Cause(callCtx), ErrUnresponsive)
 	switch {
 	case ctx.Err() != nil:
 		err = ctx.Err()
-	case silent:
+	case unresponsive:
 		err = fmt.Errorf("%w for %v", ErrUnresponsive, c.opts.ProgressTimeout)
 	}
 	if t.notSent() {
 		return errors.Join(ErrNotSent, err)
 	}
-	if silent {
+	if unresponsive {
 		c.transport.CloseIdleConnections()
 		if c.opts.OnUnresponsive != nil {
 			c.opts.OnUnresponsive()
@@ -177,28 +179,29 @@
 	return err
 }
 
-// track notes the connections that one call was given.
-type track struct {
+// connTracker records the connections that one call was given.
+type connTracker struct {
 	progress progress
 
 	mu    sync.Mutex
 	conns []*conn
 }
 
-func (t *track) got(info httptrace.GotConnInfo) {
+// gotConn implements httptrace.ClientTrace.GotConn.
+func (t *connTracker) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*conn)
 	if !ok {
-		panic("httpcall: connection of another dialer")
+		panic("httpcall: connection was not made by this package's dialer")
 	}
-	c.begin(&t.progress)
+	c.assign(&t.progress)
 	t.mu.Lock()
 	t.conns = append(t.conns, c)
 	t.mu.Unlock()
 }
 
-// notSent reports, once the call has failed, whether no byte of it left on any
-// of its connections; see conn.seal.
-func (t *track) notSent() bool {
+// notSent reports, for a failed call, whether no byte of it was sent on any of its
+// connections, and seals them; see conn.seal.
+func (t *connTracker) notSent() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, c := range t.conns {
@@ -209,14 +212,16 @@
 	return true
 }
 
-// watchdog ends a call on whose connection no byte moves.
+// watchdog cancels a call whose connection makes no progress.
 type watchdog struct {
 	mu    sync.Mutex
 	timer *time.Timer
 	done  bool
 }
 
-func (c *Caller) watch(p *progress, cancel context.CancelCauseFunc) *watchdog {
+// startWatchdog cancels a call with ErrUnresponsive after ProgressTimeout without
+// progress.
+func (c *Caller) startWatchdog(p *progress, cancel context.CancelCauseFunc) *watchdog {
 	w := &watchdog{}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -226,8 +231,8 @@
 		if w.done {
 			return
 		}
-		if rest := c.opts.ProgressTimeout - p.idle(); rest > 0 {
-			w.timer.Reset(rest)
+		if remaining := c.opts.ProgressTimeout - p.idle(); remaining > 0 {
+			w.timer.Reset(remaining)
 			return
 		}
 		cancel(ErrUnresponsive)
--- a/transport/httpcall/caller_test.go
+++ b/transport/httpcall/caller_test.go
@@ -20,15 +20,15 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/httpcall"
 )
 
-const generous = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// recorder is a server that notes every body of which it saw the first bytes,
-// and spoils connections at random.
+// recorder is a server that records every call of which it received the first bytes,
+// and closes connections at random.
 type recorder struct {
-	listener net.Listener
-	mu       sync.Mutex
-	seen     map[string]bool
-	spoil    atomic.Bool
+	listener  net.Listener
+	mu        sync.Mutex
+	seen      map[string]bool
+	dropConns atomic.Bool
 }
 
 func startRecorder() *recorder {
@@ -53,8 +53,8 @@
 	return "http://" + r.listener.Addr().String() + path
 }
 
-// serve reads raw bytes, so that a call counts as seen however little of it
-// came: its path stands in the first line.
+// serve reads raw bytes, so that a call counts as seen as soon as its request line has
+// arrived, which contains its path.
 func (r *recorder) serve(c net.Conn) {
 	defer c.Close()
 	buf := make([]byte, 64<<10)
@@ -69,7 +69,7 @@
 			r.seen[path] = true
 			r.mu.Unlock()
 		}
-		if r.spoil.Load() && rand.IntN(4) == 0 {
+		if r.dropConns.Load() && rand.IntN(4) == 0 {
 			return
 		}
 		if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"); err != nil {
@@ -85,68 +85,68 @@
 }
 
 var _ = Describe("Caller", func() {
-	// A caller of the site is told "not run, try again" and sends its alert
-	// again; the first one runs as well, because it was on its way all the
-	// time. Cause: the call was given up between getting its connection and its
-	// first byte, and the byte still left after it was reported as not sent.
-	It("says not sent only of calls that never reach the server", func(ctx SpecContext) {
+	// A caller receives "not run, try again" and sends its alert again, but the first
+	// one runs too. This happens if a call is canceled between getting its connection
+	// and its first byte, and the byte is still written after the call was reported as
+	// not sent.
+	It("reports a call as not sent only if it never reaches the server", func(ctx SpecContext) {
 		server := startRecorder()
-		server.spoil.Store(true)
-		caller := httpcall.New(httpcall.Options{ProgressTimeout: generous, MaxIdle: 8})
+		server.dropConns.Store(true)
+		caller := httpcall.New(httpcall.Options{ProgressTimeout: testTimeout, MaxIdle: 8})
 		DeferCleanup(caller.Close)
 
-		var claimed sync.Map
-		var notSent, answered, open atomic.Int64
+		var reportedNotSent sync.Map
+		var notSent, answered, unknown atomic.Int64
 		var workers sync.WaitGroup
 		for w := range 8 {
 			workers.Go(func() {
 				for i := range 500 {
 					path := fmt.Sprintf("/%d-%d", w, i)
-					_, err := caller.Do(giveUpAtRandom(ctx), http.MethodPost, server.url(path), bytes.Repeat([]byte("x"), 200))
+					_, err := caller.Do(cancelAtRandom(ctx), http.MethodPost, server.url(path), bytes.Repeat([]byte("x"), 200))
 					switch {
 					case err == nil:
 						answered.Add(1)
 					case errors.Is(err, httpcall.ErrNotSent):
 						notSent.Add(1)
-						claimed.Store(path, true)
+						reportedNotSent.Store(path, true)
 					default:
-						open.Add(1)
+						unknown.Add(1)
 					}
 				}
 			})
 		}
 		workers.Wait()
-		time.Sleep(50 * time.Millisecond) // for bytes still on their way
-		claimed.Range(func(path, _ any) bool {
+		time.Sleep(50 * time.Millisecond) // for bytes still in flight
+		reportedNotSent.Range(func(path, _ any) bool {
 			Expect(server.saw(path.(string))).To(BeFalse(), "%s was reported as not sent", path)
 			return true
 		})
 		Expect(notSent.Load()).To(BeNumerically(">", 0))
 		Expect(answered.Load()).To(BeNumerically(">", 0))
-		Expect(open.Load()).To(BeNumerically(">", 0))
-	}, SpecTimeout(generous))
+		Expect(unknown.Load()).To(BeNumerically(">", 0))
+	}, SpecTimeout(testTimeout))
 
-	It("says not sent when the server refuses connections", func(ctx SpecContext) {
+	It("reports a call as not sent when the server refuses connections", func(ctx SpecContext) {
 		server := startRecorder()
 		Expect(server.listener.Close()).To(Succeed())
 		caller := httpcall.New(httpcall.Options{})
 		_, err := caller.Do(ctx, http.MethodPost, server.url("/"), nil)
 		Expect(err).To(MatchError(httpcall.ErrNotSent))
-	}, SpecTimeout(generous))
+	}, SpecTimeout(testTimeout))
 
-	It("bounds what it reads of an answer", func(ctx SpecContext) {
+	It("bounds the answer that it reads", func(ctx SpecContext) {
 		server := startRecorder()
 		caller := httpcall.New(httpcall.Options{MaxResponse: 1})
 		DeferCleanup(caller.Close)
 		_, err := caller.Do(ctx, http.MethodPost, server.url("/"), nil)
 		Expect(err).To(MatchError(httpcall.ErrTooLong))
 		Expect(err).NotTo(MatchError(httpcall.ErrNotSent))
-	}, SpecTimeout(generous))
+	}, SpecTimeout(testTimeout))
 })
 
-// giveUpAtRandom returns a context that may be canceled around the moment when
-// its call gets a connection, which is when the first byte may or may not leave.
-func giveUpAtRandom(ctx context.Context) context.Context {
+// cancelAtRandom returns a context that may be canceled around the moment when its
+// call gets a connection, which is when the first byte may or may not be sent.
+func cancelAtRandom(ctx context.Context) context.Context {
 	ctx, cancel := context.WithCancel(ctx)
 	switch rand.IntN(3) {
 	case 0:
--- a/transport/httpcall/conn.go
+++ b/transport/httpcall/conn.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-var errSealed = errors.New("call was given up before its first byte")
+var errSealed = errors.New("call was abandoned before its first byte was written")
 
-// conn notes what was written for the call that has the connection. HTTP/1.1
-// gives a connection to one call at a time, from httptrace's GotConn until the
-// answer's body is read.
+// conn records what was written for the call that uses the connection. With HTTP/1.1
+// one call at a time uses a connection, from httptrace's GotConn until the answer's
+// body is read.
 type conn struct {
 	net.Conn
 	progress atomic.Pointer[progress]
 
 	mu      sync.Mutex
 	pending int  // Write calls that have not returned
-	written bool // a byte of the current call was taken by the kernel
-	sealed  bool // no byte may be written any more
+	written bool // the kernel accepted a byte of the current call
+	sealed  bool // writes fail with errSealed
 }
 
-// begin hands the connection to a call.
-func (c *conn) begin(p *progress) {
+// assign gives the connection to a call.
+func (c *conn) assign(p *progress) {
 	c.progress.Store(p)
 	c.mu.Lock()
 	c.written = false
 	c.mu.Unlock()
 }
 
-// seal reports whether not one byte of the current call was written, and if so
-// bars every later write. A write loop that comes too late could otherwise send
-// the call after its caller was told that it never left: the call would run
-// although it was reported as not run. net/http of Go 1.26 waits for its write
-// loop before it reports a failure, but does not promise to.
+// seal reports whether no byte of the current call was written, and if so makes all
+// later writes fail. Otherwise a delayed write loop could send the call after it was
+// reported as not sent, and the call would run although its caller relies on it not
+// having run. net/http of Go 1.26 waits for its write loop before it reports a
+// failure, but does not guarantee to.
 func (c *conn) seal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,6 +46,7 @@
 	return true
 }
 
+// Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
@@ -61,29 +62,31 @@
 	c.pending--
 	c.written = c.written || n > 0
 	c.mu.Unlock()
-	c.note(n)
+	c.recordProgress(n)
 	return n, err
 }
 
+// Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.note(n)
+	c.recordProgress(n)
 	return n, err
 }
 
-func (c *conn) note(n int) {
+// recordProgress records that n bytes moved for the current call.
+func (c *conn) recordProgress(n int) {
 	if p := c.progress.Load(); p != nil && n > 0 {
 		p.last.Store(int64(time.Since(p.start)))
 	}
 }
 
-// progress is the time of a call's last byte, counted from its start.
+// progress records when a call's last byte moved.
 type progress struct {
 	start time.Time
-	last  atomic.Int64
+	last  atomic.Int64 // nanoseconds after start
 }
 
-// idle is how long no byte moved.
+// idle returns the time since the last byte moved.
 func (p *progress) idle() time.Duration {
 	return time.Since(p.start) - time.Duration(p.last.Load())
 }
--- a/transport/httpcall/doc.go
+++ b/transport/httpcall/doc.go
@@ -1,8 +1,8 @@
-// Package httpcall makes single HTTP/1.1 calls whose end is known exactly: it
-// was answered, it never left this process, or it was not answered.
+// Package httpcall makes single HTTP/1.1 calls and reports their result exactly: a
+// call was answered, it was never sent, or it was sent and not answered.
 //
-// net/http alone does not tell the last two apart. A Caller wraps each
-// connection, notes whether a byte of the call was written to it, and bars
-// further writes of the call before it reports that none was. It never repeats
-// a call that may have left: see Caller.Do.
+// net/http alone does not distinguish the last two. A Caller wraps each connection,
+// records whether a byte of the call was written to it, and blocks further writes of
+// the call before it reports that none was. It never retries a call that may have
+// been sent: see Caller.Do.
 package httpcall
