--- a/transport/platformhttp/bench_test.go
+++ b/transport/platformhttp/bench_test.go
@@ -14,9 +14,9 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/platformhttp"
 )
 
-// BenchmarkList reads instance lists of several sizes, as each daemon does every
-// few seconds. The server only copies a body, so that the processor time is nearly
-// all the client's.
+// BenchmarkList reads instance lists of several sizes, as each daemon does every few
+// seconds. The server only copies a body, so nearly all of the CPU time is the
+// client's.
 //
 //	go test ./transport/platformhttp -run xxx -bench List
 func BenchmarkList(b *testing.B) {
@@ -42,7 +42,7 @@
 		_, _ = w.Write(body)
 	}))
 	defer server.Close()
-	instances := platformhttp.NewInstances(server.URL, platformhttp.Options{ProgressTimeout: generous})
+	instances := platformhttp.NewInstances(server.URL, platformhttp.Options{ProgressTimeout: testTimeout})
 	defer instances.Close()
 	b.ResetTimer()
 	cpu := processorTime()
@@ -56,7 +56,7 @@
 	b.ReportMetric(float64(len(body)), "B/list")
 }
 
-// processorTime is what this process has used, in nanoseconds.
+// processorTime returns the CPU time used by this process, in nanoseconds.
 func processorTime() int64 {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
--- a/transport/platformhttp/platformhttp.go
+++ b/transport/platformhttp/platformhttp.go
@@ -2,9 +2,9 @@
 // clients of the table service, the object store and the instance list.
 //
 // Status 409 is platform.ErrConflict and 404 is platform.ErrNotFound; both are
-// proof. Everything else that is not a whole 200 means "not answered": a write
-// may have taken effect. No client repeats a call by itself, since only its
-// caller can settle what became of the first.
+// definite results. Anything else but a complete 200 means "not answered": a write may
+// have taken effect. The clients never retry a call, because only their caller can
+// find out whether the first one took effect.
 package platformhttp
 
 import (
@@ -18,14 +18,14 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/httpcall"
 )
 
-// Options set how a client treats its connections.
+// Options configure a client's connections.
 type Options = httpcall.Options
 
 // Errors of calls that were not answered, besides the context's own.
 var (
-	// ErrSilent: the connection carried no byte for Options.ProgressTimeout.
+	// ErrUnresponsive: the connection carried no byte for Options.ProgressTimeout.
 	ErrUnresponsive = httpcall.ErrUnresponsive
-	// ErrNotSent: not one byte of the call left this process.
+	// ErrNotSent: no byte of the call left this process.
 	ErrNotSent = httpcall.ErrNotSent
 )
 
@@ -35,11 +35,12 @@
 	Detail string
 }
 
-// Error gives the status and the platform's own words.
+// Error returns the status and the platform's error text.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("status %d: %s", e.Status, e.Detail)
 }
 
+// client holds what the clients have in common.
 type client struct {
 	base   string
 	caller *httpcall.Caller
@@ -54,7 +55,7 @@
 	c.caller.Close()
 }
 
-// do makes one call and returns the body of a 200.
+// do makes one call and returns the body of a 200 answer.
 func (c client) do(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	answer, err := c.caller.Do(ctx, method, c.base+path, body)
 	if err != nil {
@@ -97,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rows, err := decode[platform.Rows](answer)
+	rows, err := decodeBody[platform.Rows](answer)
 	return rows.Rows, err
 }
 
@@ -108,7 +109,7 @@
 	if err != nil {
 		return platform.Row{}, err
 	}
-	return decode[platform.Row](answer)
+	return decodeBody[platform.Row](answer)
 }
 
 // Scan implements platform.Table.
@@ -118,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rows, err := decode[platform.Rows](answer)
+	rows, err := decodeBody[platform.Rows](answer)
 	return rows.Rows, err
 }
 
@@ -163,16 +164,16 @@
 	if err != nil {
 		return nil, err
 	}
-	list, err := decode[platform.InstanceList](answer)
+	list, err := decodeBody[platform.InstanceList](answer)
 	return list.Instances, err
 }
 
-// decode reads a 200's body. A broken one is not an answer.
-func decode[T any](body []byte) (T, error) {
+// decodeBody decodes the body of a 200 answer. A malformed one counts as not answered.
+func decodeBody[T any](body []byte) (T, error) {
 	var out T
 	if err := json.Unmarshal(body, &out); err != nil {
 		var zero T
-		return zero, fmt.Errorf("broken answer: %w", err)
+		return zero, fmt.Errorf("malformed answer: %w", err)
 	}
 	return out, nil
 }
