--- a/transport/peer/bench_test.go
+++ b/transport/peer/bench_test.go
@@ -18,7 +18,7 @@
 		Handler: peer.Handler{
 			HandleMessage: func(state.Member, any) {},
 			HandleCall: func(_ context.Context, _ state.Member, msg any) (any, error) {
-				return told(msg.(ask)), nil
+				return testAnswer(msg.(testCall)), nil
 			},
 		},
 	}
@@ -31,49 +31,48 @@
 	return client, addr.String()
 }
 
-// BenchmarkCall is one call after the other over loopback.
+// BenchmarkCall makes one call after the other over loopback.
 func BenchmarkCall(b *testing.B) {
 	n, to := benchPair(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := n.Call(context.Background(), to, ask{N: 1}); err != nil {
+		if _, err := n.Call(context.Background(), to, testCall{N: 1}); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// BenchmarkCallParallel is many calls at one time on one connection.
+// BenchmarkCallParallel makes concurrent calls on one connection.
 func BenchmarkCallParallel(b *testing.B) {
 	n, to := benchPair(b)
 	b.SetParallelism(8)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			if _, err := n.Call(context.Background(), to, ask{N: 1}); err != nil {
+			if _, err := n.Call(context.Background(), to, testCall{N: 1}); err != nil {
 				b.Error(err)
 			}
 		}
 	})
 }
 
-// BenchmarkSend is messages without an answer, as fast as they are taken.
+// BenchmarkSend sends messages without an answer at the highest rate.
 func BenchmarkSend(b *testing.B) {
 	n, to := benchPair(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if err := n.Send(to, note{N: 1}); err != nil {
+		if err := n.Send(to, testMessage{N: 1}); err != nil {
 			b.Fatal(err)
 		}
 		if i%1000 == 999 { // lets the queue drain
-			if _, err := n.Call(context.Background(), to, ask{N: 1}); err != nil {
+			if _, err := n.Call(context.Background(), to, testCall{N: 1}); err != nil {
 				b.Fatal(err)
 			}
 		}
 	}
 }
 
-// BenchmarkSilence is the time from a connection's last byte, with a call
-// outstanding, to the answer of a call on its replacement, at the default
-// settings.
+// BenchmarkSilence measures the time from a connection's last byte, with a call
+// outstanding, to the answer to a call on its replacement, with the default Config.
 func BenchmarkSilence(b *testing.B) {
 	n, to := benchPair(b)
 	p, err := standin.StartProxy(to)
@@ -83,18 +82,18 @@
 	defer p.Close()
 	var worst time.Duration
 	for b.Loop() {
-		if _, err := n.Call(context.Background(), p.Address(), ask{N: 1}); err != nil {
+		if _, err := n.Call(context.Background(), p.Address(), testCall{N: 1}); err != nil {
 			b.Fatal(err)
 		}
 		p.SilenceConnections()
-		begin := time.Now()
-		if _, err := n.Call(context.Background(), p.Address(), ask{N: 2}); !errors.Is(err, peer.ErrUnresponsive) {
+		start := time.Now()
+		if _, err := n.Call(context.Background(), p.Address(), testCall{N: 2}); !errors.Is(err, peer.ErrUnresponsive) {
 			b.Fatal(err)
 		}
-		if _, err := n.Call(context.Background(), p.Address(), ask{N: 3}); err != nil {
+		if _, err := n.Call(context.Background(), p.Address(), testCall{N: 3}); err != nil {
 			b.Fatal(err)
 		}
-		worst = max(worst, time.Since(begin))
+		worst = max(worst, time.Since(start))
 	}
 	b.ReportMetric(float64(worst.Milliseconds()), "worst-ms")
 }
--- a/transport/peer/call.go
+++ b/transport/peer/call.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// result ends a call.
+// result is the answer to a call or its error.
 type result struct {
 	answer Answer
 	err    error
@@ -16,19 +16,20 @@
 // call is one outstanding call. Its remote owns the fields below done.
 type call struct {
 	number  uint64
-	timeout uint32      // milliseconds, 0 for no bound
-	done    chan result // takes exactly one result
+	timeout uint32      // milliseconds; 0 means no timeout
+	done    chan result // receives exactly one result
 
 	remote  *remote
-	written bool // bytes of it may have left this daemon
+	written bool // bytes of the call may have been sent
 }
 
-// callNumbers are unique in the process, so that an answer that comes late, on
-// whatever connection, can't be taken for another call's.
-var callNumbers atomic.Uint64
+// lastCallNumber makes call numbers unique in the process, so that a late answer, on
+// any connection, can't be taken for another call's.
+var lastCallNumber atomic.Uint64
 
+// newCall returns a call with the timeout of ctx, at least 1 ms.
 func newCall(ctx context.Context) *call {
-	c := &call{number: callNumbers.Add(1), done: make(chan result, 1)}
+	c := &call{number: lastCallNumber.Add(1), done: make(chan result, 1)}
 	if deadline, ok := ctx.Deadline(); ok {
 		ms := time.Until(deadline).Milliseconds()
 		c.timeout = uint32(min(max(ms, 1), math.MaxUint32))
--- a/transport/peer/config.go
+++ b/transport/peer/config.go
@@ -27,16 +27,14 @@
 	DefaultMaxInbound         = 2048
 )
 
-// Handler gets what peers send. Its functions may be called by many goroutines
-// at once.
+// Handler handles what peers send. Its functions may be called concurrently.
 type Handler struct {
-	// Received takes a message, in the order of its connection. While it runs
-	// the connection is not read, so it must not block.
+	// HandleMessage handles a message. Messages of one connection are handled in
+	// order, and the connection is not read meanwhile, so it must not block.
 	HandleMessage func(from state.Member, msg any)
 
-	// Called answers a call in a goroutine of its own. ctx ends when the caller
-	// no longer waits as far as is known here. An error becomes the caller's
-	// *FailedError.
+	// HandleCall answers a call in its own goroutine. ctx ends at the caller's
+	// deadline or with the connection. An error becomes the caller's *FailedError.
 	HandleCall func(ctx context.Context, from state.Member, msg any) (any, error)
 }
 
@@ -46,38 +44,38 @@
 	Registry *peer.Registry
 	Handler  Handler
 
-	ProbeAfter         time.Duration // quiet time after which a connection that owes something is probed
-	ProgressTimeout    time.Duration // time that a probe, or a write, may go without any progress
-	IdleProbeAfter     time.Duration // quiet time after which an idle connection is probed
-	IdleTimeout        time.Duration // an unused connection is closed after it
-	InboundIdleTimeout time.Duration // a peer's connection without a byte for it is closed
-	FrameTimeout       time.Duration // a frame has to arrive whole within it
-	HelloTimeout       time.Duration // a peer's first frame has to come within it
+	ProbeAfter         time.Duration // time without a frame after which a connection that expects one is probed
+	ProgressTimeout    time.Duration // how long a probe or a write may go without progress
+	IdleProbeAfter     time.Duration // time without a frame after which an unused connection is probed
+	IdleTimeout        time.Duration // an outgoing connection is closed after this time without use
+	InboundIdleTimeout time.Duration // a peer's connection is closed after this time without a byte
+	FrameTimeout       time.Duration // a frame must arrive completely within it
+	HelloTimeout       time.Duration // a peer's first frame must begin within it
 	DialTimeout        time.Duration
 
-	MaxQueuedMessages int // messages waiting for one address; beyond it the oldest is dropped
-	MaxQueuedBytes    int // the same in bytes
+	MaxQueuedMessages int // messages queued for one address; the oldest are dropped beyond it
+	MaxQueuedBytes    int // bytes queued for one address, or for the writer of a peer's connection
 	MaxFrame          int // longest frame in bytes
-	MaxCalls          int // calls of one connection handled at one time; others are refused
-	MaxInbound        int // peers' connections at one time; others are closed
+	MaxCalls          int // concurrent calls of one connection; others are refused
+	MaxInbound        int // concurrent connections of peers; others are closed
 
-	// Dial makes a connection to an IP address and port; nil is plain TCP.
-	// Encryption goes here and into the listener given to Serve.
+	// Dial makes a connection to an IP address and port; nil means plain TCP.
+	// Encryption is added here and in the listener given to Serve.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
-	// Lost, if set, is told of each connection to address that ended with an
-	// error: messages sent on it without an answer may not have arrived. It must
-	// not block.
+	// OnConnectionLost, if set, is called for each connection to address that ended
+	// with an error: messages sent on it without an answer may not have arrived. It
+	// must not block.
 	OnConnectionLost func(address string, err error)
 
-	// Rejected, if set, is told of each connection from a peer that ended with
-	// an error, such as a *peer.FrameError. It must not block.
+	// OnInboundError, if set, is called for each connection from a peer that ended
+	// with an error, such as a *peer.FrameError. It must not block.
 	OnInboundError func(remote net.Addr, err error)
 
-	Scope tally.Scope // nil drops the counters
+	Scope tally.Scope // nil disables the counters
 }
 
-// withDefaults fills in what c leaves open.
+// withDefaults replaces zero fields by their defaults.
 func (c Config) withDefaults() Config {
 	for _, d := range []struct {
 		field *time.Duration
--- a/transport/peer/counters.go
+++ b/transport/peer/counters.go
@@ -8,7 +8,7 @@
 	"github.com/hibiscuswick/hibiscuswick/protocol/peer"
 )
 
-// counters are the transport's own.
+// counters are the transport's metrics.
 type counters struct {
 	sent, received           tally.Counter // messages, calls and answers
 	sentBytes, receivedBytes tally.Counter
@@ -16,13 +16,13 @@
 	dropped                  tally.Counter // messages that were never sent
 	opened                   tally.Counter // connections made
 	dialFailures             tally.Counter
-	silent                   tally.Counter // connections given up as silent
+	unresponsive             tally.Counter // connections closed as unresponsive
 	lost                     tally.Counter // connections that ended with another error
 	unanswered               tally.Counter // calls of which it is not known whether they were handled
 	refusedCalls             tally.Counter // calls refused here, over MaxCalls
 	inboundRefused           tally.Counter // connections over MaxInbound
 	inboundSlow              tally.Counter // connections whose peer sent or read too slowly
-	broken                   tally.Counter // frames that could not be read, and by what was wrong:
+	broken                   tally.Counter // frames that could not be decoded; faults counts them by cause
 	faults                   map[peer.Fault]tally.Counter
 }
 
@@ -36,7 +36,7 @@
 		dropped:        s.Counter("peer_dropped_total"),
 		opened:         s.Counter("peer_connections_opened_total"),
 		dialFailures:   s.Counter("peer_dial_failures_total"),
-		silent:         s.Counter("peer_silent_connections_total"),
+		unresponsive:   s.Counter("peer_silent_connections_total"),
 		lost:           s.Counter("peer_lost_connections_total"),
 		unanswered:     s.Counter("peer_unanswered_calls_total"),
 		refusedCalls:   s.Counter("peer_refused_calls_total"),
@@ -51,8 +51,8 @@
 	return c
 }
 
-// fault counts err if it is a *peer.FrameError.
-func (c *counters) fault(err error) {
+// countFrameFault counts err if it is a *peer.FrameError.
+func (c *counters) countFrameFault(err error) {
 	if f, ok := peer.FaultOf(err); ok {
 		c.broken.Inc(1)
 		c.faults[f].Inc(1)
--- a/transport/peer/doc.go
+++ b/transport/peer/doc.go
@@ -1,26 +1,26 @@
 // Package peer carries messages between daemons over TCP.
 //
-// A Node keeps one connection to each address that it sends to, made when there
-// is something to send and closed after a time without use. What comes back on
-// it are answers and heartbeats only; the other daemon's own messages come on a
-// connection that it makes. The transport never sends a message twice.
+// A Node keeps one connection to each address that it sends to. It is made when
+// there is something to send and closed after a time without use. The peer sends only
+// answers and heartbeats on it; the peer's own messages arrive on a connection that
+// the peer makes. The transport never sends a message twice.
 //
 // # What an error of Call proves
 //
-// NotSent(err): not one byte of the call left this daemon. Unhandled(err): that,
-// or the peer's own word that it did not handle it. Any other error but
-// *FailedError leaves it unknown whether the call was handled; the caller asks
-// again by the request's own id.
+// NotSent(err): no byte of the call left this daemon. Unhandled(err): that, or the
+// peer answered that it did not handle the call. With any other error but
+// *FailedError it is unknown whether the call was handled; the caller repeats it under
+// the request's ID.
 //
-// # Silent connections
+// # Unresponsive connections
 //
-// A connection can stop carrying bytes for good without either end being told,
-// because something between the two has lost track of it, while new connections
-// work. Writes to it succeed until the kernel's buffer is full. A Node sends a
-// heartbeat on each connection that owes it something and has been quiet for
-// ProbeAfter, and at a longer interval on idle ones. When nothing at all comes
-// for SilentAfter after a heartbeat, the connection is given up: its
-// outstanding calls end with ErrSilent and what is still queued goes out on a
-// new one. Only a failure to get a connection that answers says anything about
-// the peer; one silent connection does not, and Lost reports it as ErrSilent.
+// A connection can stop carrying bytes for good without either end being notified,
+// because a middlebox has lost its state, while new connections work. Writes to it
+// succeed until the kernel's buffer is full. A Node sends a heartbeat on each
+// connection on which it expects a frame and that has been idle for ProbeAfter, and at
+// a longer interval on unused ones. If no byte arrives for ProgressTimeout after a
+// heartbeat, the connection is closed: its outstanding calls end with ErrUnresponsive
+// and queued messages are sent on a new one. Only a failure to get a connection that
+// answers says anything about the peer; one unresponsive connection does not, and
+// OnConnectionLost reports it as ErrUnresponsive.
 package peer
--- a/transport/peer/errors.go
+++ b/transport/peer/errors.go
@@ -2,24 +2,25 @@
 
 import "errors"
 
-// Errors of Send and Call, to be told apart with errors.Is.
+// Errors of Send and Call, for use with errors.Is.
 var (
-	// ErrSilent: the connection stopped carrying bytes.
-	ErrUnresponsive = errors.New("connection is silent")
+	// ErrUnresponsive: the connection stopped carrying bytes.
+	ErrUnresponsive = errors.New("connection is unresponsive")
 	// ErrClosed: the connection ended before the answer.
 	ErrClosed = errors.New("connection ended")
 	// ErrDropped: the queue was full and this was the oldest message in it.
 	ErrDropped = errors.New("dropped from a full queue")
-	// ErrUnreachable: no connection could be made, or the one that was made
-	// ended before the peer sent a frame on it.
-	ErrUnreachable = errors.New("no connection")
+	// ErrUnreachable: no connection could be made, or it ended before the peer sent
+	// a frame on it.
+	ErrUnreachable = errors.New("address is unreachable")
 	// ErrNodeClosed: this Node is closed.
 	ErrNodeClosed = errors.New("node is closed")
-	// ErrUnregistered: the message's type has no kind; a defect of the program.
+	// ErrUnregistered: the message's type is not in the Registry, which is a bug in
+	// this program.
 	ErrUnregistered = errors.New("message type is not registered")
 )
 
-// errNotSent marks errors of messages of which not one byte left this daemon.
+// errNotSent marks errors of messages of which no byte left this daemon.
 var errNotSent = errors.New("not sent")
 
 func markNotSent(err error) error {
@@ -31,14 +32,14 @@
 	return errors.Is(err, errNotSent)
 }
 
-// RefusedError is a peer's word that it did not handle a call and will not.
+// RefusedError is a peer's reply that it did not handle a call and will not.
 type RefusedError struct {
 	Detail string
 }
 
 func (e *RefusedError) Error() string { return "peer refused the call: " + e.Detail }
 
-// FailedError is a peer's word that it handled a call, without success.
+// FailedError is a peer's reply that it handled a call without success.
 type FailedError struct {
 	Detail string
 }
--- a/transport/peer/inbound.go
+++ b/transport/peer/inbound.go
@@ -16,16 +16,16 @@
 
 // Errors that end a peer's connection.
 var (
-	errSlowSender = errors.New("peer sends too slowly")
-	errSlowReader = errors.New("peer reads too slowly")
-	errTooMany    = errors.New("too many connections")
+	errSlowSender         = errors.New("peer sends too slowly")
+	errSlowReader         = errors.New("peer reads too slowly")
+	errTooManyConnections = errors.New("too many connections")
 )
 
-// acceptRetry is the wait after a failed accept, such as for want of file
-// descriptors.
+// acceptRetry is the delay after a failed accept, for example when the process is out
+// of file descriptors.
 const acceptRetry = 50 * time.Millisecond
 
-// accept takes connections until the listener closes.
+// accept accepts connections until the listener closes.
 func (n *Node) accept(l net.Listener) {
 	defer n.wg.Done()
 	for {
@@ -44,7 +44,7 @@
 	}
 }
 
-// admit starts a connection unless there are too many.
+// admit serves a connection unless there are too many.
 func (n *Node) admit(conn net.Conn) {
 	in := newInbound(n, conn)
 	n.mu.Lock()
@@ -53,7 +53,7 @@
 		n.mu.Unlock()
 		if full {
 			n.counters.inboundRefused.Inc(1)
-			n.rejected(conn, errTooMany)
+			n.reportInboundError(conn, errTooManyConnections)
 		}
 		in.close()
 		return
@@ -62,64 +62,64 @@
 	n.wg.Add(2)
 	n.mu.Unlock()
 	go in.serve()
-	go in.writeOut()
+	go in.writeLoop()
 }
 
-// rejected tells the daemon how a peer's connection ended.
-func (n *Node) rejected(conn net.Conn, err error) {
-	n.counters.fault(err)
+// reportInboundError counts a frame error and calls OnInboundError.
+func (n *Node) reportInboundError(conn net.Conn, err error) {
+	n.counters.countFrameFault(err)
 	if n.cfg.OnInboundError != nil {
 		n.cfg.OnInboundError(conn.RemoteAddr(), err)
 	}
 }
 
-// inbound is one connection that a peer made. One goroutine reads, one writes,
-// and one runs each call.
+// inbound is one connection that a peer made. One goroutine reads, one writes, and each
+// call runs in its own.
 type inbound struct {
-	node   *Node
-	conn   net.Conn
-	ctx    context.Context // ends with the connection
-	cancel context.CancelFunc
-	calls  chan struct{} // one token for each call in work
-
-	mu      sync.Mutex
-	out     []byte // frames to write
-	ackDue  bool   // one ack answers any number of heartbeats
-	closing bool   // write what is there, then close
-	wake    chan struct{}
+	node      *Node
+	conn      net.Conn
+	ctx       context.Context // ends with the connection
+	cancel    context.CancelFunc
+	callSlots chan struct{} // semaphore for calls in progress
+
+	mu         sync.Mutex
+	out        []byte // frames to write
+	ackPending bool   // a heartbeat is unanswered; one ack answers all
+	closing    bool   // close the connection once out is written
+	wake       chan struct{}
 }
 
 func newInbound(n *Node, conn net.Conn) *inbound {
 	ctx, cancel := context.WithCancel(n.ctx)
 	return &inbound{
-		node:   n,
-		conn:   countedConn{Conn: conn, counters: n.counters},
-		ctx:    ctx,
-		cancel: cancel,
-		calls:  make(chan struct{}, n.cfg.MaxCalls),
-		wake:   make(chan struct{}, 1),
+		node:      n,
+		conn:      countedConn{Conn: conn, counters: n.counters},
+		ctx:       ctx,
+		cancel:    cancel,
+		callSlots: make(chan struct{}, n.cfg.MaxCalls),
+		wake:      make(chan struct{}, 1),
 	}
 }
 
-// close ends the connection at once.
+// close closes the connection at once.
 func (in *inbound) close() {
 	in.cancel()
 	_ = in.conn.Close()
 }
 
-// serve reads until the connection ends. A frame that can't be read ends it: what
-// comes after has no known beginning. The peer is told why.
+// serve handles frames until the connection ends. A frame that can't be decoded ends
+// it, because the start of the next one is unknown. The reason is sent to the peer.
 func (in *inbound) serve() {
 	defer in.node.wg.Done()
-	err := in.readAll()
+	err := in.readFrames()
 	switch {
 	case errors.Is(err, io.EOF), in.ctx.Err() != nil:
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		in.node.counters.inboundSlow.Inc(1)
-		in.node.rejected(in.conn, errSlowSender)
+		in.node.reportInboundError(in.conn, errSlowSender)
 	default:
-		in.node.rejected(in.conn, err)
-		in.refuse(peer.RoleBye, 0, err.Error())
+		in.node.reportInboundError(in.conn, err)
+		in.sendRefusal(peer.RoleBye, 0, err.Error())
 	}
 	in.mu.Lock()
 	in.closing = true
@@ -130,10 +130,10 @@
 	in.node.mu.Unlock()
 }
 
-// readAll takes the peer's hello and then its frames. Each wait has a bound, so
-// that a peer that vanished without a word, or that sends a frame a byte at a
-// time, holds its connection for a while only.
-func (in *inbound) readAll() error {
+// readFrames handles the peer's hello and then its other frames. Each read has a
+// timeout, so that a peer that disappeared without closing its connection, or sends a
+// frame byte by byte, keeps its connection only for a limited time.
+func (in *inbound) readFrames() error {
 	r := peer.NewReader(in.conn, in.node.cfg.MaxFrame)
 	e, err := in.next(r, in.node.cfg.HelloTimeout)
 	if err != nil {
@@ -152,13 +152,14 @@
 		if err != nil {
 			return err
 		}
-		if err := in.frame(from, e); err != nil {
+		if err := in.handleFrame(from, e); err != nil {
 			return err
 		}
 	}
 }
 
-// next reads a frame that begins within idle.
+// next reads a frame that must begin within idle and arrive completely within
+// FrameTimeout after that.
 func (in *inbound) next(r *peer.Reader, idle time.Duration) (peer.Envelope, error) {
 	if !r.Ready() {
 		if err := in.conn.SetReadDeadline(time.Now().Add(idle)); err != nil {
@@ -174,12 +175,12 @@
 	return r.Next()
 }
 
-// frame takes one frame of the peer.
-func (in *inbound) frame(from state.Member, e peer.Envelope) error {
+// handleFrame handles one frame of the peer.
+func (in *inbound) handleFrame(from state.Member, e peer.Envelope) error {
 	switch e.Role {
 	case peer.RoleHeartbeat:
 		in.mu.Lock()
-		in.ackDue = true
+		in.ackPending = true
 		in.mu.Unlock()
 		in.signal()
 		return nil
@@ -190,7 +191,7 @@
 			return err
 		}
 		if e.Role == peer.RoleCall {
-			in.call(from, e.Call, e.Timeout, msg)
+			in.handleCall(from, e.Call, e.Timeout, msg)
 			return nil
 		}
 		if in.node.cfg.Handler.HandleMessage != nil {
@@ -202,22 +203,22 @@
 	}
 }
 
-// call runs a call, or refuses it where too many run.
-func (in *inbound) call(from state.Member, number uint64, timeout uint32, msg any) {
+// handleCall runs a call, or refuses it if too many are in progress.
+func (in *inbound) handleCall(from state.Member, number uint64, timeout uint32, msg any) {
 	handle := in.node.cfg.Handler.HandleCall
 	if handle == nil {
-		in.refuse(peer.RoleRefusal, number, "calls are not taken here")
+		in.sendRefusal(peer.RoleRefusal, number, "calls are not taken here")
 		return
 	}
 	select {
-	case in.calls <- struct{}{}:
+	case in.callSlots <- struct{}{}:
 	default:
 		in.node.counters.refusedCalls.Inc(1)
-		in.refuse(peer.RoleRefusal, number, "too many calls in work")
+		in.sendRefusal(peer.RoleRefusal, number, "too many calls in work")
 		return
 	}
 	go func() {
-		defer func() { <-in.calls }()
+		defer func() { <-in.callSlots }()
 		ctx, cancel := in.ctx, context.CancelFunc(func() {})
 		if timeout > 0 {
 			ctx, cancel = context.WithTimeout(in.ctx, time.Duration(timeout)*time.Millisecond)
@@ -225,24 +226,24 @@
 		defer cancel()
 		answer, err := handle(ctx, from, msg)
 		if err != nil {
-			in.refuse(peer.RoleFailure, number, err.Error())
+			in.sendRefusal(peer.RoleFailure, number, err.Error())
 			return
 		}
-		in.answer(number, answer)
+		in.sendAnswer(number, answer)
 	}()
 }
 
-// answer sends the answer to a call.
-func (in *inbound) answer(number uint64, msg any) {
+// sendAnswer sends the answer to a call.
+func (in *inbound) sendAnswer(number uint64, msg any) {
 	k, ok := in.node.cfg.Registry.KindOf(msg)
 	if !ok {
-		in.refuse(peer.RoleFailure, number, fmt.Sprintf("%v: %T", ErrUnregistered, msg))
+		in.sendRefusal(peer.RoleFailure, number, fmt.Sprintf("%v: %T", ErrUnregistered, msg))
 		return
 	}
 	in.send(peer.Envelope{Role: peer.RoleAnswer, Kind: k, Call: number}, msg)
 }
 
-// refuse sends a frame that says why something was not done.
-func (in *inbound) refuse(role peer.Role, number uint64, detail string) {
+// sendRefusal sends a refusal, a failure or the end of the connection with its reason.
+func (in *inbound) sendRefusal(role peer.Role, number uint64, detail string) {
 	in.send(peer.Envelope{Role: role, Call: number}, peer.Refusal{Detail: detail})
 }
--- a/transport/peer/inboundwrite.go
+++ b/transport/peer/inboundwrite.go
@@ -4,8 +4,8 @@
 	"github.com/hibiscuswick/hibiscuswick/protocol/peer"
 )
 
-// send queues a frame to the peer. A peer that does not read what it asked for
-// loses its connection rather than take memory.
+// send queues a frame for the peer. A peer that does not read its answers is
+// disconnected when the queue is full, so that they do not take up memory.
 func (in *inbound) send(e peer.Envelope, body any) {
 	in.mu.Lock()
 	out, err := peer.AppendFrame(in.out, e, body, in.node.cfg.MaxFrame)
@@ -17,23 +17,23 @@
 	in.mu.Unlock()
 	switch {
 	case err != nil:
-		in.refuse(peer.RoleFailure, e.Call, err.Error())
+		in.sendRefusal(peer.RoleFailure, e.Call, err.Error())
 	case full:
-		in.slowReader()
+		in.closeSlowReader()
 	default:
 		in.node.counters.sent.Inc(1)
 		in.signal()
 	}
 }
 
-// slowReader ends the connection.
-func (in *inbound) slowReader() {
+// closeSlowReader closes the connection to a peer that reads too slowly.
+func (in *inbound) closeSlowReader() {
 	in.close()
 	in.node.counters.inboundSlow.Inc(1)
-	in.node.rejected(in.conn, errSlowReader)
+	in.node.reportInboundError(in.conn, errSlowReader)
 }
 
-// signal wakes the writing goroutine.
+// signal wakes writeLoop.
 func (in *inbound) signal() {
 	select {
 	case in.wake <- struct{}{}:
@@ -41,14 +41,14 @@
 	}
 }
 
-// writeOut writes frames until the connection ends.
-func (in *inbound) writeOut() {
+// writeLoop writes queued frames until the connection ends.
+func (in *inbound) writeLoop() {
 	defer in.node.wg.Done()
 	defer in.close()
 	var buf []byte
 	for {
 		var last bool
-		buf, last = in.takeOut(buf[:0])
+		buf, last = in.swapOutput(buf[:0])
 		if err := writeAll(in.conn, buf, in.node.cfg.ProgressTimeout); err != nil {
 			return
 		}
@@ -66,17 +66,17 @@
 	}
 }
 
-// takeOut swaps the frames to write for an empty buffer. last says that no more
-// will come.
-func (in *inbound) takeOut(empty []byte) (buf []byte, last bool) {
+// swapOutput returns the frames to write and replaces them by an empty buffer. last
+// reports that no further frames will be queued.
+func (in *inbound) swapOutput(empty []byte) (buf []byte, last bool) {
 	if cap(empty) > batchBytes {
 		empty = nil
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	buf, in.out = in.out, empty
-	if in.ackDue {
-		in.ackDue = false
+	if in.ackPending {
+		in.ackPending = false
 		buf = append(buf, heartbeatAck...)
 	}
 	return buf, in.closing
--- a/transport/peer/node.go
+++ b/transport/peer/node.go
@@ -11,8 +11,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Node is one daemon's end of the transport. Its methods may be called by many
-// goroutines at once.
+// Node is one daemon's endpoint of the transport. It is safe for concurrent use.
 type Node struct {
 	cfg      Config
 	counters *counters
@@ -28,7 +27,7 @@
 	listeners []net.Listener
 }
 
-// New returns a Node that sends, and receives once Listen or Serve is called.
+// New returns a Node that can send, and receives once Listen or Serve is called.
 func New(cfg Config) *Node {
 	cfg = cfg.withDefaults()
 	ctx, stop := context.WithCancel(context.Background())
@@ -42,8 +41,8 @@
 	}
 }
 
-// Listen starts to take peers' connections at an IP address and port, and
-// returns the address with the port that it got.
+// Listen starts to accept peers' connections at an IP address and port, and returns
+// the address with the actual port.
 func (n *Node) Listen(address string) (net.Addr, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -53,7 +52,7 @@
 	return l.Addr(), nil
 }
 
-// Serve starts to take peers' connections from l, which the Node closes.
+// Serve starts to accept peers' connections from l, which the Node closes.
 func (n *Node) Serve(l net.Listener) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,9 +65,8 @@
 	go n.accept(l)
 }
 
-// Close ends all connections and waits for the Node's goroutines but those of
-// Called; it must not be called by Received. Messages that still wait are
-// dropped.
+// Close closes all connections and waits for the Node's goroutines except those of
+// HandleCall. It must not be called by HandleMessage. Queued messages are dropped.
 func (n *Node) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -83,9 +81,9 @@
 	n.wg.Wait()
 }
 
-// Send queues msg, a struct of the Registry, for the daemon at an IP address and
-// port. It never blocks. A nil error says that it was queued and no more; an
-// error is NotSent.
+// Send queues msg, whose type must be in the Registry, for the daemon at an IP address
+// and port. It never blocks. A nil error means only that the message was queued. For a
+// non-nil error NotSent reports true.
 func (n *Node) Send(to string, msg any) error {
 	b, err := n.encode(peer.Envelope{Role: peer.RoleSend}, msg)
 	if err != nil {
@@ -100,8 +98,8 @@
 	Msg  any
 }
 
-// Call sends msg and waits for the answer. See the package for what an error
-// proves.
+// Call sends msg and waits for the answer. The package documentation says what an
+// error proves.
 func (n *Node) Call(ctx context.Context, to string, msg any) (Answer, error) {
 	if err := ctx.Err(); err != nil {
 		return Answer{}, markNotSent(err)
@@ -116,16 +114,17 @@
 	}
 	select {
 	case r := <-c.done:
-		return r.answer, n.counted(r.err)
+		return r.answer, n.countUnanswered(r.err)
 	case <-ctx.Done():
 	}
 	c.remote.abandon(c, ctx.Err())
 	r := <-c.done
-	return r.answer, n.counted(r.err)
+	return r.answer, n.countUnanswered(r.err)
 }
 
-// counted counts a call's error when it leaves the outcome open.
-func (n *Node) counted(err error) error {
+// countUnanswered counts err if it leaves unknown whether a call was handled, and
+// returns it.
+func (n *Node) countUnanswered(err error) error {
 	var failed *FailedError
 	if err != nil && !Unhandled(err) && !errors.As(err, &failed) {
 		n.counters.unanswered.Inc(1)
@@ -133,7 +132,7 @@
 	return err
 }
 
-// encode builds msg's frame.
+// encode encodes a frame with msg as its body.
 func (n *Node) encode(e peer.Envelope, msg any) ([]byte, error) {
 	k, ok := n.cfg.Registry.KindOf(msg)
 	if !ok {
@@ -143,21 +142,21 @@
 	return peer.AppendFrame(nil, e, msg, n.cfg.MaxFrame)
 }
 
-// enqueue hands f to the remote of an address.
+// enqueue queues f at the remote of an address.
 func (n *Node) enqueue(to string, f frame) error {
 	for {
 		r, err := n.remote(to)
 		if err != nil {
 			return markNotSent(err)
 		}
-		// A remote that retired just now has left the table.
+		// A remote that has just retired is no longer in the table.
 		if ok, err := r.enqueue(f); ok || err != nil {
 			return err
 		}
 	}
 }
 
-// remote returns the remote of an address and makes it where there is none.
+// remote returns the remote of an address and creates it if there is none.
 func (n *Node) remote(to string) (*remote, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -174,8 +173,8 @@
 	return r, nil
 }
 
-// forget takes a retired remote out of the table.
-func (n *Node) forget(r *remote) {
+// removeRemote removes a retired remote from the table.
+func (n *Node) removeRemote(r *remote) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.remotes[r.address] == r {
--- a/transport/peer/node_test.go
+++ b/transport/peer/node_test.go
@@ -19,42 +19,42 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/peer"
 )
 
-type note struct {
+type testMessage struct {
 	N    int    `msgpack:"n"`
 	Text string `msgpack:"t,omitempty"`
 }
 
-type ask struct {
+type testCall struct {
 	N int `msgpack:"n"`
 }
 
-type told struct {
+type testAnswer struct {
 	N int `msgpack:"n"`
 }
 
 func registry() *protocol.Registry {
 	r := protocol.NewRegistry()
-	protocol.Register[note](r, 1)
-	protocol.Register[ask](r, 2)
-	protocol.Register[told](r, 3)
+	protocol.Register[testMessage](r, 1)
+	protocol.Register[testCall](r, 2)
+	protocol.Register[testAnswer](r, 3)
 	return r
 }
 
-// patience bounds the waits for conditions.
-const patience = 20 * time.Second
+// testTimeout bounds how long a spec waits for a condition.
+const testTimeout = 20 * time.Second
 
-// daemon is one node that records what it sees.
+// daemon is a Node that records what it receives and the errors that it reports.
 type daemon struct {
 	*peer.Node
 	address string
 	scope   tally.TestScope
 
-	mu       sync.Mutex
-	notes    []int
-	asked    []int
-	lost     []error
-	rejected []error
-	hold     chan struct{} // calls wait for it, where set
+	mu             sync.Mutex
+	messages       []int
+	callNumbers    []int
+	lostErrors     []error
+	rejectedErrors []error
+	release        chan struct{} // if set, calls block until it is closed
 }
 
 func start(id string, change func(*peer.Config)) *daemon {
@@ -63,9 +63,9 @@
 	cfg := peer.Config{
 		Self:             state.Member{ID: state.DaemonID(id), Incarnation: 1},
 		Registry:         registry(),
-		Handler:          peer.Handler{HandleMessage: d.received, HandleCall: d.called},
-		OnConnectionLost: func(_ string, err error) { d.note(func() { d.lost = append(d.lost, err) }) },
-		OnInboundError:   func(_ net.Addr, err error) { d.note(func() { d.rejected = append(d.rejected, err) }) },
+		Handler:          peer.Handler{HandleMessage: d.handleMessage, HandleCall: d.handleCall},
+		OnConnectionLost: func(_ string, err error) { d.locked(func() { d.lostErrors = append(d.lostErrors, err) }) },
+		OnInboundError:   func(_ net.Addr, err error) { d.locked(func() { d.rejectedErrors = append(d.rejectedErrors, err) }) },
 		Scope:            d.scope,
 	}
 	if change != nil {
@@ -79,23 +79,23 @@
 	return d
 }
 
-func (d *daemon) note(f func()) {
+func (d *daemon) locked(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f()
 }
 
-func (d *daemon) received(_ state.Member, msg any) {
-	d.note(func() { d.notes = append(d.notes, msg.(note).N) })
+func (d *daemon) handleMessage(_ state.Member, msg any) {
+	d.locked(func() { d.messages = append(d.messages, msg.(testMessage).N) })
 }
 
-func (d *daemon) called(ctx context.Context, _ state.Member, msg any) (any, error) {
-	n := msg.(ask).N
-	var hold chan struct{}
-	d.note(func() { d.asked = append(d.asked, n); hold = d.hold })
-	if hold != nil {
+func (d *daemon) handleCall(ctx context.Context, _ state.Member, msg any) (any, error) {
+	n := msg.(testCall).N
+	var release chan struct{}
+	d.locked(func() { d.callNumbers = append(d.callNumbers, n); release = d.release })
+	if release != nil {
 		select {
-		case <-hold:
+		case <-release:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -103,31 +103,31 @@
 	if n < 0 {
 		return nil, errors.New("negative")
 	}
-	return told{N: n}, nil
+	return testAnswer{N: n}, nil
 }
 
-func (d *daemon) seen() []int {
+func (d *daemon) receivedMessages() []int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]int{}, d.notes...)
+	return append([]int{}, d.messages...)
 }
 
-func (d *daemon) calls() []int {
+func (d *daemon) receivedCalls() []int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]int{}, d.asked...)
+	return append([]int{}, d.callNumbers...)
 }
 
-func (d *daemon) faults() []error {
+func (d *daemon) inboundErrors() []error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]error{}, d.rejected...)
+	return append([]error{}, d.rejectedErrors...)
 }
 
-func (d *daemon) losses() []error {
+func (d *daemon) lostConnections() []error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]error{}, d.lost...)
+	return append([]error{}, d.lostErrors...)
 }
 
 func (d *daemon) count(name string) int64 {
@@ -140,23 +140,23 @@
 	return sum
 }
 
-// outcome is what a call in the background came to.
+// outcome is the result of a call in the background.
 type outcome struct {
 	answer peer.Answer
 	err    error
 }
 
-func goCall(d *daemon, to string, n int) <-chan outcome {
+func startCall(d *daemon, to string, n int) <-chan outcome {
 	done := make(chan outcome, 1)
 	go func() {
-		a, err := d.Call(context.Background(), to, ask{N: n})
+		a, err := d.Call(context.Background(), to, testCall{N: n})
 		done <- outcome{a, err}
 	}()
 	return done
 }
 
-// quick makes silence show soon.
-func quick(c *peer.Config) {
+// shortTimeouts makes a Node detect unresponsive connections quickly.
+func shortTimeouts(c *peer.Config) {
 	c.ProbeAfter = 50 * time.Millisecond
 	c.ProgressTimeout = 400 * time.Millisecond
 	c.IdleProbeAfter = 100 * time.Millisecond
@@ -171,57 +171,57 @@
 }
 
 var _ = Describe("two daemons", func() {
-	It("exchange messages in order, and calls with their answers", func() {
+	It("deliver messages in order and answer calls", func() {
 		a, b := start("a", nil), start("b", nil)
 		want := make([]int, 500)
 		for i := range want {
 			want[i] = i
-			Expect(a.Send(b.address, note{N: i})).To(Succeed())
+			Expect(a.Send(b.address, testMessage{N: i})).To(Succeed())
 		}
-		Eventually(b.seen, patience).Should(Equal(want))
-		r, err := a.Call(context.Background(), b.address, ask{N: 7})
+		Eventually(b.receivedMessages, testTimeout).Should(Equal(want))
+		r, err := a.Call(context.Background(), b.address, testCall{N: 7})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(r).To(Equal(peer.Answer{From: state.Member{ID: "b", Incarnation: 1}, Msg: told{N: 7}}))
+		Expect(r).To(Equal(peer.Answer{From: state.Member{ID: "b", Incarnation: 1}, Msg: testAnswer{N: 7}}))
 		Expect(a.count("connections_opened")).To(BeEquivalentTo(1))
 	})
 
-	It("tell refusals, failures and ended contexts apart", func() {
+	It("distinguish refusals, failures and ended contexts", func() {
 		a, b := start("a", nil), start("b", func(c *peer.Config) { c.MaxCalls = 1 })
-		_, err := a.Call(context.Background(), b.address, ask{N: -1})
+		_, err := a.Call(context.Background(), b.address, testCall{N: -1})
 		var failed *peer.FailedError
 		Expect(errors.As(err, &failed)).To(BeTrue())
 		Expect(peer.Unhandled(err)).To(BeFalse())
 
-		b.note(func() { b.hold = make(chan struct{}) })
-		first := goCall(a, b.address, 1)
-		Eventually(b.calls, patience).Should(ContainElement(1))
-		_, err = a.Call(context.Background(), b.address, ask{N: 2})
+		b.locked(func() { b.release = make(chan struct{}) })
+		first := startCall(a, b.address, 1)
+		Eventually(b.receivedCalls, testTimeout).Should(ContainElement(1))
+		_, err = a.Call(context.Background(), b.address, testCall{N: 2})
 		var refused *peer.RefusedError
 		Expect(errors.As(err, &refused)).To(BeTrue())
 		Expect(peer.Unhandled(err)).To(BeTrue())
-		close(b.hold)
-		Eventually(first, patience).Should(Receive(Equal(outcome{peer.Answer{
-			From: state.Member{ID: "b", Incarnation: 1}, Msg: told{N: 1},
+		close(b.release)
+		Eventually(first, testTimeout).Should(Receive(Equal(outcome{peer.Answer{
+			From: state.Member{ID: "b", Incarnation: 1}, Msg: testAnswer{N: 1},
 		}, nil})))
 
-		b.note(func() { b.hold = make(chan struct{}) })
+		b.locked(func() { b.release = make(chan struct{}) })
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
-			Eventually(b.calls, patience).Should(ContainElement(3))
+			Eventually(b.receivedCalls, testTimeout).Should(ContainElement(3))
 			cancel()
 		}()
-		_, err = a.Call(ctx, b.address, ask{N: 3})
+		_, err = a.Call(ctx, b.address, testCall{N: 3})
 		Expect(err).To(MatchError(context.Canceled))
 		Expect(peer.NotSent(err)).To(BeFalse())
 	})
 
-	It("prove what was not sent to an address that does not answer", func() {
+	It("report messages to an unreachable address as not sent", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := l.Addr().String()
 		Expect(l.Close()).To(Succeed())
 		a := start("a", nil)
-		_, err = a.Call(context.Background(), address, ask{N: 1})
+		_, err = a.Call(context.Background(), address, testCall{N: 1})
 		Expect(err).To(MatchError(peer.ErrUnreachable))
 		Expect(peer.NotSent(err)).To(BeTrue())
 		_, err = a.Call(context.Background(), address, struct{}{})
@@ -229,115 +229,115 @@
 
 		b := start("b", nil)
 		a.Close()
-		Expect(a.Send(b.address, note{})).To(MatchError(peer.ErrNodeClosed))
+		Expect(a.Send(b.address, testMessage{})).To(MatchError(peer.ErrNodeClosed))
 	})
 
 	It("drop the oldest messages of a full queue", func() {
 		b := start("b", nil)
-		gate := make(chan struct{})
+		dialGate := make(chan struct{})
 		a := start("a", func(c *peer.Config) {
 			c.MaxQueuedMessages = 4
-			c.DialTimeout = patience
+			c.DialTimeout = testTimeout
 			c.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-				<-gate
+				<-dialGate
 				return new(net.Dialer).DialContext(ctx, "tcp", address)
 			}
 		})
-		call := goCall(a, b.address, 1)
+		call := startCall(a, b.address, 1)
 		Eventually(func() int64 { // until the call is the oldest in the queue
-			Expect(a.Send(b.address, note{N: 99})).To(Succeed())
+			Expect(a.Send(b.address, testMessage{N: 99})).To(Succeed())
 			return a.count("dropped")
-		}, patience).Should(BeNumerically(">", 0))
+		}, testTimeout).Should(BeNumerically(">", 0))
 		for i := range 10 {
-			Expect(a.Send(b.address, note{N: i})).To(Succeed())
+			Expect(a.Send(b.address, testMessage{N: i})).To(Succeed())
 		}
 		var o outcome
-		Eventually(call, patience).Should(Receive(&o))
+		Eventually(call, testTimeout).Should(Receive(&o))
 		Expect(o.err).To(MatchError(peer.ErrDropped))
 		Expect(peer.NotSent(o.err)).To(BeTrue())
-		close(gate)
-		Eventually(b.seen, patience).Should(Equal([]int{6, 7, 8, 9}))
-		Expect(b.calls()).To(BeEmpty())
+		close(dialGate)
+		Eventually(b.receivedMessages, testTimeout).Should(Equal([]int{6, 7, 8, 9}))
+		Expect(b.receivedCalls()).To(BeEmpty())
 	})
 })
 
-var _ = Describe("a silent connection", Label("failure:silent-connection"), func() {
-	// A slot request between two daemons gets no answer: something between them
-	// forgot their connection, and neither end is told. New connections work.
-	// The caller of the transport must learn of it within a bound, without a
-	// second run of the call; what was queued meanwhile must still go out.
-	It("ends its calls unanswered and is replaced by one that works", func() {
-		a, b := start("a", quick), start("b", nil)
+var _ = Describe("an unresponsive connection", Label("failure:silent-connection"), func() {
+	// A slot request between two daemons gets no answer because a middlebox dropped the
+	// state of their connection. Neither end is notified, and new connections work. The
+	// call must fail within a bounded time and must not run twice; messages queued
+	// meanwhile must still be sent.
+	It("fails its calls as unanswered and is replaced by one that works", func() {
+		a, b := start("a", shortTimeouts), start("b", nil)
 		p := proxy(b)
-		b.note(func() { b.hold = make(chan struct{}) })
-		first := goCall(a, p.Address(), 1)
-		Eventually(b.calls, patience).Should(Equal([]int{1}))
+		b.locked(func() { b.release = make(chan struct{}) })
+		first := startCall(a, p.Address(), 1)
+		Eventually(b.receivedCalls, testTimeout).Should(Equal([]int{1}))
 		p.SilenceConnections()
-		second := goCall(a, p.Address(), 2)
+		second := startCall(a, p.Address(), 2)
 
 		for _, c := range []<-chan outcome{first, second} {
 			var o outcome
-			Eventually(c, patience).Should(Receive(&o))
+			Eventually(c, testTimeout).Should(Receive(&o))
 			Expect(o.err).To(MatchError(peer.ErrUnresponsive))
 			Expect(peer.Unhandled(o.err)).To(BeFalse())
 		}
-		close(b.hold)
-		r, err := a.Call(context.Background(), p.Address(), ask{N: 3})
+		close(b.release)
+		r, err := a.Call(context.Background(), p.Address(), testCall{N: 3})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(r.Msg).To(Equal(told{N: 3}))
-		Expect(b.calls()).To(Equal([]int{1, 3}))
-		Expect(a.losses()).To(HaveLen(1))
-		Expect(a.losses()[0]).To(MatchError(peer.ErrUnresponsive))
-		Expect(a.losses()[0]).NotTo(MatchError(peer.ErrUnreachable))
+		Expect(r.Msg).To(Equal(testAnswer{N: 3}))
+		Expect(b.receivedCalls()).To(Equal([]int{1, 3}))
+		Expect(a.lostConnections()).To(HaveLen(1))
+		Expect(a.lostConnections()[0]).To(MatchError(peer.ErrUnresponsive))
+		Expect(a.lostConnections()[0]).NotTo(MatchError(peer.ErrUnreachable))
 		Expect(a.count("silent_connections")).To(BeEquivalentTo(1))
 	})
 
-	// Membership messages have no answer. If their connection is forgotten while
-	// idle, they would all vanish and a live daemon would be taken for dead.
-	It("is noticed while nothing is sent", func() {
-		a, b := start("a", quick), start("b", nil)
+	// Membership messages have no answer. If the state of an idle connection is dropped
+	// unnoticed, all of them are lost and a live daemon is considered dead.
+	It("is detected while nothing is sent", func() {
+		a, b := start("a", shortTimeouts), start("b", nil)
 		p := proxy(b)
-		Expect(a.Send(p.Address(), note{N: 1})).To(Succeed())
-		Eventually(b.seen, patience).Should(Equal([]int{1}))
+		Expect(a.Send(p.Address(), testMessage{N: 1})).To(Succeed())
+		Eventually(b.receivedMessages, testTimeout).Should(Equal([]int{1}))
 		p.SilenceConnections()
-		Eventually(a.losses, patience).Should(HaveLen(1))
-		Expect(a.Send(p.Address(), note{N: 2})).To(Succeed())
-		Eventually(b.seen, patience).Should(Equal([]int{1, 2}))
+		Eventually(a.lostConnections, testTimeout).Should(HaveLen(1))
+		Expect(a.Send(p.Address(), testMessage{N: 2})).To(Succeed())
+		Eventually(b.receivedMessages, testTimeout).Should(Equal([]int{1, 2}))
 	})
 
-	// An address whose every connection swallows bytes can't be reached. Calls
-	// must not wait for ever, nor may connections to it be made in a tight loop.
-	It("that never answered counts as an address out of reach", func() {
-		a, b := start("a", quick), start("b", nil)
+	// An address is unreachable if every connection to it drops all bytes. Calls must not
+	// wait forever, and connections to it must not be made in a tight loop.
+	It("that never answered makes its address unreachable", func() {
+		a, b := start("a", shortTimeouts), start("b", nil)
 		p := proxy(b)
 		p.Swallow(standin.ToClient, true)
-		_, err := a.Call(context.Background(), p.Address(), ask{N: 1})
+		_, err := a.Call(context.Background(), p.Address(), testCall{N: 1})
 		Expect(err).To(MatchError(peer.ErrUnresponsive))
 		Expect(err).To(MatchError(peer.ErrUnreachable))
 		Expect(peer.NotSent(err)).To(BeFalse())
 		p.Swallow(standin.ToClient, false)
 		Eventually(func() error {
-			_, err := a.Call(context.Background(), p.Address(), ask{N: 2})
+			_, err := a.Call(context.Background(), p.Address(), testCall{N: 2})
 			return err
-		}, patience).Should(Succeed())
+		}, testTimeout).Should(Succeed())
 	})
 
-	// The peer's process vanished with its instance: no end of the connection
-	// comes. The accepting side must not keep it for good.
-	It("from a vanished peer is closed by the accepting side", func() {
+	// The peer's process ends with its instance, and the connection is never closed by
+	// the peer. The accepting side must not keep it forever.
+	It("from a peer that disappeared is closed by the accepting side", func() {
 		b := start("b", func(c *peer.Config) { c.InboundIdleTimeout = 100 * time.Millisecond })
 		a := start("a", nil)
 		p := proxy(b)
-		Expect(a.Send(p.Address(), note{N: 1})).To(Succeed())
-		Eventually(b.seen, patience).Should(Equal([]int{1}))
+		Expect(a.Send(p.Address(), testMessage{N: 1})).To(Succeed())
+		Eventually(b.receivedMessages, testTimeout).Should(Equal([]int{1}))
 		p.SilenceConnections()
-		Eventually(b.faults, patience).Should(HaveLen(1))
+		Eventually(b.inboundErrors, testTimeout).Should(HaveLen(1))
 		Expect(b.count("inbound_slow")).To(BeEquivalentTo(1))
 	})
 })
 
-// raw connects to d and writes b.
-func raw(d *daemon, b ...[]byte) net.Conn {
+// rawConn connects to d and writes b.
+func rawConn(d *daemon, b ...[]byte) net.Conn {
 	GinkgoHelper()
 	conn, err := net.Dial("tcp", d.address)
 	Expect(err).NotTo(HaveOccurred())
@@ -349,16 +349,16 @@
 	return conn
 }
 
-// closed waits for the end of conn.
-func closed(conn net.Conn) {
+// expectClosed waits until the other side closes conn.
+func expectClosed(conn net.Conn) {
 	GinkgoHelper()
-	Expect(conn.SetReadDeadline(time.Now().Add(patience))).To(Succeed())
+	Expect(conn.SetReadDeadline(time.Now().Add(testTimeout))).To(Succeed())
 	_, err := io.Copy(io.Discard, conn)
 	var timeout net.Error
 	Expect(errors.As(err, &timeout) && timeout.Timeout()).To(BeFalse(), "connection is still open")
 }
 
-var hello = frame(protocol.Envelope{Role: protocol.RoleHello},
+var helloFrame = frame(protocol.Envelope{Role: protocol.RoleHello},
 	protocol.Hello{From: state.Member{ID: "x", Incarnation: 1}})
 
 func frame(e protocol.Envelope, body any) []byte {
@@ -369,63 +369,63 @@
 	return b
 }
 
-// A daemon of another version, a broken one, or something that is no daemon at
-// all connects and sends what can't be read. It must lose its connection and
-// nothing more; other daemons' connections go on.
-var _ = Describe("bad input from a peer", Label("failure:bad-frame"), func() {
+// A daemon of another version, a faulty one, or another kind of client connects and
+// sends bytes that can't be decoded. Only its own connection may be closed; those of
+// other daemons must keep working.
+var _ = Describe("invalid input from a peer", Label("failure:bad-frame"), func() {
 	DescribeTable("ends its connection with a typed error and a counter",
 		func(want protocol.Fault, parts ...[]byte) {
 			a, b := start("a", nil), start("b", nil)
-			Expect(a.Send(b.address, note{N: 1})).To(Succeed())
-			Eventually(b.seen, patience).Should(Equal([]int{1}))
-			closed(raw(b, parts...))
-			Eventually(b.faults, patience).Should(HaveLen(1))
-			f, ok := protocol.FaultOf(b.faults()[0])
+			Expect(a.Send(b.address, testMessage{N: 1})).To(Succeed())
+			Eventually(b.receivedMessages, testTimeout).Should(Equal([]int{1}))
+			expectClosed(rawConn(b, parts...))
+			Eventually(b.inboundErrors, testTimeout).Should(HaveLen(1))
+			f, ok := protocol.FaultOf(b.inboundErrors()[0])
 			Expect(ok).To(BeTrue())
 			Expect(f).To(Equal(want))
 			Expect(b.count("frame_faults")).To(BeEquivalentTo(1))
-			Expect(a.Send(b.address, note{N: 2})).To(Succeed())
-			Eventually(b.seen, patience).Should(Equal([]int{1, 2}))
+			Expect(a.Send(b.address, testMessage{N: 2})).To(Succeed())
+			Eventually(b.receivedMessages, testTimeout).Should(Equal([]int{1, 2}))
 			Expect(a.count("connections_opened")).To(BeEquivalentTo(1))
 		},
-		Entry("oversized", protocol.FaultOversized, hello, []byte{0xff, 0, 0, 0}),
+		Entry("oversized", protocol.FaultOversized, helloFrame, []byte{0xff, 0, 0, 0}),
 		Entry("HTTP", protocol.FaultOversized, []byte("GET / HTTP/1.1\r\n\r\n")),
 		Entry("wrong version", protocol.FaultVersion, []byte{0, 0, 0, 2, 9, 0xc0}),
-		Entry("bad msgpack", protocol.FaultMsgpack, hello, []byte{0, 0, 0, 3, 1, 0x95, 0xc1}),
-		Entry("no hello", protocol.FaultRole, frame(protocol.Envelope{Role: protocol.RoleSend, Kind: 1}, note{})),
-		Entry("an answer from the connecting side", protocol.FaultRole, hello,
-			frame(protocol.Envelope{Role: protocol.RoleAnswer, Kind: 1}, note{})),
-		Entry("unknown kind", protocol.FaultKind, hello, frame(protocol.Envelope{Role: protocol.RoleSend, Kind: 77}, note{})),
-		Entry("hello of no one", protocol.FaultMsgpack, frame(protocol.Envelope{Role: protocol.RoleHello}, nil)),
+		Entry("bad msgpack", protocol.FaultMsgpack, helloFrame, []byte{0, 0, 0, 3, 1, 0x95, 0xc1}),
+		Entry("no hello", protocol.FaultRole, frame(protocol.Envelope{Role: protocol.RoleSend, Kind: 1}, testMessage{})),
+		Entry("an answer from the connecting side", protocol.FaultRole, helloFrame,
+			frame(protocol.Envelope{Role: protocol.RoleAnswer, Kind: 1}, testMessage{})),
+		Entry("unknown kind", protocol.FaultKind, helloFrame, frame(protocol.Envelope{Role: protocol.RoleSend, Kind: 77}, testMessage{})),
+		Entry("hello without a sender", protocol.FaultMsgpack, frame(protocol.Envelope{Role: protocol.RoleHello}, nil)),
 	)
 
-	It("that comes too slowly, or not at all, ends its connection", func() {
+	It("that arrives too slowly, or not at all, ends its connection", func() {
 		b := start("b", func(c *peer.Config) {
 			c.FrameTimeout = 50 * time.Millisecond
 			c.HelloTimeout = 50 * time.Millisecond
 		})
-		closed(raw(b))
-		closed(raw(b, hello[:7]))
-		closed(raw(b, hello, hello[:7]))
-		Eventually(b.faults, patience).Should(HaveLen(3))
+		expectClosed(rawConn(b))
+		expectClosed(rawConn(b, helloFrame[:7]))
+		expectClosed(rawConn(b, helloFrame, helloFrame[:7]))
+		Eventually(b.inboundErrors, testTimeout).Should(HaveLen(3))
 		Expect(b.count("inbound_slow")).To(BeEquivalentTo(3))
 	})
 
-	It("in too many connections is refused", func() {
+	It("on a connection over the limit is refused", func() {
 		b := start("b", func(c *peer.Config) { c.MaxInbound = 1 })
 		a := start("a", nil)
-		_, err := a.Call(context.Background(), b.address, ask{N: 1})
+		_, err := a.Call(context.Background(), b.address, testCall{N: 1})
 		Expect(err).NotTo(HaveOccurred())
-		closed(raw(b, hello))
+		expectClosed(rawConn(b, helloFrame))
 		Expect(b.count("inbound_refused")).To(BeEquivalentTo(1))
-		_, err = a.Call(context.Background(), b.address, ask{N: 2})
+		_, err = a.Call(context.Background(), b.address, testCall{N: 2})
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("that asks and does not read loses its connection", func() {
+	It("without reading the answers ends its connection", func() {
 		b := start("b", func(c *peer.Config) { c.MaxQueuedBytes = 1 << 10 })
-		conn := raw(b, hello)
-		call := frame(protocol.Envelope{Role: protocol.RoleCall, Kind: 2, Call: 1}, ask{N: 1})
+		conn := rawConn(b, helloFrame)
+		call := frame(protocol.Envelope{Role: protocol.RoleCall, Kind: 2, Call: 1}, testCall{N: 1})
 		calls := bytes.Repeat(call, 100)
 		ended := make(chan error, 1)
 		go func() {
@@ -436,8 +436,8 @@
 				}
 			}
 		}()
-		Eventually(ended, patience).Should(Receive())
-		Eventually(b.faults, patience).Should(HaveLen(1))
+		Eventually(ended, testTimeout).Should(Receive())
+		Eventually(b.inboundErrors, testTimeout).Should(HaveLen(1))
 		Expect(b.count("inbound_slow")).To(BeEquivalentTo(1))
 	})
 })
--- a/transport/peer/queue.go
+++ b/transport/peer/queue.go
@@ -1,12 +1,13 @@
 package peer
 
-// frame is one encoded frame that waits to be sent.
+// frame is one encoded frame in a queue.
 type frame struct {
 	bytes []byte
 	call  *call // nil unless it is a call
 }
 
-// queue holds frames in order, bounded in number and bytes. It does not lock.
+// queue is a FIFO of frames, bounded in number and bytes. It is not safe for concurrent
+// use.
 type queue struct {
 	frames    []frame
 	head      int // index of the oldest
@@ -17,8 +18,8 @@
 
 func (q *queue) len() int { return len(q.frames) - q.head }
 
-// push adds f and returns the oldest frames that had to go for it. The newest
-// always stays: control messages supersede older ones.
+// push adds f and returns the oldest frames that were dropped to make room for it. The
+// newest is always kept, because control messages supersede older ones.
 func (q *queue) push(f frame) (dropped []frame) {
 	q.frames = append(q.frames, f)
 	q.size += len(f.bytes)
@@ -28,7 +29,7 @@
 	return dropped
 }
 
-// pop takes the oldest frame.
+// pop removes and returns the oldest frame.
 func (q *queue) pop() frame {
 	f := q.frames[q.head]
 	q.frames[q.head] = frame{}
@@ -37,7 +38,7 @@
 	switch {
 	case q.head == len(q.frames):
 		q.frames, q.head = q.frames[:0], 0
-	case q.head > len(q.frames)/2 && q.head > compactAt:
+	case q.head > len(q.frames)/2 && q.head > compactThreshold:
 		n := copy(q.frames, q.frames[q.head:])
 		clear(q.frames[n:])
 		q.frames, q.head = q.frames[:n], 0
@@ -45,10 +46,11 @@
 	return f
 }
 
-// compactAt is the number of taken places that are left before the rest moves.
-const compactAt = 64
+// compactThreshold is how many popped frames may precede the queued ones before these
+// are moved to the front of the slice.
+const compactThreshold = 64
 
-// drain takes all frames.
+// drain removes and returns all frames.
 func (q *queue) drain() []frame {
 	all := make([]frame, 0, q.len())
 	for q.len() > 0 {
@@ -57,7 +59,7 @@
 	return all
 }
 
-// remove takes the frame of c out, if it still waits.
+// remove removes the frame of c if it is still queued.
 func (q *queue) remove(c *call) {
 	for i := q.head; i < len(q.frames); i++ {
 		if q.frames[i].call != c {
--- a/transport/peer/remote.go
+++ b/transport/peer/remote.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// Bounds of the wait between two attempts to reach an address.
+// Bounds of the backoff between two attempts to reach an address.
 const (
 	firstBackoff = 50 * time.Millisecond
 	maxBackoff   = time.Second
 )
 
-// errDial marks a connection that was not made.
+// errDial marks errors of connections that could not be made.
 var errDial = errors.New("dial")
 
-// remote is one address that this daemon sends to: its queue, its outstanding
-// calls and the goroutine that keeps its connection.
+// remote is one address that this daemon sends to: its queue, its outstanding calls
+// and the goroutine that maintains its connection.
 type remote struct {
 	node    *Node
 	address string
-	wake    chan struct{} // holds one token while there may be work
+	wake    chan struct{} // has a buffer of one; holds a signal while there may be work
 
 	mu       sync.Mutex
 	queue    queue
 	calls    map[uint64]*call
 	retired  bool
-	failures int       // attempts in a row without an answering connection
-	retryAt  time.Time // until then messages fail at once with lastErr
+	failures int       // consecutive attempts without a connection that answers
+	retryAt  time.Time // messages fail at once with lastErr until then
 	lastErr  error
 }
 
@@ -45,15 +45,16 @@
 	}
 }
 
-// enqueue takes f. It is false when the remote retired; the error is NotSent.
+// enqueue queues f. It returns false without an error if the remote has retired. Its
+// error is marked as not sent.
 func (r *remote) enqueue(f frame) (bool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.retired {
 		return false, nil
 	}
-	// While the address can't be reached a message would only grow old here:
-	// whoever sends it knows better what to do instead.
+	// While the address is unreachable a queued message would only become stale. Its
+	// sender can choose an alternative if it fails at once.
 	if !r.retryAt.IsZero() && time.Now().Before(r.retryAt) {
 		r.node.counters.dropped.Inc(1)
 		return false, markNotSent(r.lastErr)
@@ -62,12 +63,12 @@
 		f.call.remote = r
 		r.calls[f.call.number] = f.call
 	}
-	r.drop(r.queue.push(f), ErrDropped)
+	r.dropFrames(r.queue.push(f), ErrDropped)
 	r.signal()
 	return true, nil
 }
 
-// signal gives the remote's goroutine another turn.
+// signal wakes the remote's goroutine.
 func (r *remote) signal() {
 	select {
 	case r.wake <- struct{}{}:
@@ -75,8 +76,8 @@
 	}
 }
 
-// drop ends frames that never left. r.mu is held.
-func (r *remote) drop(frames []frame, err error) {
+// dropFrames fails frames that were never sent. The caller holds r.mu.
+func (r *remote) dropFrames(frames []frame, err error) {
 	for _, f := range frames {
 		r.node.counters.dropped.Inc(1)
 		if f.call != nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// finish gives c its result, unless it has one. r.mu is held.
+// finish delivers the result of c, unless it has one already. The caller holds r.mu.
 func (r *remote) finish(c *call, res result) {
 	if r.calls[c.number] != c {
 		return
@@ -94,9 +95,9 @@
 	c.done <- res
 }
 
-// answered gives the call of a number its result. A number that is not known is
-// that of a call whose caller no longer waits.
-func (r *remote) answered(number uint64, res result) {
+// completeCall delivers the result of the call with the given number. An unknown
+// number belongs to a call whose caller no longer waits.
+func (r *remote) completeCall(number uint64, res result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c, ok := r.calls[number]; ok {
@@ -104,7 +105,8 @@
 	}
 }
 
-// abandon ends a call whose caller no longer waits.
+// abandon ends a call whose caller no longer waits and marks it as not sent if that is
+// certain.
 func (r *remote) abandon(c *call, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,9 +117,9 @@
 	r.finish(c, result{err: err})
 }
 
-// take appends queued frames to buf, up to about limit bytes, and counts them as
-// written: from here on it can't be told what of them left.
-func (r *remote) take(buf []byte, limit int) []byte {
+// takeFrames appends queued frames to buf until it holds limit bytes or more, and marks
+// their calls as written: from here on it is unknown which bytes were sent.
+func (r *remote) takeFrames(buf []byte, limit int) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.queue.len() > 0 && len(buf) < limit {
@@ -134,41 +136,42 @@
 	return buf
 }
 
-// owed reports whether calls wait for their answers.
-func (r *remote) owed() bool {
+// hasOutstandingCalls reports whether calls wait for their answers.
+func (r *remote) hasOutstandingCalls() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.calls) > 0
 }
 
-// run keeps the connection until the remote is unused for long or the Node
-// closes.
+// run maintains the connection until the remote has been unused for IdleTimeout or the
+// Node closes.
 func (r *remote) run() {
 	defer r.node.wg.Done()
-	defer r.node.forget(r)
-	for r.awaitWork() {
+	defer r.node.removeRemote(r)
+	for r.waitForWork() {
 		conn, err := r.dial()
 		if err != nil {
-			r.ended(false, fmt.Errorf("%w: %w: %w", ErrUnreachable, errDial, err))
+			r.connectionEnded(false, fmt.Errorf("%w: %w: %w", ErrUnreachable, errDial, err))
 			continue
 		}
 		s := newSession(r, conn)
 		err = s.run()
 		_ = conn.Close()
 		<-s.readDone
-		r.ended(s.answered.Load(), err)
+		r.connectionEnded(s.receivedAny.Load(), err)
 	}
 }
 
-// awaitWork waits for a message. It is false when the remote is to end.
-func (r *remote) awaitWork() bool {
+// waitForWork waits until a message is queued. It returns false once the remote has
+// retired.
+func (r *remote) waitForWork() bool {
 	idle := time.NewTimer(r.node.cfg.IdleTimeout)
 	defer idle.Stop()
 	for {
 		r.mu.Lock()
-		waiting := r.queue.len() > 0
+		queued := r.queue.len() > 0
 		r.mu.Unlock()
-		if waiting && r.node.ctx.Err() == nil {
+		if queued && r.node.ctx.Err() == nil {
 			return true
 		}
 		select {
@@ -185,8 +188,8 @@
 	}
 }
 
-// retire ends the remote for good. Without an error it is false while there is
-// work.
+// retire marks the remote as unusable and drops its queue. Without an error it does
+// nothing and returns false if messages are queued.
 func (r *remote) retire(err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -194,11 +197,11 @@
 		return false
 	}
 	r.retired = true
-	r.drop(r.queue.drain(), err)
+	r.dropFrames(r.queue.drain(), err)
 	return true
 }
 
-// dial makes a connection.
+// dial makes a connection that counts its bytes.
 func (r *remote) dial() (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(r.node.ctx, r.node.cfg.DialTimeout)
 	defer cancel()
@@ -210,17 +213,18 @@
 	return countedConn{Conn: conn, counters: r.node.counters}, nil
 }
 
-// ended settles what a connection, or the attempt to make one, leaves behind.
-// answered says that the peer sent something on it: the address works, and what
-// is queued goes out on the next connection at once.
-func (r *remote) ended(answered bool, err error) {
-	if errors.Is(err, errIdle) {
+// connectionEnded handles the end of a connection, or of an attempt to make one: it
+// fails the calls that were written. If the peer sent a frame on it (answered), the
+// address works and queued messages are sent on the next connection at once; else they
+// are dropped and the remote backs off.
+func (r *remote) connectionEnded(answered bool, err error) {
+	if errors.Is(err, errUnused) {
 		return
 	}
 	if !answered && !errors.Is(err, ErrUnreachable) {
-		err = fmt.Errorf("%w that answers: %w", ErrUnreachable, err)
+		err = fmt.Errorf("%w: no frame received: %w", ErrUnreachable, err)
 	}
-	r.report(err)
+	r.reportConnectionEnd(err)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.calls {
@@ -235,20 +239,20 @@
 	r.failures++
 	r.lastErr = err
 	r.retryAt = time.Now().Add(backoff(r.failures))
-	r.drop(r.queue.drain(), err)
+	r.dropFrames(r.queue.drain(), err)
 }
 
-// report tells the daemon and the counters how a connection ended.
-func (r *remote) report(err error) {
+// reportConnectionEnd counts the end of a connection and calls OnConnectionLost.
+func (r *remote) reportConnectionEnd(err error) {
 	if errors.Is(err, ErrNodeClosed) {
 		return
 	}
-	r.node.counters.fault(err)
+	r.node.counters.countFrameFault(err)
 	switch {
 	case errors.Is(err, errDial):
 		r.node.counters.dialFailures.Inc(1)
 	case errors.Is(err, ErrUnresponsive):
-		r.node.counters.silent.Inc(1)
+		r.node.counters.unresponsive.Inc(1)
 	default:
 		r.node.counters.lost.Inc(1)
 	}
@@ -257,8 +261,8 @@
 	}
 }
 
-// backoff is the wait after so many failures, with jitter so that daemons that
-// lost one peer do not come back to it together.
+// backoff returns the delay after a number of consecutive failures, with jitter so that
+// daemons that lost the same peer do not reconnect to it at the same time.
 func backoff(failures int) time.Duration {
 	d := maxBackoff
 	if shift := failures - 1; shift < 5 {
--- a/transport/peer/session.go
+++ b/transport/peer/session.go
@@ -10,39 +10,40 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// batchBytes is how much is taken from the queue for one write.
+// batchBytes bounds what is taken from the queue for one write, up to the end of its
+// last frame, and what is passed to one Write call.
 const batchBytes = 64 << 10
 
-// session is one connection to a remote. Its fields belong to the remote's
-// goroutine but for those that the reading goroutine sets.
+// session is one connection to a remote. Its fields are owned by the remote's
+// goroutine, except for those that readLoop sets.
 type session struct {
-	remote *remote
-	node   *Node
-	conn   net.Conn
-	buf    []byte
-	watch  watch
-
-	heard    atomic.Int64 // when a frame last came, in nanoseconds after began
-	answered atomic.Bool  // a frame came at all
-	began    time.Time
-	readErr  chan error
-	readDone chan struct{}
+	remote  *remote
+	node    *Node
+	conn    net.Conn
+	buf     []byte
+	monitor livenessMonitor
+
+	lastReceived atomic.Int64 // when a frame was last received, in nanoseconds after startTime
+	receivedAny  atomic.Bool  // at least one frame was received
+	startTime    time.Time
+	readErr      chan error
+	readDone     chan struct{}
 }
 
 func newSession(r *remote, conn net.Conn) *session {
 	now := time.Now()
 	return &session{
 		remote: r, node: r.node, conn: conn,
-		watch: newWatch(&r.node.cfg, now), began: now,
+		monitor: newLivenessMonitor(&r.node.cfg, now), startTime: now,
 		readErr:  make(chan error, 1),
 		readDone: make(chan struct{}),
 	}
 }
 
-// run writes what is queued, until the connection fails, falls silent or is
-// unused.
+// run writes queued frames until the connection fails, is unresponsive or has been
+// unused for IdleTimeout.
 func (s *session) run() error {
-	go s.read()
+	go s.readLoop()
 	hello, err := peer.AppendFrame(nil, peer.Envelope{Role: peer.RoleHello},
 		peer.Hello{From: s.node.cfg.Self}, s.node.cfg.MaxFrame)
 	if err != nil {
@@ -57,7 +58,7 @@
 		if err := s.flush(); err != nil {
 			return err
 		}
-		wait, err := s.look()
+		wait, err := s.checkLiveness()
 		if err != nil {
 			return err
 		}
@@ -73,22 +74,22 @@
 	}
 }
 
-// flush writes a part of what is queued, and asks for another turn where it was
-// not all: the watch has its look in between.
+// flush writes one batch of queued frames. If more are queued, takeFrames has signaled
+// the remote, so that run checks liveness before the next batch.
 func (s *session) flush() error {
 	if cap(s.buf) > 2*batchBytes {
 		s.buf = nil
 	}
-	s.buf = s.remote.take(s.buf[:0], batchBytes)
+	s.buf = s.remote.takeFrames(s.buf[:0], batchBytes)
 	if len(s.buf) == 0 {
 		return nil
 	}
-	s.watch.wrote(time.Now(), s.heardAt())
+	s.monitor.recordWrite(time.Now(), s.lastReceivedAt())
 	return s.write(s.buf)
 }
 
-// write sends b. A degraded link may take long over it as long as bytes move;
-// none within SilentAfter is a silent connection whose buffer is full.
+// write sends b. A degraded link may take long as long as bytes move; if none is
+// written within ProgressTimeout, the connection is unresponsive and its buffer full.
 func (s *session) write(b []byte) error {
 	err := writeAll(s.conn, b, s.node.cfg.ProgressTimeout)
 	if err == nil {
@@ -97,15 +98,15 @@
 	return fmt.Errorf("%w: %w", ErrClosed, err)
 }
 
-// heardAt is when a frame last came, or the session began.
-func (s *session) heardAt() time.Time {
-	return s.began.Add(time.Duration(s.heard.Load()))
+// lastReceivedAt returns when a frame was last received, or else the session's start.
+func (s *session) lastReceivedAt() time.Time {
+	return s.startTime.Add(time.Duration(s.lastReceived.Load()))
 }
 
-// look sends a heartbeat when one is due and returns how long to wait before the
-// next look, or the error that ends the connection.
-func (s *session) look() (time.Duration, error) {
-	probe, wait, err := s.watch.look(time.Now(), s.heardAt(), s.remote.owed())
+// checkLiveness sends a heartbeat if one is due. It returns the time until the next
+// check, or the error that ends the connection.
+func (s *session) checkLiveness() (time.Duration, error) {
+	probe, wait, err := s.monitor.check(time.Now(), s.lastReceivedAt(), s.remote.hasOutstandingCalls())
 	if err != nil || !probe {
 		return wait, err
 	}
@@ -113,13 +114,14 @@
 	return wait, s.write(heartbeat)
 }
 
-// read takes frames until the connection ends.
-func (s *session) read() {
+// readLoop handles frames until the connection ends and reports its error.
+func (s *session) readLoop() {
 	defer close(s.readDone)
-	s.readErr <- s.readAll()
+	s.readErr <- s.readFrames()
 }
 
-func (s *session) readAll() error {
+// readFrames handles frames until one fails.
+func (s *session) readFrames() error {
 	r := peer.NewReader(s.conn, s.node.cfg.MaxFrame)
 	var from state.Member
 	for {
@@ -132,16 +134,16 @@
 				return fmt.Errorf("%w: %w", ErrClosed, err)
 			}
 		}
-		s.heard.Store(int64(time.Since(s.began)))
-		s.answered.Store(true)
-		if err := s.frame(from, e); err != nil {
+		s.lastReceived.Store(int64(time.Since(s.startTime)))
+		s.receivedAny.Store(true)
+		if err := s.handleFrame(from, e); err != nil {
 			return fmt.Errorf("%w: %w", ErrClosed, err)
 		}
 	}
 }
 
-// frame takes one frame of the peer.
-func (s *session) frame(from state.Member, e peer.Envelope) error {
+// handleFrame handles one frame of the peer.
+func (s *session) handleFrame(from state.Member, e peer.Envelope) error {
 	switch e.Role {
 	case peer.RoleHello, peer.RoleHeartbeatAck:
 		return nil
@@ -151,33 +153,34 @@
 		if err != nil {
 			return err
 		}
-		s.remote.answered(e.Call, result{answer: Answer{From: from, Msg: msg}})
+		s.remote.completeCall(e.Call, result{answer: Answer{From: from, Msg: msg}})
 		return nil
 	case peer.RoleRefusal, peer.RoleFailure, peer.RoleBye:
-		return s.refusal(e)
+		return s.handleRefusal(e)
 	default:
 		return peer.NewFrameError(peer.FaultRole, fmt.Sprintf("role %d from the accepting side", e.Role))
 	}
 }
 
-// refusal takes a frame that says why something was not done.
-func (s *session) refusal(e peer.Envelope) error {
+// handleRefusal handles a refusal, a failure or the end of the connection, each of
+// which has a reason.
+func (s *session) handleRefusal(e peer.Envelope) error {
 	var r peer.Refusal
 	if err := peer.DecodeBody(e.Body, &r); err != nil {
 		return err
 	}
 	switch e.Role {
 	case peer.RoleRefusal:
-		s.remote.answered(e.Call, result{err: &RefusedError{Detail: r.Detail}})
+		s.remote.completeCall(e.Call, result{err: &RefusedError{Detail: r.Detail}})
 	case peer.RoleFailure:
-		s.remote.answered(e.Call, result{err: &FailedError{Detail: r.Detail}})
+		s.remote.completeCall(e.Call, result{err: &FailedError{Detail: r.Detail}})
 	default:
-		return fmt.Errorf("peer said: %s", r.Detail)
+		return fmt.Errorf("peer closed the connection: %s", r.Detail)
 	}
 	return nil
 }
 
-// decodeHello reads a hello's body.
+// decodeHello decodes a hello frame and returns its sender.
 func decodeHello(e peer.Envelope) (state.Member, error) {
 	var h peer.Hello
 	if err := peer.DecodeBody(e.Body, &h); err != nil {
--- a/transport/peer/watch.go
+++ b/transport/peer/watch.go
@@ -5,90 +5,93 @@
 	"time"
 )
 
-// errIdle ends a connection that was unused for IdleClose; nothing is owed on it.
-var errIdle = errors.New("connection was unused")
+// errUnused ends a connection that was unused for IdleTimeout, with no call
+// outstanding.
+var errUnused = errors.New("connection was unused")
 
-// watch tells a connection that is silent from one that is quiet. It has no
-// clock: times come in, the end, the need of a heartbeat and the next time to
-// look go out.
-type watch struct {
-	probeAfter, silentAfter, idleProbe, idleClose time.Duration
+// livenessMonitor distinguishes an unresponsive connection from an idle one. It has no
+// clock or timer of its own: it is given the current time, and returns when to send a
+// heartbeat, when to close the connection and when to call it again.
+type livenessMonitor struct {
+	probeAfter, progressTimeout, idleProbeAfter, idleTimeout time.Duration
 
-	used      time.Time // a message was last written
-	busySince time.Time // the first message was written after the last frame came
-	probed    time.Time // the last heartbeat was written
-	due       time.Time // when the next look was planned
-	onTime    int       // looks in a row since the heartbeat's answer is overdue
+	lastWrite    time.Time // when a message was last written
+	busySince    time.Time // when the first message after the last received frame was written
+	lastProbe    time.Time // when the last heartbeat was written
+	nextCheck    time.Time // when the next check is due
+	onTimeChecks int       // consecutive on-time checks since the heartbeat's answer is overdue
 }
 
-// A heartbeat's answer is overdue after three quarters of silentAfter. The last
-// quarter is spent on overdueLooks looks, all of which have to come on time.
-const overdueLooks = 3
+// overdueChecks is how many consecutive checks must run on time before a connection
+// counts as unresponsive. A heartbeat's answer is overdue after three quarters of
+// progressTimeout; the checks are spread over the last quarter.
+const overdueChecks = 3
 
-// overdueStep is the time between two of them.
-func (w *watch) overdueStep() time.Duration {
-	return w.silentAfter / 4 / overdueLooks
+// overdueInterval is the time between two of these checks.
+func (m *livenessMonitor) overdueInterval() time.Duration {
+	return m.progressTimeout / 4 / overdueChecks
 }
 
-func newWatch(cfg *Config, now time.Time) watch {
-	return watch{
-		probeAfter: cfg.ProbeAfter, silentAfter: cfg.ProgressTimeout,
-		idleProbe: cfg.IdleProbeAfter, idleClose: cfg.IdleTimeout,
-		used: now, busySince: now, probed: now, due: now,
+func newLivenessMonitor(cfg *Config, now time.Time) livenessMonitor {
+	return livenessMonitor{
+		probeAfter: cfg.ProbeAfter, progressTimeout: cfg.ProgressTimeout,
+		idleProbeAfter: cfg.IdleProbeAfter, idleTimeout: cfg.IdleTimeout,
+		lastWrite: now, busySince: now, lastProbe: now, nextCheck: now,
 	}
 }
 
-// wrote notes that messages are written; heard is when a frame last came.
-func (w *watch) wrote(now, heard time.Time) {
-	if !w.used.After(heard) {
-		w.busySince = now
+// recordWrite records that messages are written. lastReceived is when a frame was last
+// received.
+func (m *livenessMonitor) recordWrite(now, lastReceived time.Time) {
+	if !m.lastWrite.After(lastReceived) {
+		m.busySince = now
 	}
-	w.used = now
+	m.lastWrite = now
 }
 
-// look decides. owed says that calls wait for answers. A non-nil error ends the
-// connection; else a heartbeat is to be written if probe, and look is to be
-// called again after wait.
-func (w *watch) look(now, heard time.Time, owed bool) (probe bool, wait time.Duration, err error) {
-	if w.probed.After(heard) {
-		wait, err = w.overdue(now)
+// check decides what to do with the connection; pending says that calls wait for
+// answers. A non-nil error ends the connection. Otherwise the caller has to write a
+// heartbeat if probe is set, and call check again after wait.
+func (m *livenessMonitor) check(now, lastReceived time.Time, pending bool) (probe bool, wait time.Duration, err error) {
+	if m.lastProbe.After(lastReceived) {
+		wait, err = m.checkOverdue(now)
 		return false, wait, err
 	}
-	busy := owed || w.used.After(heard)
-	if !busy && now.Sub(w.used) >= w.idleClose {
-		return false, 0, errIdle
+	busy := pending || m.lastWrite.After(lastReceived)
+	if !busy && now.Sub(m.lastWrite) >= m.idleTimeout {
+		return false, 0, errUnused
 	}
-	w.due = heard.Add(w.idleProbe)
+	m.nextCheck = lastReceived.Add(m.idleProbeAfter)
 	if busy {
-		w.due = later(heard, w.busySince).Add(w.probeAfter)
+		m.nextCheck = later(lastReceived, m.busySince).Add(m.probeAfter)
 	}
-	if now.Before(w.due) {
-		return false, w.due.Sub(now), nil
+	if now.Before(m.nextCheck) {
+		return false, m.nextCheck.Sub(now), nil
 	}
-	w.probed = now
-	w.onTime = 0
-	w.due = now.Add(w.silentAfter * 3 / 4)
-	return true, w.due.Sub(now), nil
+	m.lastProbe = now
+	m.onTimeChecks = 0
+	m.nextCheck = now.Add(m.progressTimeout * 3 / 4)
+	return true, m.nextCheck.Sub(now), nil
 }
 
-// overdue waits for a heartbeat's answer. That its time has passed is not enough:
-// this process itself may have stood still, and the answer lie unread in the
-// kernel. A daemon that was paused would give up every connection when it wakes,
-// and every call on them would be unanswered. So the last looks have to come on
-// time, one after the other: then the process ran, and would have read it.
-func (w *watch) overdue(now time.Time) (time.Duration, error) {
-	if now.Before(w.due) {
-		return w.due.Sub(now), nil
+// checkOverdue decides whether a heartbeat's answer is missing. An expired timeout is
+// not enough: this process itself may have been paused, with the answer unread in the
+// kernel. A daemon that resumes after a pause would close all its connections, and
+// every call on them would be unanswered. So the last checks must all run on time: then
+// the process was running and would have read the answer.
+func (m *livenessMonitor) checkOverdue(now time.Time) (time.Duration, error) {
+	if now.Before(m.nextCheck) {
+		return m.nextCheck.Sub(now), nil
 	}
-	switch late := now.Sub(w.due) > w.overdueStep(); {
+	switch late := now.Sub(m.nextCheck) > m.overdueInterval(); {
 	case late:
-		w.onTime = 0
-	case w.onTime == overdueLooks:
+		m.onTimeChecks = 0
+	case m.onTimeChecks == overdueChecks:
 		return 0, ErrUnresponsive
 	}
-	w.onTime++
-	w.due = now.Add(w.overdueStep())
-	return w.overdueStep(), nil
+	m.onTimeChecks++
+	m.nextCheck = now.Add(m.overdueInterval())
+	return m.overdueInterval(), nil
 }
 
 func later(a, b time.Time) time.Time {
--- a/transport/peer/wire.go
+++ b/transport/peer/wire.go
@@ -9,25 +9,25 @@
 	"github.com/hibiscuswick/hibiscuswick/protocol/peer"
 )
 
-// heartbeat and heartbeatAck are the frames without content.
+// Frames without a body.
 var (
-	heartbeat    = plainFrame(peer.RoleHeartbeat)
-	heartbeatAck = plainFrame(peer.RoleHeartbeatAck)
+	heartbeat    = emptyFrame(peer.RoleHeartbeat)
+	heartbeatAck = emptyFrame(peer.RoleHeartbeatAck)
 )
 
-// plainFrame builds a frame of a role alone.
-func plainFrame(role peer.Role) []byte {
+// emptyFrame encodes a frame without a body.
+func emptyFrame(role peer.Role) []byte {
 	b, err := peer.AppendFrame(nil, peer.Envelope{Role: role}, nil, peer.MaxFrame)
 	if err != nil {
-		panic("peer: a frame without content can't be built: " + err.Error())
+		panic("peer: can't encode a frame without a body: " + err.Error())
 	}
 	return b
 }
 
-// writeAll writes b and gives up with ErrSilent when no byte moves for patience.
-func writeAll(conn net.Conn, b []byte, patience time.Duration) error {
+// writeAll writes b. It fails with ErrUnresponsive if no byte is written for timeout.
+func writeAll(conn net.Conn, b []byte, timeout time.Duration) error {
 	for len(b) > 0 {
-		if err := conn.SetWriteDeadline(time.Now().Add(patience)); err != nil {
+		if err := conn.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 			return err
 		}
 		n, err := conn.Write(b[:min(len(b), batchBytes)])
