--- a/transport/front/bench_test.go
+++ b/transport/front/bench_test.go
@@ -13,55 +13,55 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/front"
 )
 
-// endless gives n tokens at once, then the end.
-type endless struct{ next, n int }
+// tokenStream yields n tokens without delay, then the end.
+type tokenStream struct{ next, n int }
 
-func (e *endless) ID() state.RequestID { return "r1" }
-func (e *endless) Close()              {}
+func (s *tokenStream) ID() state.RequestID { return "r1" }
+func (s *tokenStream) Close()              {}
 
-func (e *endless) Next(context.Context) (caller.Item, error) {
-	if e.next == e.n {
-		return caller.Item{Outcome: state.Completed{Tokens: e.n}}, nil
+func (s *tokenStream) Next(context.Context) (caller.Item, error) {
+	if s.next == s.n {
+		return caller.Item{Outcome: state.Completed{Tokens: s.n}}, nil
 	}
-	t := &caller.Token{Index: e.next, Value: 31337, Text: " delivered"}
-	e.next++
+	t := &caller.Token{Index: s.next, Value: 31337, Text: " delivered"}
+	s.next++
 	return caller.Item{Token: t}, nil
 }
 
-// benchDaemon answers every request with an endless stream.
+// benchDaemon answers every request with a stream of tokens.
 type benchDaemon struct {
 	*fakeDaemon
 	tokens int
 }
 
 func (d benchDaemon) Submit(context.Context, caller.Submission) (caller.Stream, state.Outcome) {
-	return &endless{n: d.tokens}, nil
+	return &tokenStream{n: d.tokens}, nil
 }
 
-// discard is a connection that costs nothing.
-type discard struct{ header http.Header }
+// discardWriter is a response writer that discards its output.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.header }
-func (d discard) Write(b []byte) (int, error) { return len(b), nil }
-func (d discard) WriteHeader(int)             {}
-func (d discard) Flush()                      {}
+func (d discardWriter) Header() http.Header         { return d.header }
+func (d discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (d discardWriter) WriteHeader(int)             {}
+func (d discardWriter) Flush()                      {}
 
 func post(url string) *http.Request {
-	r := httptest.NewRequest("POST", url+"/v1/requests", strings.NewReader(goodBody))
+	r := httptest.NewRequest("POST", url+"/v1/requests", strings.NewReader(validBody))
 	r.RequestURI = ""
 	return r
 }
 
-// BenchmarkTokenEncode is the front's own work for a token, without a socket.
+// BenchmarkTokenEncode measures the front's own work per token, without a socket.
 func BenchmarkTokenEncode(b *testing.B) {
 	h := front.New(benchDaemon{newFakeDaemon(), b.N}, front.Options{})
 	b.ReportAllocs()
-	h.ServeHTTP(discard{http.Header{}}, post("http://x"))
+	h.ServeHTTP(discardWriter{http.Header{}}, post("http://x"))
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "tokens/s")
 }
 
-// BenchmarkTokenLoopback is a token over a real connection, each flushed alone,
-// with the reading caller in the same process.
+// BenchmarkTokenLoopback measures tokens over a loopback connection, each flushed
+// separately, with the reading caller in the same process.
 func BenchmarkTokenLoopback(b *testing.B) {
 	s := httptest.NewServer(front.New(benchDaemon{newFakeDaemon(), b.N}, front.Options{}))
 	defer s.Close()
--- a/transport/front/counters.go
+++ b/transport/front/counters.go
@@ -2,18 +2,18 @@
 
 import "github.com/uber-go/tally/v4"
 
-// counters are the front's own; refusals that the daemon decides on are counted
-// there, by reason.
+// counters are the front's metrics. Refusals by the daemon are counted by the daemon,
+// by reason.
 type counters struct {
-	refused    tally.Counter // refused here: malformed or over a bound
+	refused    tally.Counter // refused by the front: malformed or over a limit
 	viewsOpen  tally.Gauge
-	viewsSlow  tally.Counter // ended since the caller did not take an event in time
-	viewsGone  tally.Counter // ended since the caller closed its connection
+	viewsSlow  tally.Counter // ended because the caller did not accept an event in time
+	viewsGone  tally.Counter // ended because the caller closed its connection
 	tokens     tally.Counter
 	keepAlives tally.Counter
 }
 
-// newCounters names the counters within s.
+// newCounters creates the counters in s.
 func newCounters(s tally.Scope) counters {
 	return counters{
 		refused:    s.Counter("front_refused"),
--- a/transport/front/fake_test.go
+++ b/transport/front/fake_test.go
@@ -10,21 +10,21 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// answer is one request's tokens, which a test feeds.
-type answer struct {
+// scriptedAnswer is the answer to one request, whose tokens and outcome a test adds.
+type scriptedAnswer struct {
 	mu      sync.Mutex
 	id      state.RequestID
 	tokens  []caller.Token
 	outcome state.Outcome
 	change  chan struct{} // closed and replaced at each change
-	views   int
+	views   int           // open views
 }
 
-func newAnswer(id state.RequestID) *answer {
-	return &answer{id: id, change: make(chan struct{})}
+func newScriptedAnswer(id state.RequestID) *scriptedAnswer {
+	return &scriptedAnswer{id: id, change: make(chan struct{})}
 }
 
-func (a *answer) update(f func()) {
+func (a *scriptedAnswer) update(f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	f()
@@ -32,7 +32,7 @@
 	a.change = make(chan struct{})
 }
 
-func (a *answer) add(texts ...string) {
+func (a *scriptedAnswer) add(texts ...string) {
 	a.update(func() {
 		for _, t := range texts {
 			n := len(a.tokens)
@@ -41,23 +41,23 @@
 	})
 }
 
-func (a *answer) end(o state.Outcome) {
+func (a *scriptedAnswer) end(o state.Outcome) {
 	a.update(func() { a.outcome = o })
 }
 
-func (a *answer) open() int {
+func (a *scriptedAnswer) openViews() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.views
 }
 
-func (a *answer) view(after int) caller.Stream {
+func (a *scriptedAnswer) view(after int) caller.Stream {
 	a.update(func() { a.views++ })
 	return &fakeView{answer: a, next: after + 1}
 }
 
 type fakeView struct {
-	answer *answer
+	answer *scriptedAnswer
 	next   int
 }
 
@@ -88,25 +88,25 @@
 	}
 }
 
-// fakeDaemon answers by what a test put into it.
+// fakeDaemon is a caller.Daemon whose answers a test sets.
 type fakeDaemon struct {
 	mu        sync.Mutex
-	answers   map[state.RequestID]*answer
+	answers   map[state.RequestID]*scriptedAnswer
 	submitted []caller.Submission
 	edits     []caller.Edit
 	drained   int
 
-	next    *answer       // what the next Submit gives
-	refusal state.Outcome // or that
-	edit    caller.EditResult
+	next    *scriptedAnswer   // returned by the next Submit
+	refusal state.Outcome     // returned by Submit instead, if set
+	edit    caller.EditResult // returned by Apply
 }
 
 func newFakeDaemon() *fakeDaemon {
-	return &fakeDaemon{answers: make(map[state.RequestID]*answer)}
+	return &fakeDaemon{answers: make(map[state.RequestID]*scriptedAnswer)}
 }
 
-func (d *fakeDaemon) script(id state.RequestID) *answer {
-	a := newAnswer(id)
+func (d *fakeDaemon) script(id state.RequestID) *scriptedAnswer {
+	a := newScriptedAnswer(id)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.answers[id] = a
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -1,12 +1,11 @@
 // Package front serves callers and operators over HTTP: addresses, requests and
-// their answers as server-sent events, service documents, the daemon's own
-// state. It decides nothing; it maps a caller.Daemon onto HTTP and bounds what
-// one connection can cost.
+// their answers as server-sent events, service documents and the daemon's own
+// state. It makes no decisions of its own; it maps a caller.Daemon to HTTP and bounds
+// the resources that one connection can use.
 //
-// A caller that goes away, or that reads too slowly, ends its own view of an
-// answer and never the request behind it: another connection, at any daemon,
-// takes the answer up from the last index that the caller has. Only DELETE ends
-// a request.
+// A caller that disconnects or reads too slowly ends its own view of an answer, but
+// not the request: another connection, to any daemon, can resume the answer after the
+// last token index that the caller has. Only DELETE ends a request.
 package front
 
 import (
@@ -34,21 +33,21 @@
 	maxHeader = 32 << 10 // bytes
 )
 
-// Options bounds what callers can cost. The zero value takes the defaults.
+// Options bounds the resources that callers can use. Zero fields take the defaults.
 type Options struct {
 	MaxBody       int64         // longest request body in bytes
-	MaxStreams    int           // requests and views at one time
-	HeaderTimeout time.Duration // a header has to arrive within it
-	BodyTimeout   time.Duration // a body has to arrive within it
+	MaxStreams    int           // concurrent streams of requests and of attached views
+	HeaderTimeout time.Duration // a header must arrive within it
+	BodyTimeout   time.Duration // a body must arrive within it
 	IdleTimeout   time.Duration // a connection between two requests is closed after it
-	WriteTimeout  time.Duration // a caller has to take each event within it
-	KeepAlive     time.Duration // longest silence of an open stream
+	WriteTimeout  time.Duration // a caller must accept each event within it
+	KeepAlive     time.Duration // an open stream without events carries a comment at this interval
 
-	Metrics http.Handler // serves GET /metrics; nil leaves it out
-	Scope   tally.Scope  // the front's own counters; nil drops them
+	Metrics http.Handler // serves GET /metrics; nil disables the path
+	Scope   tally.Scope  // of the front's own counters; nil disables them
 }
 
-// withDefaults fills in what o leaves open.
+// withDefaults replaces zero fields by their defaults.
 func (o Options) withDefaults() Options {
 	if o.MaxBody == 0 {
 		o.MaxBody = DefaultMaxBody
@@ -82,7 +81,7 @@
 	daemon  caller.Daemon
 	opts    Options
 	metrics counters
-	slots   chan struct{} // one for each open stream
+	slots   chan struct{} // semaphore for open streams
 }
 
 // New returns the handler of one daemon's HTTP address.
@@ -102,11 +101,11 @@
 	if opts.Metrics != nil {
 		mux.Handle("GET /metrics", opts.Metrics)
 	}
-	return f.bound(mux)
+	return f.withWriteDeadline(mux)
 }
 
-// NewServer returns a server of h with the bounds of opts on connections: one on
-// which nothing comes, or half a header, does not stay.
+// NewServer returns a server of h with the timeouts of opts, which close connections
+// that are idle or send an incomplete header.
 func NewServer(h http.Handler, opts Options) *http.Server {
 	opts = opts.withDefaults()
 	return &http.Server{
@@ -117,9 +116,9 @@
 	}
 }
 
-// apiConfig describes the interface without huma's schema links, which would
-// add a field to each answer, and without its documentation page, which loads
-// scripts of third parties.
+// apiConfig returns huma's configuration without its schema links, which would add a
+// field to each answer, and without its documentation page, which loads third-party
+// scripts.
 func apiConfig() huma.Config {
 	c := huma.DefaultConfig("hibiscuswick", "1")
 	c.CreateHooks = nil
@@ -129,8 +128,8 @@
 	return c
 }
 
-// exchange is one request and its answer, for handlers that need more of it than
-// huma shows them.
+// exchange is one HTTP request and its response, for handlers that need more than
+// huma's context offers.
 type exchange struct {
 	w       http.ResponseWriter
 	rc      *http.ResponseController
@@ -140,24 +139,25 @@
 // exchangeKey is the context key of an *exchange.
 type exchangeKey struct{}
 
-// bound gives each exchange a write deadline from its start, and hands it to the
-// handlers that need longer.
-func (f *front) bound(next http.Handler) http.Handler {
+// withWriteDeadline sets a write deadline at the start of each exchange, and passes the
+// exchange in the context to handlers that extend it.
+func (f *front) withWriteDeadline(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ex := &exchange{w: w, rc: http.NewResponseController(w), refused: f.metrics.refused}
-		f.extend(ex)
+		f.extendWriteDeadline(ex)
 		ctx := context.WithValue(r.Context(), exchangeKey{}, ex)
 		next.ServeHTTP(w, r.WithContext(ctx))
 	})
 }
 
-// extend moves the write deadline of a connection. A writer without deadlines,
-// as in a test without sockets, is left as it is.
-func (f *front) extend(ex *exchange) {
+// extendWriteDeadline moves the write deadline of a connection to WriteTimeout from
+// now. A writer that does not support deadlines, as in a test without sockets, is left
+// as it is.
+func (f *front) extendWriteDeadline(ex *exchange) {
 	_ = ex.rc.SetWriteDeadline(time.Now().Add(f.opts.WriteTimeout))
 }
 
-// exchangeOf returns the exchange that bound put into ctx.
+// exchangeOf returns the exchange that withWriteDeadline put into ctx.
 func exchangeOf(ctx context.Context) *exchange {
 	return ctx.Value(exchangeKey{}).(*exchange)
 }
--- a/transport/front/front_test.go
+++ b/transport/front/front_test.go
@@ -15,9 +15,9 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/front"
 )
 
-const goodBody = `{"service":"notes","customer":"kochi","class":"check","prompt":"p"}`
+const validBody = `{"service":"notes","customer":"kochi","class":"check","prompt":"p"}`
 
-// do sends one request and returns the answer with its whole body.
+// do sends one request and returns the response with its complete body.
 func do(url, method, body string, headers ...string) (*http.Response, string) {
 	GinkgoHelper()
 	r, err := http.NewRequestWithContext(context.Background(), method, url, strings.NewReader(body))
@@ -33,7 +33,7 @@
 	return resp, string(text)
 }
 
-// problem reads a problem document.
+// problem decodes a problem document.
 func problem(resp *http.Response, body string) front.Problem {
 	GinkgoHelper()
 	Expect(resp.Header.Get("Content-Type")).To(Equal("application/problem+json"))
@@ -43,7 +43,7 @@
 	return p
 }
 
-// refused gives a refusal with proof.
+// refused returns the outcome of a request that certainly did not run.
 func refused(reason state.Reason, after state.RetryAfter) state.Outcome {
 	return state.Conclude(state.NewDispatches(), reason, 0, after)
 }
@@ -59,11 +59,11 @@
 		DeferCleanup(s.Close)
 	})
 
-	It("streams an answer whose event ids are the token indexes", func() {
+	It("streams an answer whose event IDs are the token indexes", func() {
 		a := d.script("r1")
 		a.add("one\n", "two")
 		a.end(state.Completed{Tokens: 2})
-		resp, body := do(s.URL+"/v1/requests", "POST", goodBody, "Idempotency-Key", "k")
+		resp, body := do(s.URL+"/v1/requests", "POST", validBody, "Idempotency-Key", "k")
 		Expect(resp.StatusCode).To(Equal(200))
 		Expect(resp.Header.Get(front.RequestHeader)).To(Equal("r1"))
 		Expect(resp.Header.Get("Content-Type")).To(Equal("text/event-stream"))
@@ -76,11 +76,11 @@
 		Expect(d.submissions()[0].After).To(Equal(-1))
 	})
 
-	It("goes on after Last-Event-ID, on POST and on attach", func() {
+	It("resumes after Last-Event-ID, on POST and on attach", func() {
 		a := d.script("r1")
 		a.add("a", "b", "c")
 		a.end(state.Completed{Tokens: 3})
-		_, body := do(s.URL+"/v1/requests", "POST", goodBody, "Last-Event-ID", "1")
+		_, body := do(s.URL+"/v1/requests", "POST", validBody, "Last-Event-ID", "1")
 		Expect(body).To(ContainSubstring("id: 2"))
 		Expect(body).NotTo(ContainSubstring("id: 1"))
 		_, body = do(s.URL+"/v1/requests/r1/events", "GET", "", "Last-Event-ID", "0")
@@ -90,7 +90,7 @@
 
 	It("maps a refusal to its status, reason, execution and Retry-After", func() {
 		d.refusal = refused(state.ReasonCustomerLimit, 7)
-		resp, body := do(s.URL+"/v1/requests", "POST", goodBody)
+		resp, body := do(s.URL+"/v1/requests", "POST", validBody)
 		Expect(resp.StatusCode).To(Equal(429))
 		Expect(resp.Header.Get("Retry-After")).To(Equal("7"))
 		p := problem(resp, body)
@@ -98,10 +98,10 @@
 		Expect(p.Execution).To(Equal(state.ExecutionNotRun))
 	})
 
-	It("gives an outcome before the first token its own status, one after it an end event", func() {
+	It("reports an outcome before the first token as a status, and one after it as an end event", func() {
 		a := d.script("r1")
 		a.end(state.Failed{Reason: state.ReasonBackendFailed})
-		resp, body := do(s.URL+"/v1/requests", "POST", goodBody)
+		resp, body := do(s.URL+"/v1/requests", "POST", validBody)
 		Expect(resp.StatusCode).To(Equal(502))
 		Expect(resp.Header.Get(front.RequestHeader)).To(Equal("r1"))
 		Expect(problem(resp, body).Execution).To(Equal(state.ExecutionStarted))
@@ -109,10 +109,10 @@
 		a = d.script("r2")
 		a.add("a")
 		a.end(state.Failed{Reason: state.ReasonBackendFailed, Tokens: 1})
-		resp, body = do(s.URL+"/v1/requests", "POST", goodBody)
+		resp, body = do(s.URL+"/v1/requests", "POST", validBody)
 		Expect(resp.StatusCode).To(Equal(200))
 		Expect(body).To(HaveSuffix("event: end\ndata: {\"outcome\":\"failed\",\"tokens\":1," +
 			"\"reason\":\"backend_failed\",\"execution\":\"started\"}\n\n"))
-		Expect(a.open()).To(BeZero())
+		Expect(a.openViews()).To(BeZero())
 	})
 })
--- a/transport/front/input_test.go
+++ b/transport/front/input_test.go
@@ -19,13 +19,13 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/front"
 )
 
-// patience bounds the waits for conditions.
-const patience = 20 * time.Second
+// testTimeout bounds how long a spec waits for a condition.
+const testTimeout = 20 * time.Second
 
-// request is the text of a POST with a body that may be shorter than announced.
-func request(body string, announced int) string {
+// request returns the text of a POST whose body may be shorter than its Content-Length.
+func request(body string, contentLength int) string {
 	return fmt.Sprintf("POST /v1/requests HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\n"+
-		"Content-Length: %d\r\n\r\n%s", announced, body)
+		"Content-Length: %d\r\n\r\n%s", contentLength, body)
 }
 
 // connect opens a raw connection to s and sends text.
@@ -50,7 +50,7 @@
 	}
 }
 
-var _ = Describe("bad input of a caller", Label("failure:bad-input"), func() {
+var _ = Describe("invalid input from a caller", Label("failure:bad-input"), func() {
 	var (
 		d     *fakeDaemon
 		s     *httptest.Server
@@ -63,7 +63,7 @@
 		DeferCleanup(s.Close)
 	})
 
-	DescribeTable("gets a problem that names it, and no request",
+	DescribeTable("is answered with a problem that names it and never submitted",
 		func(status int, body, part string, headers ...string) {
 			resp, text := do(s.URL+"/v1/requests", "POST", body, headers...)
 			Expect(resp.StatusCode).To(Equal(status))
@@ -75,7 +75,7 @@
 			Expect(d.submissions()).To(BeEmpty())
 			Expect(counter(scope, "refused")()).To(BeEquivalentTo(1))
 		},
-		Entry("no JSON", 400, `{"service":`, "unexpected end"),
+		Entry("not JSON", 400, `{"service":`, "unexpected end"),
 		Entry("empty", 400, ``, "body"),
 		Entry("unknown field", 422, `{"service":"n","customer":"k","class":"c","prompt":"","colour":1}`, "body.colour"),
 		Entry("missing field", 422, `{"service":"n","customer":"k","prompt":""}`, "class"),
@@ -85,25 +85,25 @@
 		Entry("negative deadline", 422, `{"service":"n","customer":"k","class":"c","prompt":"","deadline":"-5s"}`, "deadline"),
 		Entry("negative tokens", 422, `{"service":"n","customer":"k","class":"c","prompt":"","max_tokens":-1}`, "max_tokens"),
 		Entry("body over the limit", 413, `{"prompt":"`+strings.Repeat("x", front.DefaultMaxBody)+`"}`, "large"),
-		Entry("bad Last-Event-ID", 422, goodBody, "Last-Event-ID", "Last-Event-ID", "x"),
-		Entry("negative Last-Event-ID", 422, goodBody, "Last-Event-ID", "Last-Event-ID", "-1"),
-		Entry("huge Last-Event-ID", 422, goodBody, "Last-Event-ID", "Last-Event-ID", "99999999999999999999"),
+		Entry("bad Last-Event-ID", 422, validBody, "Last-Event-ID", "Last-Event-ID", "x"),
+		Entry("negative Last-Event-ID", 422, validBody, "Last-Event-ID", "Last-Event-ID", "-1"),
+		Entry("huge Last-Event-ID", 422, validBody, "Last-Event-ID", "Last-Event-ID", "99999999999999999999"),
 	)
 
-	// A caller's first try ran at another daemon and its connection broke. Its
-	// repeat under the same key arrives here cut short. Were it refused as not
-	// run, the caller would send it under a new key, and it would run twice.
-	It("is not called not run where the key may have run elsewhere", func() {
+	// A caller's first attempt ran at another daemon and its connection broke. Its retry
+	// with the same idempotency key arrives here truncated. If it were refused as not run,
+	// the caller could send it with a new key, and it would run twice.
+	It("is not reported as not run if its key may have run elsewhere", func() {
 		_, text := do(s.URL+"/v1/requests", "POST", `{`)
 		Expect(text).To(ContainSubstring(`"execution":"not_run"`))
 		_, text = do(s.URL+"/v1/requests", "POST", `{`, "Idempotency-Key", "k")
 		Expect(text).To(ContainSubstring(`"execution":"unknown"`))
-		_, text = do(s.URL+"/v1/requests", "POST", goodBody, "Idempotency-Key", "k", "Last-Event-ID", "x")
+		_, text = do(s.URL+"/v1/requests", "POST", validBody, "Idempotency-Key", "k", "Last-Event-ID", "x")
 		Expect(text).To(ContainSubstring(`"execution":"unknown"`))
 	})
 
-	// Connections on which nothing, or half a header, ever comes must not stay.
-	It("that is silent or halfway loses its connection", func() {
+	// Connections without a further request, or with an incomplete header, must be closed.
+	It("that is missing, or has an incomplete header, ends its connection", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		short := 50 * time.Millisecond
@@ -116,17 +116,17 @@
 			DeferCleanup(conn.Close)
 			_, err = io.WriteString(conn, text)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(conn.SetReadDeadline(time.Now().Add(patience))).To(Succeed())
+			Expect(conn.SetReadDeadline(time.Now().Add(testTimeout))).To(Succeed())
 			_, err = io.ReadAll(conn)
 			Expect(err).NotTo(HaveOccurred())
 		}
 	})
 
-	It("that stops halfway loses its connection with a 408", func() {
+	It("with an incomplete body is answered with 408 and ends its connection", func() {
 		s := httptest.NewServer(front.New(d, front.Options{BodyTimeout: 50 * time.Millisecond}))
 		DeferCleanup(s.Close)
 		conn := connect(s, request(`{"service":`, 1000))
-		Expect(conn.SetReadDeadline(time.Now().Add(patience))).To(Succeed())
+		Expect(conn.SetReadDeadline(time.Now().Add(testTimeout))).To(Succeed())
 		text, err := io.ReadAll(conn)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(text)).To(HavePrefix("HTTP/1.1 408"))
@@ -148,46 +148,46 @@
 		DeferCleanup(s.Close)
 	}
 
-	// A clerk's laptop sleeps in the middle of a long draft; its connection stays
-	// and takes nothing. Neither other callers nor the daemon's memory may pay for
-	// it, and the draft must be there when the clerk comes back.
-	It("ends alone when its caller stops reading", Label("failure:slow-caller"), func() {
+	// A caller's machine is suspended in the middle of a long answer; its connection stays
+	// open but accepts no bytes. This must not affect other callers or use up the daemon's
+	// memory, and the caller must be able to resume the answer later.
+	It("ends without its request when its caller stops reading", Label("failure:slow-caller"), func() {
 		serve(front.Options{WriteTimeout: 100 * time.Millisecond, KeepAlive: 20 * time.Millisecond})
 		a := d.script("r1")
 		long := strings.Repeat("x", 64<<10)
 		for range 400 { // more than the sockets buffer
 			a.add(long)
 		}
-		stuck := connect(s, request(goodBody, len(goodBody)))
-		Eventually(counter(scope, "views_slow"), patience).Should(BeEquivalentTo(1))
-		Eventually(a.open, patience).Should(BeZero())
+		stuckConn := connect(s, request(validBody, len(validBody)))
+		Eventually(counter(scope, "views_slow"), testTimeout).Should(BeEquivalentTo(1))
+		Eventually(a.openViews, testTimeout).Should(BeZero())
 		a.end(state.Completed{Tokens: 400})
 		_, body := do(s.URL+"/v1/requests/r1/events", "GET", "", "Last-Event-ID", "398")
 		Expect(body).To(ContainSubstring("id: 399"))
 		Expect(body).To(ContainSubstring("completed"))
-		_ = stuck
+		_ = stuckConn // open until cleanup
 	})
 
-	It("ends alone when its caller goes away", func() {
+	It("ends without its request when its caller disconnects", func() {
 		serve(front.Options{})
 		a := d.script("r1")
 		a.add("a")
-		conn := connect(s, request(goodBody, len(goodBody)))
-		Eventually(a.open, patience).Should(Equal(1))
+		conn := connect(s, request(validBody, len(validBody)))
+		Eventually(a.openViews, testTimeout).Should(Equal(1))
 		Expect(conn.Close()).To(Succeed())
-		Eventually(a.open, patience).Should(BeZero())
-		Eventually(counter(scope, "views_gone"), patience).Should(BeEquivalentTo(1))
+		Eventually(a.openViews, testTimeout).Should(BeZero())
+		Eventually(counter(scope, "views_gone"), testTimeout).Should(BeEquivalentTo(1))
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		Expect(a.outcome).To(BeNil())
 	})
 
-	It("carries comments while there is nothing to say", func() {
+	It("carries keep-alive comments while there are no events", func() {
 		serve(front.Options{KeepAlive: 10 * time.Millisecond})
 		a := d.script("r1")
 		go func() {
 			defer GinkgoRecover()
-			Eventually(counter(scope, "keep_alives"), patience).Should(BeNumerically(">", 2))
+			Eventually(counter(scope, "keep_alives"), testTimeout).Should(BeNumerically(">", 2))
 			a.end(state.Completed{})
 		}()
 		resp, body := do(s.URL+"/v1/requests/r1/events", "GET", "")
@@ -196,10 +196,10 @@
 		Expect(body).To(HaveSuffix("event: end\ndata: {\"outcome\":\"completed\",\"tokens\":0}\n\n"))
 	})
 
-	// Were the body's read deadline, or the write deadline of the first event, to
-	// stay on the connection, a request that waits longer than it for a slot or a
-	// token would lose its caller.
-	It("outlives the time that its body had", func() {
+	// If the body's read deadline, or the write deadline of the first event, stayed on the
+	// connection, a request that waits longer than that for a slot or a token would lose
+	// its caller.
+	It("outlives the body's read deadline and the first write deadline", func() {
 		serve(front.Options{BodyTimeout: 20 * time.Millisecond, WriteTimeout: 20 * time.Millisecond, KeepAlive: 10 * time.Millisecond})
 		a := d.script("r1")
 		go func() {
@@ -208,28 +208,28 @@
 			time.Sleep(100 * time.Millisecond)
 			a.end(state.Completed{Tokens: 1})
 		}()
-		_, body := do(s.URL+"/v1/requests", "POST", goodBody)
+		_, body := do(s.URL+"/v1/requests", "POST", validBody)
 		Expect(body).To(ContainSubstring("late"))
 		Expect(body).To(ContainSubstring("completed"))
 	})
 
-	It("is refused over the bound of open ones", func() {
+	It("is refused when too many are open", func() {
 		serve(front.Options{MaxStreams: 1})
 		a := d.script("r1")
 		a.add("a")
-		conn := connect(s, request(goodBody, len(goodBody)))
-		Eventually(a.open, patience).Should(Equal(1))
-		resp, text := do(s.URL+"/v1/requests", "POST", goodBody)
+		conn := connect(s, request(validBody, len(validBody)))
+		Eventually(a.openViews, testTimeout).Should(Equal(1))
+		resp, text := do(s.URL+"/v1/requests", "POST", validBody)
 		Expect(resp.StatusCode).To(Equal(429))
 		Expect(resp.Header.Get("Retry-After")).To(Equal("1"))
 		Expect(problem(resp, text).Execution).To(Equal(state.ExecutionNotRun))
 		Expect(conn.Close()).To(Succeed())
-		Eventually(a.open, patience).Should(BeZero())
+		Eventually(a.openViews, testTimeout).Should(BeZero())
 		a.end(state.Completed{Tokens: 1})
 		Eventually(func() int {
-			resp, _ := do(s.URL+"/v1/requests", "POST", goodBody)
+			resp, _ := do(s.URL+"/v1/requests", "POST", validBody)
 			return resp.StatusCode
-		}, patience).Should(Equal(200))
+		}, testTimeout).Should(Equal(200))
 	})
 })
 
@@ -244,7 +244,7 @@
 		DeferCleanup(s.Close)
 	})
 
-	It("answers for requests by id", func() {
+	It("returns and cancels requests by ID", func() {
 		a := d.script("r1")
 		a.add("a")
 		_, body := do(s.URL+"/v1/requests/r1", "GET", "")
@@ -260,10 +260,10 @@
 		}
 	})
 
-	It("maps every reason to a status, and every outcome's execution", func() {
+	It("maps every reason to a status and reports the execution", func() {
 		for _, r := range state.Reasons() {
 			d.refusal = refused(r, 0)
-			resp, body := do(s.URL+"/v1/requests", "POST", goodBody)
+			resp, body := do(s.URL+"/v1/requests", "POST", validBody)
 			Expect(resp.StatusCode).To(BeNumerically(">=", 400))
 			if r != state.ReasonInternal {
 				Expect(resp.StatusCode).NotTo(Equal(500), string(r))
@@ -271,12 +271,12 @@
 			Expect(problem(resp, body).Reason).To(Equal(r))
 		}
 		d.refusal = state.Unknown{Reason: state.ReasonDuplicate}
-		resp, body := do(s.URL+"/v1/requests", "POST", goodBody)
+		resp, body := do(s.URL+"/v1/requests", "POST", validBody)
 		Expect(resp.StatusCode).To(Equal(409))
 		Expect(problem(resp, body).Execution).To(Equal(state.ExecutionUnknown))
 	})
 
-	It("takes edits of documents and says what became of them", func() {
+	It("accepts edits of documents and reports their results", func() {
 		put := s.URL + "/v1/documents/notes?base=2&edit_id=e"
 		d.edit = caller.EditResult{Status: caller.EditAccepted, Version: 3}
 		resp, body := do(put, "PUT", `{"service":"notes"}`, "Content-Type", "application/json")
@@ -309,7 +309,7 @@
 		Expect(d.edits).To(HaveLen(n))
 	})
 
-	It("shows documents, addresses, health, drain and its own description", func() {
+	It("serves documents, addresses, health, drain and its OpenAPI description", func() {
 		_, body := do(s.URL+"/v1/documents", "GET", "")
 		Expect(body).To(MatchJSON(`[]`))
 		_, body = do(s.URL+"/v1/documents/notes", "GET", "")
--- a/transport/front/operators.go
+++ b/transport/front/operators.go
@@ -20,7 +20,7 @@
 	PathHealth    = "/healthz"
 )
 
-// registerDocuments adds reading and editing of service documents.
+// registerDocuments registers the operations on service documents.
 func (f *front) registerDocuments(api huma.API) {
 	huma.Register(api, huma.Operation{
 		OperationID: "documents", Method: http.MethodGet, Path: PathDocuments,
@@ -34,14 +34,14 @@
 		OperationID: "apply", Method: http.MethodPut, Path: PathDocuments + "/{service}",
 		Summary:      "Edit a service document; a repeat with the same edit_id is the same edit",
 		MaxBodyBytes: f.opts.MaxBody, BodyReadTimeout: f.opts.BodyTimeout,
-		// The document's own decoder checks the text and names every fault;
-		// huma would take the raw body for a string and refuse it.
+		// The document's own decoder validates the text and reports every fault;
+		// huma would treat the raw body as a string and refuse it.
 		SkipValidateBody: true,
 		Errors:           []int{http.StatusConflict, http.StatusRequestEntityTooLarge, http.StatusServiceUnavailable},
 	}, f.apply)
 }
 
-// registerOperators adds the daemon's own state.
+// registerOperators registers the operations on the daemon's own state.
 func (f *front) registerOperators(api huma.API) {
 	huma.Register(api, huma.Operation{
 		OperationID: "daemon", Method: http.MethodGet, Path: PathDaemon,
@@ -104,17 +104,17 @@
 	r := f.daemon.Apply(ctx, caller.Edit{
 		Base:   state.DocumentVersion(in.Base),
 		EditID: in.EditID,
-		Text:   bytes.Clone(in.RawBody), // huma takes its buffer back
+		Text:   bytes.Clone(in.RawBody), // huma reuses its buffer
 	})
-	f.extend(exchangeOf(ctx))
+	f.extendWriteDeadline(exchangeOf(ctx))
 	if r.Status != caller.EditAccepted {
 		return nil, editProblem(r)
 	}
 	return &applyOutput{Body: Applied{Version: r.Version}}, nil
 }
 
-// checkDocumentName refuses a document of another service than the path names.
-// Text that is no document at all is left to the daemon, which names its faults.
+// checkDocumentName refuses a document whose service is not the one in the path. Text
+// that does not decode is left to the daemon, which reports its faults.
 func checkDocumentName(in *applyInput) *Problem {
 	var name struct {
 		Service string `json:"service"`
--- a/transport/front/problem.go
+++ b/transport/front/problem.go
@@ -10,11 +10,11 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// problemType is the prefix of a problem's type; the reason follows it.
+// problemType is the prefix of a problem's type, which ends with the reason.
 const problemType = "urn:hibiscuswick:problem:"
 
-// huma builds its own errors, such as those of validation, through a package
-// variable; it has no other place for them. All of them become Problems.
+// huma builds its own errors, such as those of validation, through package variables
+// and has no other hook for them. All of them become Problems.
 func init() {
 	huma.NewError = func(status int, msg string, errs ...error) huma.StatusError {
 		return inputProblem(status, msg, errs)
@@ -23,24 +23,24 @@
 		p := inputProblem(status, msg, errs)
 		if hc.Operation().OperationID == submitOperation {
 			exchangeOf(hc.Context()).refused.Inc(1)
-			p.Execution = unsentExecution(hc.Header(caller.KeyHeader), hc.Header(caller.LastEventHeader))
+			p.Execution = refusedExecution(hc.Header(caller.KeyHeader), hc.Header(caller.LastEventHeader))
 		}
 		return p
 	}
 }
 
-// unsentExecution is what the front can say of a submission that it refuses
-// itself. A submission that has a key or a last event may repeat one that ran
-// at another daemon, of which nothing is known here.
-func unsentExecution(key, lastEventID string) state.Execution {
+// refusedExecution returns the execution state of a submission that the front refuses.
+// A submission with an idempotency key or a last event ID may repeat one that ran at
+// another daemon, which is not known here.
+func refusedExecution(key, lastEventID string) state.Execution {
 	if key != "" || lastEventID != "" {
 		return state.ExecutionUnknown
 	}
 	return state.NewDispatches().Execution()
 }
 
-// inputProblem describes input that huma refused before a handler ran. Values
-// of the input are not echoed: they may be as long as the body.
+// inputProblem describes input that huma refused before a handler ran. It does not
+// repeat the values of the input, which may be as long as the body.
 func inputProblem(status int, msg string, errs []error) *Problem {
 	reason := state.ReasonBadRequest
 	if status >= http.StatusInternalServerError {
@@ -53,7 +53,7 @@
 	return p
 }
 
-// faultText gives "path: message" without the value.
+// faultText returns "path: message" without the value.
 func faultText(err error) string {
 	var d huma.ErrorDetailer
 	if !errors.As(err, &d) {
@@ -66,7 +66,7 @@
 	return detail.Location + ": " + detail.Message
 }
 
-// newProblem fills in the fields that each problem has.
+// newProblem returns a Problem with the fields that every problem has.
 func newProblem(status int, reason state.Reason, detail string) *Problem {
 	return &Problem{
 		Type:   problemType + string(reason),
@@ -87,7 +87,7 @@
 	return p
 }
 
-// detailOf says in a sentence what a caller may conclude.
+// detailOf returns a sentence on whether the request ran and may be sent again.
 func detailOf(e End) string {
 	switch e.Execution {
 	case state.ExecutionNotRun:
--- a/transport/front/requests.go
+++ b/transport/front/requests.go
@@ -13,13 +13,13 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// submitOperation is the id of POST /v1/requests.
+// submitOperation is the operation ID of POST /v1/requests.
 const submitOperation = "submit"
 
-// noToken is the index before the first.
+// noToken is the token index of a caller that has no token yet.
 const noToken = -1
 
-// registerRequests adds what callers use.
+// registerRequests registers the operations for callers.
 func (f *front) registerRequests(api huma.API) {
 	huma.Register(api, huma.Operation{
 		OperationID: "addresses", Method: http.MethodGet, Path: PathAddresses,
@@ -70,7 +70,7 @@
 	Customer string `query:"customer" doc:"The caller's customer"`
 	Domain   string `query:"domain" doc:"The caller's own failure domain, if it knows it"`
 
-	remote string // the caller's IP
+	remote string // the caller's IP address
 }
 
 // Resolve implements huma.Resolver.
@@ -112,44 +112,44 @@
 		p = checkSubmit(&in.Body)
 	}
 	if p == nil {
-		p = f.acquire()
+		p = f.acquireSlot()
 	}
 	if p != nil {
 		ex.refused.Inc(1)
-		p.Execution = unsentExecution(in.Key, in.LastEventID)
+		p.Execution = refusedExecution(in.Key, in.LastEventID)
 		return nil, p
 	}
 	stream, o := f.daemon.Submit(ctx, in.submission(after))
 	if stream == nil {
-		f.free()
-		f.extend(ex)
+		f.releaseSlot()
+		f.extendWriteDeadline(ex)
 		return nil, outcomeProblem("", o)
 	}
-	item, err := f.first(ctx, stream, in.Prefer == caller.PreferProcessing)
-	f.extend(ex)
+	item, err := f.firstItem(ctx, stream, in.Prefer == caller.PreferProcessing)
+	f.extendWriteDeadline(ex)
 	if err != nil {
-		f.release(stream)
-		f.count(err)
-		return nil, err // nobody reads it: only the caller's leaving ends ctx
+		f.closeView(stream)
+		f.countViewEnd(err)
+		return nil, err // not read by anyone: ctx ends only when the caller disconnects
 	}
 	if _, ok := item.Outcome.(state.Completed); item.Token == nil && !ok {
-		defer f.release(stream)
+		defer f.closeView(stream)
 		return nil, outcomeProblem(stream.ID(), item.Outcome)
 	}
 	return f.respond(stream, &item), nil
 }
 
-// first waits for a stream's first item. The answer's status hangs on it, so that
-// nothing of the answer can be sent before. With signs, informational answers
-// tell the caller meanwhile that its connection works, and the request's id: a
-// silent connection is then noticed before the first token too.
-func (f *front) first(ctx context.Context, s caller.Stream, signs bool) (caller.Item, error) {
-	if !signs {
+// firstItem waits for a stream's first item. The HTTP status depends on it, so nothing
+// of the final response can be sent before. If progress is set, informational responses
+// carry the request ID meanwhile and show the caller that its connection works, so that
+// it can detect an unresponsive connection before the first token too.
+func (f *front) firstItem(ctx context.Context, s caller.Stream, progress bool) (caller.Item, error) {
+	if !progress {
 		return s.Next(ctx)
 	}
 	ex := exchangeOf(ctx)
 	for {
-		f.extend(ex)
+		f.extendWriteDeadline(ex)
 		ex.w.Header().Set(RequestHeader, string(s.ID()))
 		ex.w.WriteHeader(http.StatusProcessing)
 		ex.w.Header().Del(RequestHeader)
@@ -163,7 +163,7 @@
 	}
 }
 
-// submission translates the input.
+// submission converts the input to a caller.Submission.
 func (in *submitInput) submission(after int) caller.Submission {
 	b := &in.Body
 	return caller.Submission{
@@ -179,7 +179,7 @@
 	}
 }
 
-// checkSubmit finds what the schema can't say.
+// checkSubmit checks what the schema can't express.
 func checkSubmit(b *Submit) *Problem {
 	if b.Deadline < 0 {
 		return newProblem(http.StatusUnprocessableEntity, state.ReasonBadRequest, "body.deadline is negative")
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// parseLastEventID reads a token index; none is noToken.
+// parseLastEventID parses a token index; empty text means noToken.
 func parseLastEventID(text string) (int, *Problem) {
 	if text == "" {
 		return noToken, nil
@@ -205,12 +205,12 @@
 	LastEventID string `header:"Last-Event-ID" doc:"Index of the last token that the caller has"`
 }
 
-// attach answers at once: the request is known, so that what becomes of it is
-// the stream's matter.
+// attach responds with status 200 at once, because the request is known; its outcome is
+// sent as an event of the stream.
 func (f *front) attach(ctx context.Context, in *attachInput) (*huma.StreamResponse, error) {
 	after, p := parseLastEventID(in.LastEventID)
 	if p == nil {
-		p = f.acquire()
+		p = f.acquireSlot()
 	}
 	if p != nil {
 		f.metrics.refused.Inc(1)
@@ -220,8 +220,8 @@
 	id := state.RequestID(in.ID)
 	stream, o := f.daemon.Attach(ctx, id, after)
 	if stream == nil {
-		f.free()
-		f.extend(exchangeOf(ctx))
+		f.releaseSlot()
+		f.extendWriteDeadline(exchangeOf(ctx))
 		return nil, outcomeProblem(id, o)
 	}
 	return f.respond(stream, nil), nil
@@ -245,7 +245,7 @@
 	return statusAnswer(in.ID, s, ok)
 }
 
-// statusAnswer describes s, or that no such request is known.
+// statusAnswer returns s, or a problem if the request is not known.
 func statusAnswer(id string, s caller.Status, ok bool) (*statusOutput, error) {
 	if !ok {
 		p := newProblem(http.StatusNotFound, state.ReasonUnknownRequest, "No request of this id is known here.")
@@ -261,9 +261,9 @@
 	return out, nil
 }
 
-// acquire takes a stream's slot, or says that there is none. The bound keeps a
-// rush of connections from taking the daemon's memory.
-func (f *front) acquire() *Problem {
+// acquireSlot takes a slot for a stream, or returns a problem if none is free. The
+// limit keeps a burst of connections from exhausting the daemon's memory.
+func (f *front) acquireSlot() *Problem {
 	select {
 	case f.slots <- struct{}{}:
 		f.metrics.viewsOpen.Update(float64(len(f.slots)))
@@ -275,14 +275,14 @@
 	}
 }
 
-// free gives a slot back.
-func (f *front) free() {
+// releaseSlot releases the slot of a stream.
+func (f *front) releaseSlot() {
 	<-f.slots
 	f.metrics.viewsOpen.Update(float64(len(f.slots)))
 }
 
-// release ends a view and gives its slot back.
-func (f *front) release(s caller.Stream) {
+// closeView closes a view and releases its slot.
+func (f *front) closeView(s caller.Stream) {
 	s.Close()
-	f.free()
+	f.releaseSlot()
 }
--- a/transport/front/stream.go
+++ b/transport/front/stream.go
@@ -16,13 +16,12 @@
 	"github.com/hibiscuswick/hibiscuswick/protocol/caller"
 )
 
-// keepAlive is a comment: clients skip it, and a connection that carries it is
-// known to be open.
+// keepAlive is an event-stream comment. Clients ignore it, but it shows them that the
+// connection is open.
 const keepAlive = ": keep-alive\n\n"
 
-// view writes one stream to one connection. huma's own sse package is not used:
-// it writes no id for index 0, has no comments for keep-alive, and ignores
-// failed writes.
+// view writes one stream to one connection. huma's sse package is not used because it
+// writes no ID for index 0, can't write keep-alive comments and ignores write errors.
 type view struct {
 	front    *front
 	stream   caller.Stream
@@ -30,14 +29,14 @@
 	rc       *http.ResponseController
 	buf      bytes.Buffer
 	enc      *json.Encoder
-	deadline time.Time // of the connection's writes
+	deadline time.Time // the connection's write deadline
 }
 
-// respond returns the response that writes s, beginning with first where the
-// caller waited for it.
+// respond returns the response that writes s. first is the item that was already taken
+// from s, or nil.
 func (f *front) respond(s caller.Stream, first *caller.Item) *huma.StreamResponse {
 	return &huma.StreamResponse{Body: func(hc huma.Context) {
-		defer f.release(s)
+		defer f.closeView(s)
 		hc.SetHeader("Content-Type", "text/event-stream")
 		hc.SetHeader("Cache-Control", "no-store")
 		hc.SetHeader(RequestHeader, string(s.ID()))
@@ -45,12 +44,12 @@
 		v := &view{front: f, stream: s, out: hc.BodyWriter(), rc: exchangeOf(hc.Context()).rc}
 		v.enc = json.NewEncoder(&v.buf)
 		v.enc.SetEscapeHTML(false)
-		f.count(v.run(hc.Context(), first))
+		f.countViewEnd(v.run(hc.Context(), first))
 	}}
 }
 
-// count notes why a view ended before its stream did.
-func (f *front) count(err error) {
+// countViewEnd counts a view that ended before its stream, by the cause.
+func (f *front) countViewEnd(err error) {
 	switch {
 	case err == nil:
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -60,30 +59,29 @@
 	}
 }
 
-// run writes events until the stream or the connection ends. A non-nil error
-// means that the connection ended first.
+// run writes events until the stream or the connection ends. It returns an error if the
+// connection ended first.
 func (v *view) run(ctx context.Context, first *caller.Item) error {
-	if err := v.event(EventAccepted, nil, Accepted{Request: v.stream.ID()}); err != nil {
+	if err := v.writeEvent(EventAccepted, nil, Accepted{Request: v.stream.ID()}); err != nil {
 		return err
 	}
 	if first != nil {
-		if done, err := v.item(*first); done || err != nil {
+		if done, err := v.writeItem(*first); done || err != nil {
 			return err
 		}
 	}
 	for {
-		done, err := v.spell(ctx)
+		done, err := v.writeInterval(ctx)
 		if done || err != nil {
 			return err
 		}
 	}
 }
 
-// spell writes items for the length of a keep-alive interval and ends with a
-// keep-alive, so that a caller never waits longer for a byte on a connection
-// that works. One context serves the whole interval: one for each token would
-// cost more than the token.
-func (v *view) spell(ctx context.Context) (done bool, err error) {
+// writeInterval writes items for one keep-alive interval and then a keep-alive, so that
+// a caller never waits longer than that for a byte on a working connection. It uses one
+// context for the interval, because one per token would cost more than the token.
+func (v *view) writeInterval(ctx context.Context) (done bool, err error) {
 	wait, cancel := context.WithTimeout(ctx, v.front.opts.KeepAlive)
 	defer cancel()
 	for {
@@ -95,24 +93,24 @@
 			v.front.metrics.keepAlives.Inc(1)
 			return false, v.write([]byte(keepAlive))
 		}
-		if done, err := v.item(item); done || err != nil {
+		if done, err := v.writeItem(item); done || err != nil {
 			return done, err
 		}
 	}
 }
 
-// item writes a token or the end.
-func (v *view) item(i caller.Item) (done bool, err error) {
-	if i.Token == nil {
-		return true, v.event(EventEnd, nil, caller.NewEndEvent(i.Outcome))
+// writeItem writes a token or the end event.
+func (v *view) writeItem(item caller.Item) (done bool, err error) {
+	if item.Token == nil {
+		return true, v.writeEvent(EventEnd, nil, caller.NewEndEvent(item.Outcome))
 	}
 	v.front.metrics.tokens.Inc(1)
-	t := Token(*i.Token)
-	return false, v.event(EventToken, &t.Index, &t)
+	t := Token(*item.Token)
+	return false, v.writeEvent(EventToken, &t.Index, &t)
 }
 
-// event writes one event and flushes it.
-func (v *view) event(name string, id *int, data any) error {
+// writeEvent writes and flushes one event.
+func (v *view) writeEvent(name string, id *int, data any) error {
 	v.buf.Reset()
 	if id != nil {
 		v.buf.WriteString("id: ")
@@ -122,7 +120,7 @@
 	v.buf.WriteString("event: ")
 	v.buf.WriteString(name)
 	v.buf.WriteString("\ndata: ")
-	// Encode ends the line; JSON text has no other line break.
+	// Encode ends the line; the JSON text contains no other line break.
 	if err := v.enc.Encode(data); err != nil {
 		return err
 	}
@@ -130,19 +128,20 @@
 	return v.write(v.buf.Bytes())
 }
 
-// write sends b within the write timeout. A caller that stopped reading, or
-// whose connection went silent, holds this goroutine no longer than that.
+// write writes and flushes b within the write timeout, which also bounds how long a
+// caller that stopped reading, or whose connection is unresponsive, blocks this
+// goroutine.
 func (v *view) write(b []byte) error {
-	v.extend()
+	v.extendWriteDeadline()
 	if _, err := v.out.Write(b); err != nil {
 		return err
 	}
 	return v.rc.Flush()
 }
 
-// extend moves the write deadline when a quarter of it is used, which spares a
-// timer for each token.
-func (v *view) extend() {
+// extendWriteDeadline moves the write deadline once a quarter of the timeout has
+// passed, which avoids resetting a timer for each token.
+func (v *view) extendWriteDeadline() {
 	now := time.Now()
 	if v.deadline.Sub(now) > v.front.opts.WriteTimeout*3/4 {
 		return
--- a/transport/front/wire.go
+++ b/transport/front/wire.go
@@ -2,7 +2,7 @@
 
 import "github.com/hibiscuswick/hibiscuswick/protocol/caller"
 
-// What callers see is defined in protocol/caller; these are short names for it.
+// Aliases of the wire types, which are defined in protocol/caller.
 type (
 	// Accepted is caller.AcceptedEvent.
 	Accepted = caller.AcceptedEvent
@@ -22,7 +22,7 @@
 	Problem = caller.Problem
 )
 
-// Names of protocol/caller.
+// Paths, headers, events and outcomes of protocol/caller.
 const (
 	PathAddresses = caller.PathAddresses
 	PathRequests  = caller.PathRequests
