--- a/state/dispatch.go
+++ b/state/dispatch.go
@@ -1,45 +1,47 @@
 package state
 
 // Dispatches records which attempts of one request may have reached a backend
-// server. It is the only source of NotRunProof. It belongs to the goroutine
-// that owns the request.
+// server. It is the only source of a valid NotRunProof. It is not safe for
+// concurrent use and belongs to the goroutine that owns the request.
 type Dispatches struct {
-	sent     map[Attempt]bool // true: may have begun
-	began    bool             // some attempt surely began
-	poisoned bool             // another daemon may have run it
+	sent            map[Attempt]bool // true: may have started
+	started         bool             // at least one attempt is known to have started
+	mayRunElsewhere bool             // another daemon may have run the request
 }
 
-// NewDispatches returns the record of a request that nobody dispatched yet.
+// NewDispatches returns the record of a request that has not been dispatched.
 func NewDispatches() *Dispatches {
 	return &Dispatches{sent: make(map[Attempt]bool)}
 }
 
-// Sent notes, before the first byte leaves, that a may reach a backend server.
+// MarkSent records that a may reach a backend server. It must be called before
+// the first byte is sent.
 func (d *Dispatches) MarkSent(a Attempt) {
 	d.sent[a] = true
 }
 
-// Began notes that a backend server answered for a, so it surely began.
+// MarkStarted records that a backend server answered for a, which proves that a
+// started.
 func (d *Dispatches) MarkStarted(a Attempt) {
 	d.sent[a] = true
-	d.began = true
+	d.started = true
 }
 
-// Unstarted notes proof that a never began: the connection was refused before
-// a byte was sent, or the backend server said so itself.
+// MarkNotStarted records proof that a never started: the connection was refused
+// before a byte was sent, or the backend server reported it.
 func (d *Dispatches) MarkNotStarted(a Attempt) {
 	d.sent[a] = false
 }
 
-// MayRunElsewhere notes that another daemon holds or may hold the request, so
-// that this record alone can prove nothing.
+// MarkMayRunElsewhere records that another daemon drives or may drive the
+// request. From then on this record cannot prove that the request did not run.
 func (d *Dispatches) MarkMayRunElsewhere() {
-	d.poisoned = true
+	d.mayRunElsewhere = true
 }
 
-// Execution says what the record shows.
+// Execution returns what the record proves about the request's execution.
 func (d *Dispatches) Execution() Execution {
-	if d.began {
+	if d.started {
 		return ExecutionStarted
 	}
 	if _, ok := d.NotRun(); ok {
@@ -48,10 +50,10 @@
 	return ExecutionUnknown
 }
 
-// NotRun returns proof that no backend server ran the request, and whether
-// there is such proof.
+// NotRun returns proof that no backend server ran the request. The second result
+// is false where there is no such proof.
 func (d *Dispatches) NotRun() (NotRunProof, bool) {
-	if d.poisoned || d.began {
+	if d.mayRunElsewhere || d.started {
 		return NotRunProof{}, false
 	}
 	for _, may := range d.sent {
@@ -62,14 +64,14 @@
 	return NotRunProof{valid: true}, true
 }
 
-// NotRunProof shows that a request was never begun by a backend server. Its
-// zero value proves nothing; only Dispatches makes a valid one, so that a
-// refusal can't promise "not run" by mistake.
+// NotRunProof proves that no backend server started a request. The zero value is
+// invalid; only Dispatches returns a valid one, so that a refusal cannot state
+// "not run" by mistake.
 type NotRunProof struct {
 	valid bool
 }
 
-// Valid reports whether p proves anything.
+// Valid reports whether p is a proof.
 func (p NotRunProof) Valid() bool {
 	return p.valid
 }
--- a/state/doc.go
+++ b/state/doc.go
@@ -1,7 +1,7 @@
-// Package state holds the values that hibiscuswick decides on: identifiers,
-// requests, attempts, replicas, outcomes. It does no input or output, has no
-// clock and starts no goroutine; every other layer imports it.
+// Package state defines the domain types of hibiscuswick: identifiers, requests,
+// attempts, replicas and outcomes. It does no I/O, reads no clock and starts no
+// goroutine; all other layers import it.
 //
 // A value of this package is either immutable after construction or owned by
-// exactly one goroutine; none of its types locks.
+// exactly one goroutine; none of the types uses locks.
 package state
--- a/state/ids.go
+++ b/state/ids.go
@@ -3,84 +3,88 @@
 import "fmt"
 
 type (
-	// DaemonID names one daemon for the life of its instance, for example
-	// "entry-3". A replacement on the same instance keeps the name and takes
-	// a higher Incarnation.
+	// DaemonID identifies one daemon for the lifetime of its instance, for
+	// example "entry-3". A replacement on the same instance keeps the ID and
+	// uses a higher Incarnation.
 	DaemonID string
 
-	// InstanceID names one instance of the platform's instance list.
+	// InstanceID identifies one instance in the platform's instance list.
 	InstanceID string
 
-	// BackendID names one backend server: a model engine or a plain service.
+	// BackendID identifies one backend server: a model engine or a plain server.
 	BackendID string
 
-	// ReplicaID names one replica: a chain of backend servers (or a single
-	// plain one) that can serve a request whole.
+	// ReplicaID identifies one replica: a chain of backend servers, or a single
+	// plain server, that can serve a complete request.
 	ReplicaID string
 
-	// ServiceID names one service, and so its document.
+	// ServiceID identifies one service and its document.
 	ServiceID string
 
-	// CustomerID names one customer of a service.
+	// CustomerID identifies one customer of a service.
 	CustomerID string
 
-	// ClassID names a request class of a service document, such as "check".
+	// ClassID identifies a request class of a service document, such as "check".
 	ClassID string
 
-	// FailureDomain names a part of a region that fails as one.
+	// FailureDomain identifies a part of a region that fails as a unit.
 	FailureDomain string
 
-	// Region names a group of failure domains joined by short links.
+	// Region identifies a group of failure domains with low-latency links
+	// between them.
 	Region string
 
-	// RequestID names one accepted request site-wide. The entry daemon makes
-	// it from its own name and a random part; callers use it for status,
-	// cancel and re-attach.
+	// RequestID identifies one accepted request across the site. The entry
+	// daemon builds it from its own ID and a random part; callers use it for
+	// status, cancel and re-attach calls.
 	RequestID string
 
-	// IdempotencyKey is the caller's own name for a piece of work. Two
-	// requests of one customer and service with one key are the same work.
+	// IdempotencyKey is chosen by the caller. Two requests of the same customer
+	// and service with the same key are treated as one request.
 	IdempotencyKey string
 
-	// Nonce tells one claimant of an idempotency key from every other.
+	// Nonce distinguishes the claimants of one idempotency key.
 	Nonce string
 )
 
-// Life is one start of one backend server. A server that starts again may keep its
-// name; it then holds nothing that it held, and knows nothing of what it was told.
+// BackendIncarnation identifies one run of a backend server's process. A server
+// that restarts may keep its ID, but it has lost its layers and everything that
+// it was sent before.
 type BackendIncarnation struct {
 	ID BackendID `msgpack:"id"`
-	// Born is when it started, in Unix ms by its own clock. It tells two lives of one
-	// name apart and does not order them, since clocks differ; 0 if it does not say.
+	// Born is the start time in Unix milliseconds by the server's own clock, or 0
+	// if the server does not report it. It distinguishes two incarnations with the
+	// same ID but does not order them, since clocks differ.
 	Born int64 `msgpack:"born,omitempty"`
 }
 
-// String gives the name, and the start where it is known.
-func (l BackendIncarnation) String() string {
-	if l.Born == 0 {
-		return string(l.ID)
+// String returns the ID, followed by the start time where it is known.
+func (i BackendIncarnation) String() string {
+	if i.Born == 0 {
+		return string(i.ID)
 	}
-	return fmt.Sprintf("%s@%d", l.ID, l.Born)
+	return fmt.Sprintf("%s@%d", i.ID, i.Born)
 }
 
-// Incarnation orders the lives of one daemon: a later process of the same
-// DaemonID has a strictly higher one.
+// Incarnation orders the processes that run under one DaemonID: a later process
+// has a strictly higher value.
 type Incarnation uint64
 
 // FencingNumber orders the holders of one lease: a later holder has a strictly
-// higher one.
+// higher number.
 type FencingNumber uint64
 
-// DocumentVersion orders the accepted states of one service document, from 1.
+// DocumentVersion orders the accepted versions of one service document. The
+// first is 1.
 type DocumentVersion uint64
 
-// Member is one life of one daemon.
+// Member identifies one incarnation of one daemon.
 type Member struct {
 	ID          DaemonID    `msgpack:"id" json:"id"`
 	Incarnation Incarnation `msgpack:"inc" json:"incarnation"`
 }
 
-// String gives "id/incarnation".
+// String returns "id/incarnation".
 func (m Member) String() string {
 	return fmt.Sprintf("%s/%d", m.ID, m.Incarnation)
 }
--- a/state/prefix.go
+++ b/state/prefix.go
@@ -3,15 +3,16 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// PrefixBlock is how many bytes of a prompt one cached block covers.
+	// PrefixBlockSize is the number of bytes of a prompt that one cached block covers.
 	PrefixBlockSize = 64
-	// MaxPrefixes bounds the blocks of one prompt that are looked at.
+	// MaxPrefixes is the maximum number of blocks of one prompt that are hashed.
 	MaxPrefixes = 16
 )
 
-// Prefixes returns the names of a prompt's whole blocks, shortest prefix first:
-// element i is the xxhash of the first (i+1)*PrefixBlock bytes. Engines use the
-// same names in their cache events.
+// Prefixes returns the hashes of the prompt's block-aligned prefixes, shortest
+// first: element i is the xxhash of the first (i+1)*PrefixBlockSize bytes. An
+// incomplete last block is ignored. Engines use the same hashes in their cache
+// events.
 func Prefixes(prompt string) []uint64 {
 	n := min(len(prompt)/PrefixBlockSize, MaxPrefixes)
 	if n == 0 {
