--- a/state/fleet/config.go
+++ b/state/fleet/config.go
@@ -7,72 +7,75 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Config is one accepted configuration.
+// Config is one accepted configuration. It is immutable.
 type Config struct {
-	// Version grows with each configuration, in uneven steps.
+	// Version increases with each configuration, not necessarily by 1.
 	Version uint64
-	// Hosts holds the routes of each host name, the longest prefix first.
+	// Hosts maps a host name to its routes, the longest prefix first.
 	Hosts map[string][]Route
-	// Services describes each service by its name.
+	// Services maps a service name to its description.
 	Services map[state.ServiceID]Service
-	// Keys maps a caller's key to the customer that holds it. It is nil where
-	// callers need no key.
+	// Keys maps an API key to the customer that owns it. It is nil where callers
+	// need no key.
 	Keys   map[string]Customer
 	Limits Limits
 }
 
-// Customer is the holder of a caller's key.
+// Customer is the owner of an API key.
 type Customer struct {
 	ID state.CustomerID
-	// Rank goes before the route's rank where Ranked is set; 0 is the most urgent.
+	// Rank overrides the route's rank where Ranked is set; 0 is the most urgent.
 	Rank   int
 	Ranked bool
 }
 
-// Limits bounds what a caller may send. Zero fields set no bound.
+// Limits bounds what a caller may send. A zero field means no limit.
 type Limits struct {
-	HeaderBytes   int           // of one request's header
-	BodyBytes     int64         // of one request's body
-	HeaderTimeout time.Duration // for a whole header to arrive
-	IdleTimeout   time.Duration // of a kept connection between two requests
+	HeaderBytes   int           // size of one request's header
+	BodyBytes     int64         // size of one request's body
+	HeaderTimeout time.Duration // time to receive a complete header
+	IdleTimeout   time.Duration // idle time of a keep-alive connection between two requests
 }
 
-// Repeat says how often a request may run.
+// Repeat is how often a request may run.
 type Repeat uint8
 
 // The values of Repeat.
 const (
-	// RunOnce: at most one run, whatever becomes of its answer.
+	// AtMostOnce: the request is never run twice, even if its answer is lost.
 	AtMostOnce Repeat = iota
-	// RunAgain: any number of runs gives the same result (idempotent).
+	// Idempotent: any number of runs gives the same result.
 	Idempotent
-	// RunOn: a second run may go on after the last event that the caller has.
+	// Resumable: a second run may continue after the last event that the caller
+	// has received.
 	Resumable
 )
 
-// Route says where requests of one host and path prefix go.
+// Route describes how requests for one host and path prefix are routed.
 type Route struct {
 	Name      string
-	Prefix    string // begins and ends with a slash
+	Prefix    string // starts and ends with a slash
 	Repeat    Repeat
-	Stream    bool          // the answer is a series of events
-	Timeout   time.Duration // longest time that a request is kept waiting; 0 for none
-	Target    time.Duration // answers within it are on time
-	Gap       time.Duration // longest pause between two events that is on time
+	Stream    bool          // the answer is an event stream
+	Timeout   time.Duration // maximum time that a request waits for its answer; 0 for none
+	Target    time.Duration // an answer within this time is on time
+	Gap       time.Duration // an event within this time after the previous one is on time
 	Rank      int           // 0 is the most urgent
-	Anonymous bool          // needs no key
-	// MaxAttempts bounds the backend servers that run one request, at least 1.
+	Anonymous bool          // no API key is required
+	// MaxAttempts is the maximum number of backend servers that run one request,
+	// at least 1.
 	MaxAttempts int
 	Split       []Share
 }
 
-// Share is the part of a route's requests that one service gets.
+// Share is the share of a route's requests that is sent to one service.
 type Share struct {
 	Service state.ServiceID
 	Weight  int
 }
 
-// Pick returns the service for a request whose random number is n.
+// Pick returns a service chosen by weight for the random number n. The second
+// result is false where no service has a positive weight.
 func (r *Route) Pick(n uint64) (state.ServiceID, bool) {
 	total := 0
 	for _, s := range r.Split {
@@ -91,7 +94,7 @@
 	return "", false
 }
 
-// Lookup finds the route of a host with the longest prefix of path.
+// Lookup returns the route of host with the longest prefix of path.
 func (c *Config) Lookup(host, path string) (*Route, bool) {
 	routes := c.Hosts[host]
 	for i := range routes {
@@ -102,38 +105,38 @@
 	return nil, false
 }
 
-// Service describes a group of like backend servers.
+// Service describes a group of interchangeable backend servers.
 type Service struct {
 	ID       state.ServiceID
-	MaxConns int     // connections that one server takes from all callers; 0 for no bound
+	MaxConns int     // connections that one server accepts from all callers; 0 for no limit
 	Engine   *Engine // nil for a plain service
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
 	Layers     int
-	LayerMB    float64 // of memory for the weights of one layer
-	KVTokens   int     // tokens that an engine is meant to hold at one time
-	TokenKB    float64 // of KV cache for one token in all layers
-	ActivateKB float64 // of activations for one token at each hop
-	PipeMbps   float64 // between two failure domains, shared by all paths
-	StepMS     float64 // of one token step through all layers at pace 1
-	SeqMS      float64 // that each stream under way adds to such a step
-	ContextMS  float64 // that each 1,000 tokens of context add to it
-	ReadPerS   float64 // prompt tokens a second through all layers at pace 1
+	LayerMB    float64 // memory for the weights of one layer
+	KVTokens   int     // number of tokens whose KV cache one engine is meant to hold at a time
+	TokenKB    float64 // KV cache of one token in all layers
+	ActivateKB float64 // activations of one token sent between two hops
+	PipeMbps   float64 // bandwidth between two failure domains, shared by all paths
+	StepMS     float64 // duration of a decode step through all layers at pace 1
+	SeqMS      float64 // time that each running stream adds to a decode step
+	ContextMS  float64 // time that each 1,000 tokens of context add to a decode step
+	ReadPerS   float64 // prefill rate in prompt tokens per second through all layers at pace 1
 	LoadTime   time.Duration
 	Kinds      map[string]AcceleratorKind
 }
 
-// CardKind is one kind of accelerator.
+// AcceleratorKind describes one kind of accelerator.
 type AcceleratorKind struct {
 	MemoryMB float64
-	Pace     float64 // of token steps; higher is slower
-	ReadPace float64 // of prompt reading; higher is slower
+	Pace     float64 // relative duration of a decode step; higher is slower
+	ReadPace float64 // relative duration of the prefill; higher is slower
 }
 
-// Room returns how many tokens a card of kind k can hold beside the weights of
-// the given number of layers.
+// KVCapacity returns the number of tokens whose KV cache fits into the memory of
+// an engine of kind k next to the weights of the given number of layers.
 func (e *Engine) KVCapacity(k AcceleratorKind, layers int) int {
 	if layers <= 0 || e.Layers <= 0 || e.TokenKB <= 0 {
 		return 0
--- a/state/fleet/server.go
+++ b/state/fleet/server.go
@@ -9,34 +9,34 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Range is a contiguous range of layers.
+// Range is a contiguous range of layers [From, To).
 type Range struct {
 	From int
 	To   int // exclusive
 }
 
-// Len is the number of layers in r.
+// Len returns the number of layers in r.
 func (r Range) Len() int { return r.To - r.From }
 
-// String gives the range as FROM-TO, TO exclusive.
+// String returns the range as FROM-TO, with TO exclusive.
 func (r Range) String() string { return strconv.Itoa(r.From) + "-" + strconv.Itoa(r.To) }
 
-// Server is one life of one backend server, as it lists itself. One that starts again
-// has another id, or the same one and another Born.
+// Server is the entry of one incarnation of a backend server in the list of servers. A
+// server that restarts has another ID, or the same ID and another Born.
 type Server struct {
 	ID       state.BackendID
-	Born     int64 // of this life, as state.Life has it
+	Born     int64 // start time, as in state.BackendIncarnation
 	Service  state.ServiceID
 	Address  string // host:port
 	Domain   state.FailureDomain
-	Kind     string // of its accelerator, "" for plain servers
+	Kind     string // accelerator kind, "" for plain servers
 	Slots    int
 	Draining bool
-	Cold     time.Duration // for which it stays slow after its start
-	Layers   Range         // that it holds; empty for none
+	Cold     time.Duration // remaining warm-up time, in which the server is slow
+	Layers   Range         // the layers that it holds; empty for none
 }
 
-// Life is the start of the server that this entry is of.
+// Incarnation returns the incarnation that this entry describes.
 func (s *Server) Incarnation() state.BackendIncarnation {
 	return state.BackendIncarnation{ID: s.ID, Born: s.Born}
 }
@@ -46,7 +46,7 @@
 	return s.Layers.From <= l && l < s.Layers.To
 }
 
-// Hop is one backend server's part of a path.
+// Hop is the part of a path that runs on one backend server.
 type Hop struct {
 	Server  state.BackendIncarnation
 	Address string
@@ -54,10 +54,11 @@
 	Layers  Range
 }
 
-// Path is the way of a request through all layers, in order.
+// Path is the sequence of backend servers that a request passes through, in the
+// order of their layers.
 type Path []Hop
 
-// String gives the hops in order, such as "10.1.0.7:80=0-15 10.1.0.9:80=15-24".
+// String returns the hops in order, such as "10.1.0.7:80=0-15 10.1.0.9:80=15-24".
 func (p Path) String() string {
 	var b strings.Builder
 	for i, h := range p {
@@ -73,8 +74,8 @@
 	return b.String()
 }
 
-// Whole reports whether the path runs layers 0 to n once each and in order, on
-// different servers.
+// Complete reports whether the path runs the layers [0, n) once each and in order,
+// on distinct servers.
 func (p Path) Complete(n int) bool {
 	at := 0
 	seen := make(map[string]bool, len(p))
@@ -88,20 +89,20 @@
 	return at == n
 }
 
-// Cover counts, for each layer of a model, the backend servers that hold it.
+// Cover is the number of backend servers that hold each layer of a model.
 type Cover []int
 
-// NewCover is a cover of a model's layers that nobody holds yet.
+// NewCover returns a cover of a model whose layers no server holds.
 func NewCover(layers int) Cover { return make(Cover, layers) }
 
-// Add counts a server that holds r, or one less for by = -1.
+// Add adds by, which is 1 or -1, to the count of each layer in r.
 func (c Cover) Add(r Range, by int) {
 	for l := max(r.From, 0); l < min(r.To, len(c)); l++ {
 		c[l] += by
 	}
 }
 
-// Missing counts the layers that nobody holds.
+// Missing returns the number of layers that no server holds.
 func (c Cover) Missing() int {
 	n := 0
 	for _, copies := range c {
@@ -112,8 +113,8 @@
 	return n
 }
 
-// Least is how many servers hold the layer that is held by the fewest, 0 for a model
-// without layers.
+// MinCopies returns the lowest number of servers that hold any one layer, 0 for a
+// model without layers.
 func (c Cover) MinCopies() int {
 	if len(c) == 0 {
 		return 0
@@ -121,5 +122,5 @@
 	return slices.Min(c)
 }
 
-// Whole reports whether each layer is held.
+// Complete reports whether every layer is held by at least one server.
 func (c Cover) Complete() bool { return c.Missing() == 0 }
