--- a/state/service/bench_test.go
+++ b/state/service/bench_test.go
@@ -15,9 +15,9 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// planned is a document of the size planned for: 480 customers and 800 chains
-// of 4 stages.
-func planned() []byte {
+// plannedDocument returns a document of the size that the service is designed for:
+// 480 customers and 800 chains of 4 stages.
+func plannedDocument() []byte {
 	d, _ := service.Decode(example("drafts.json"))
 	d.Placement.Mode = service.PlacementFixed
 	for i := range 800 {
@@ -48,8 +48,8 @@
 	})
 }
 
-// BenchmarkDecode reads a document with Decode, and beside it in the other ways
-// that docs/design/operator-input.md weighs.
+// BenchmarkDecode compares Decode with the alternatives that
+// docs/design/operator-input.md discusses.
 func BenchmarkDecode(b *testing.B) {
 	RegisterTestingT(b)
 	decode := func(text []byte) error {
@@ -59,7 +59,7 @@
 		return nil
 	}
 	measure(b, "example", example("drafts.json"), decode)
-	text := planned()
+	text := plannedDocument()
 	measure(b, "planned", text, decode)
 	measure(b, "planned-encoding-json", text, func(text []byte) error {
 		d := json.NewDecoder(bytes.NewReader(text))
--- a/state/service/check.go
+++ b/state/service/check.go
@@ -5,8 +5,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// checker collects the faults that concern more than one field. Fields that
-// are zero were reported while decoding and are passed over.
+// checker collects the faults that involve more than one field. Fields that are
+// zero were reported during decoding and are skipped.
 type checker struct {
 	faults []Fault
 }
@@ -15,7 +15,7 @@
 	c.faults = append(c.faults, strictjson.Faultf(path, format, args...))
 }
 
-// contradictions returns the faults between the parts of d.
+// contradictions returns the faults that involve more than one part of d.
 func (d *Document) contradictions() []Fault {
 	c := &checker{}
 	d.checkModel(c)
@@ -36,9 +36,9 @@
 	if d.Model == nil {
 		return
 	}
-	seen := firsts[string]{}
+	seen := firstPaths[string]{}
 	for i, a := range d.Model.Adapters {
-		seen.note(c, a, func() string { return strictjson.Item("model.adapters", i) })
+		seen.add(c, a, func() string { return strictjson.Item("model.adapters", i) })
 	}
 }
 
@@ -53,13 +53,13 @@
 	case d.Placement.Mode == PlacementFixed && d.Capacity.Replicas > len(chains):
 		c.addf("capacity.replicas", "is %d, but placement.chains has only %d", d.Capacity.Replicas, len(chains))
 	}
-	ids := firsts[state.ReplicaID]{}
-	backends := firsts[state.BackendID]{}
+	ids := firstPaths[state.ReplicaID]{}
+	backends := firstPaths[state.BackendID]{}
 	for i, chain := range chains {
 		at := func(rest string) string { return strictjson.Member(strictjson.Item(path, i), rest) }
-		ids.note(c, chain.ID, func() string { return at("id") })
+		ids.add(c, chain.ID, func() string { return at("id") })
 		for j, s := range chain.Stages {
-			backends.note(c, s.Backend, func() string { return at(stagePath(j, "backend")) })
+			backends.add(c, s.Backend, func() string { return at(stagePath(j, "backend")) })
 		}
 		d.checkChain(c, at, chain.Stages)
 	}
@@ -69,8 +69,8 @@
 	return strictjson.Member(strictjson.Item("stages", j), field)
 }
 
-// checkChain reports where the stages do not hold each layer once, in order.
-// Otherwise a token would pass a layer twice or not at all.
+// checkChain reports stages that do not hold each layer once, in order. In such
+// a chain a token would run through a layer twice or not at all.
 func (d *Document) checkChain(c *checker, at func(string) string, stages []ChainStage) {
 	if d.Kind == KindPlain {
 		checkPlainChain(c, at, stages)
@@ -107,12 +107,12 @@
 }
 
 func (d *Document) checkClasses(c *checker) {
-	names := firsts[state.ClassID]{}
+	names := firstPaths[state.ClassID]{}
 	reserved := 0
 	for i, class := range d.Classes {
 		at := strictjson.Item("classes", i)
-		names.note(c, class.Name, func() string { return strictjson.Member(at, "name") })
-		reserved += min(class.ReservedSlots, 1<<32) // keeps the sum from overflowing
+		names.add(c, class.Name, func() string { return strictjson.Member(at, "name") })
+		reserved += min(class.ReservedSlots, 1<<32) // avoids an overflow of the sum
 		if d.Kind == KindModel && class.MaxTokens == 0 {
 			c.addf(strictjson.Member(at, "max_tokens"), `must be at least 1 for kind "model"`)
 		}
@@ -126,9 +126,9 @@
 }
 
 func (d *Document) checkCustomers(c *checker) {
-	ids := firsts[state.CustomerID]{}
+	ids := firstPaths[state.CustomerID]{}
 	for i, customer := range d.Customers {
-		ids.note(c, customer.ID, func() string {
+		ids.add(c, customer.ID, func() string {
 			return strictjson.Member(strictjson.Item("customers", i), "id")
 		})
 	}
@@ -139,23 +139,23 @@
 	if auto && len(d.BackendKinds) == 0 {
 		c.addf("backend_kinds", `is missing; placement.mode "auto" needs the kinds that layers may be placed on`)
 	}
-	kinds := firsts[string]{}
+	kinds := firstPaths[string]{}
 	for i, k := range d.BackendKinds {
 		at := strictjson.Item("backend_kinds", i)
-		kinds.note(c, k.Kind, func() string { return strictjson.Member(at, "kind") })
+		kinds.add(c, k.Kind, func() string { return strictjson.Member(at, "kind") })
 		if auto && k.MemoryLayers == 0 {
 			c.addf(strictjson.Member(at, "memory_layers"), `must be at least 1 with placement.mode "auto"`)
 		}
 	}
 }
 
-// firsts remembers where each name of a list stands first. Paths are made only
-// for a fault, since a document may hold thousands of names.
-type firsts[K ~string] map[K]func() string
+// firstPaths maps each name of a list to the path of its first occurrence. Paths are
+// built only for a fault, since a document may contain thousands of names.
+type firstPaths[K ~string] map[K]func() string
 
-// note reports name at path if it stood before. An empty name was reported
-// while decoding.
-func (f firsts[K]) note(c *checker, name K, path func() string) {
+// add adds the name at path, or reports it as a duplicate. An empty name was
+// reported during decoding.
+func (f firstPaths[K]) add(c *checker, name K, path func() string) {
 	if name == "" {
 		return
 	}
--- a/state/service/decode.go
+++ b/state/service/decode.go
@@ -8,16 +8,16 @@
 	"github.com/hibiscuswick/hibiscuswick/internal/strictjson"
 )
 
-// MaxBytes bounds the text of one document.
+// MaxBytes is the maximum size of a document's text.
 const MaxBytes = 1 << 20
 
-// Fault is one thing that is wrong with a document; its String gives
+// Fault is one error in a document; its String method returns text such as
 // "classes[1].deadline: is 0s, must be at least 1ms".
 type Fault = strictjson.Fault
 
-// Decode reads a document and returns every fault of it: unknown, missing and
-// doubled fields, wrong types and units, impossible values, and parts that
-// contradict each other. Fields that are left out take their defaults.
+// Decode parses a document and returns all of its faults: unknown, missing and
+// duplicate fields, wrong types and units, values out of range, and parts that
+// contradict each other. Omitted fields get their defaults.
 //
 // The document may be used only if there are no faults.
 func Decode(text []byte) (Document, []Fault) {
@@ -28,8 +28,9 @@
 	}
 	faults = append(faults, d.contradictions()...)
 	if len(faults) == 0 && len(text) > MaxBytes/2 {
-		// Defaults written out at most double a text; what is stored has to
-		// be read again by every daemon.
+		// Writing out the defaults at most doubles the size of a text. The
+		// result is what gets stored, and every daemon must be able to
+		// decode it again.
 		if n := len(d.Encode()); n > MaxBytes {
 			faults = append(faults, strictjson.Faultf(strictjson.Root,
 				"has %d bytes with its defaults written out, at most %d are allowed", n, MaxBytes))
@@ -38,19 +39,19 @@
 	return d, faults
 }
 
-// Validate returns every fault of a document that was built in a program.
+// Validate returns all faults of a document that was built by a program.
 func (d *Document) Validate() []Fault {
 	_, faults := Decode(d.Encode())
 	return faults
 }
 
-// Encode writes the canonical text of d: one line, every field in the order of
-// Document, defaults written out. Equal documents have equal texts.
+// Encode returns the canonical text of d: one line, all fields in the order of
+// Document, with defaults written out. Equal documents have equal texts.
 func (d *Document) Encode() []byte {
 	return d.encode("")
 }
 
-// Pretty writes the canonical text of d for people, indented by two spaces.
+// Pretty returns the canonical text of d, indented by two spaces.
 func (d *Document) Pretty() []byte {
 	return d.encode("  ")
 }
@@ -61,14 +62,14 @@
 	e.SetEscapeHTML(false)
 	e.SetIndent("", indent)
 	if err := e.Encode(d); err != nil {
-		// Only a NaN or an infinite number can't be written, and Decode
-		// makes none.
-		panic(fmt.Sprintf("service: document that can't be written as JSON: %v", err))
+		// Only NaN and infinite numbers can't be encoded, and Decode returns
+		// none.
+		panic(fmt.Sprintf("service: document can't be encoded as JSON: %v", err))
 	}
 	return b.Bytes()
 }
 
-// Texts gives the text of each fault, "path: problem".
+// Texts returns the text of each fault, "path: problem".
 func Texts(faults []Fault) []string {
 	texts := make([]string, 0, len(faults))
 	for _, f := range faults {
--- a/state/service/decode_test.go
+++ b/state/service/decode_test.go
@@ -18,9 +18,9 @@
 	return text
 }
 
-// broken returns the example with each old text, which stands in it once,
-// replaced by the new one after it.
-func broken(name string, oldNew ...string) []byte {
+// exampleWith returns an example in which each old text, which must occur exactly
+// once, is replaced by the new text that follows it in oldNew.
+func exampleWith(name string, oldNew ...string) []byte {
 	text := string(example(name))
 	for i := 0; i < len(oldNew); i += 2 {
 		Expect(strings.Count(text, oldNew[i])).To(Equal(1), oldNew[i])
@@ -35,7 +35,7 @@
 }
 
 var _ = Describe("Decode", func() {
-	It("reads the examples and fills in defaults", func() {
+	It("decodes the examples and applies defaults", func() {
 		drafts, f := service.Decode(example("drafts.json"))
 		Expect(f).To(BeEmpty())
 		Expect(drafts.Classes[2].ReservedSlots).To(Equal(0))
@@ -46,14 +46,14 @@
 		Expect(alerts.Capacity.QueuePerClass).To(Equal(256))
 	})
 
-	It("fills in an object that is left out", func() {
-		d, f := service.Decode(broken("drafts.json", `"retry": { "max_attempts": 3, "budget_ratio": 0.2 },`, ""))
+	It("applies the defaults of an omitted object", func() {
+		d, f := service.Decode(exampleWith("drafts.json", `"retry": { "max_attempts": 3, "budget_ratio": 0.2 },`, ""))
 		Expect(f).To(BeEmpty())
 		Expect(d.Retry).To(Equal(service.Retry{MaxAttempts: 3, BudgetRatio: 0.2}))
 	})
 
-	It("names every fault at once, each by its path", func() {
-		Expect(faults(broken("drafts.json",
+	It("reports all faults at once, each with its path", func() {
+		Expect(faults(exampleWith("drafts.json",
 			`"priority": 1, "deadline": "5s"`, `"Priority": 1, "deadline": 5`,
 			`"layers": 48`, `"layers": 48.5`,
 			`"burst": 40, "weight": 2`, `"burst": 0, "weight": null`,
@@ -79,9 +79,9 @@
 		))
 	})
 
-	DescribeTable("refuses parts that contradict each other",
+	DescribeTable("rejects parts that contradict each other",
 		func(name, old, replacement string, want ...string) {
-			Expect(faults(broken(name, old, replacement))).To(Equal(want))
+			Expect(faults(exampleWith(name, old, replacement))).To(Equal(want))
 		},
 		Entry("a model service without a model", "alerts.json", `"kind": "plain"`, `"kind": "model"`,
 			`model: is missing; kind "model" needs it`,
@@ -93,11 +93,11 @@
 			`placement.chains[2].stages[0]: holds layers; for kind "plain" first and end are 0`),
 		Entry("more replicas than chains", "alerts.json", `"replicas": 3`, `"replicas": 4`,
 			`capacity.replicas: is 4, but placement.chains has only 3`),
-		Entry("as many reserved slots as there are", "alerts.json", `"reserved_slots": 16`, `"reserved_slots": 64`,
+		Entry("all slots reserved", "alerts.json", `"reserved_slots": 16`, `"reserved_slots": 64`,
 			`classes: reserve 64 slots together, must be fewer than capacity.slots_per_replica, which is 64`),
-		Entry("layers that the controller can't place", "drafts.json", `"memory_layers": 12`, `"memory_layers": 0`,
+		Entry("a backend kind without capacity under automatic placement", "drafts.json", `"memory_layers": 12`, `"memory_layers": 0`,
 			`backend_kinds[1].memory_layers: must be at least 1 with placement.mode "auto"`),
-		Entry("a layer left out and one held twice", "drafts.json", `{ "mode": "auto" }`,
+		Entry("a missing layer and a layer held twice", "drafts.json", `{ "mode": "auto" }`,
 			`{ "mode": "fixed", "chains": [{ "id": "a", "stages": [
 				{"backend": "x", "first": 0, "end": 20}, {"backend": "y", "first": 21, "end": 30}, {"backend": "z", "first": 29, "end": 47}]}]}`,
 			`capacity.replicas: is 40, but placement.chains has only 1`,
@@ -106,23 +106,23 @@
 			`placement.chains[0].stages[2].end: is 47, must be 48, the number of the model's layers`),
 	)
 
-	DescribeTable("refuses what is not one JSON object",
+	DescribeTable("rejects text that is not a single JSON object",
 		func(text, want string) {
 			Expect(faults([]byte(text))).To(ConsistOf(HavePrefix(want)))
 		},
-		Entry("nothing", "", "$: is not JSON"),
+		Entry("empty text", "", "$: is not JSON"),
 		Entry("data after the value", "{}\n {}", "$: is not JSON: invalid character '{' after top-level value (line 2, column 2)"),
 		Entry("an array", "[{}]", "$: is an array, must be an object"),
 		Entry("bytes that are not UTF-8", "{\"service\":\"\xff\"}", "$: is not UTF-8"),
-		Entry("too much", strings.Repeat(" ", service.MaxBytes+1), "$: has 1048577 bytes"),
+		Entry("text above the size limit", strings.Repeat(" ", service.MaxBytes+1), "$: has 1048577 bytes"),
 	)
 
-	It("refuses a document that is too long only with its defaults written out", func() {
+	It("rejects a document that exceeds the size limit only with its defaults written out", func() {
 		var customers, chains strings.Builder
 		for i := range 9_990 {
 			fmt.Fprintf(&customers, `{"id":"c%d","requests_per_second":1,"burst":1},`, i)
 		}
-		text := broken("alerts.json", `"customers": [`, `"customers": [`+customers.String())
+		text := exampleWith("alerts.json", `"customers": [`, `"customers": [`+customers.String())
 		Expect(faults(text)).To(BeEmpty())
 		for i := range 8_500 {
 			fmt.Fprintf(&chains, `{"id":"x%d","stages":[{"backend":"b%d","first":0,"end":0}]},`, i, i)
@@ -132,7 +132,7 @@
 		Expect(faults(text)).To(ConsistOf(MatchRegexp(`^\$: has \d+ bytes with its defaults written out`)))
 	})
 
-	It("bounds the report of a hostile text", func() {
+	It("limits the number of reported faults", func() {
 		text := `{"classes":[` + strings.Repeat(`{},`, 300_000) + `{}]}`
 		Expect(len(faults([]byte(text)))).To(BeNumerically("<", 600))
 	})
--- a/state/service/document.go
+++ b/state/service/document.go
@@ -1,8 +1,8 @@
-// Package service holds the service document: the one JSON text by which a
-// team describes its service, and the only thing an operator edits.
+// Package service defines the service document: the JSON document in which a
+// team describes its service. It is the only thing that operators edit.
 //
-// A Document is immutable once decoded. Decode and Validate report every fault
-// of a text at once, each by its path.
+// A Document is immutable once decoded. Decode and Validate report all faults
+// of a document at once, each with its path.
 package service
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Kind says what stands behind a service.
+// Kind is the kind of backend server of a service.
 type Kind string
 
 // The values of Kind.
@@ -20,164 +20,170 @@
 	KindPlain Kind = "plain" // replicas are single plain servers
 )
 
-// Document is one service as its team describes it.
+// Document is the description of one service.
 type Document struct {
-	// Service names the service; it never changes.
+	// Service is the name of the service. It never changes.
 	Service state.ServiceID `json:"service" format:"name"`
-	// Kind says what stands behind the service: model engines or plain
+	// Kind is the kind of the service's backend servers: model engines or plain
 	// servers.
 	Kind Kind `json:"kind" enum:"model,plain"`
 
-	// Model is what the engines load; set exactly when Kind is "model".
+	// Model is the model that the engines load; set if and only if Kind is
+	// "model".
 	Model *Model `json:"model,omitempty"`
 
-	// Capacity is how much the service is to hold ready.
+	// Capacity is the capacity that the service provides.
 	Capacity Capacity `json:"capacity"`
-	// Placement is where the layers are.
+	// Placement assigns the layers to backend servers.
 	Placement Placement `json:"placement"`
 
-	// Classes are the kinds of request, each named once.
+	// Classes are the request classes, with unique names.
 	Classes []Class `json:"classes" minItems:"1" maxItems:"64"`
-	// Customers are those who may send requests, each named once.
+	// Customers are the customers that may send requests, with unique ids.
 	Customers []Customer `json:"customers" minItems:"1" maxItems:"10000"`
-	// Retry bounds repeated attempts; left out, its defaults hold.
+	// Retry limits retries; if it is omitted, its defaults apply.
 	Retry Retry `json:"retry" required:"false"`
 
-	// BackendKinds says what is promised of each kind of backend server.
+	// BackendKinds describes the properties of each kind of backend server.
 	BackendKinds []BackendKind `json:"backend_kinds,omitempty" maxItems:"64"`
 }
 
-// Model is what the engines load.
+// Model is the model that the engines load.
 type Model struct {
-	// Name is the model's name.
+	// Name is the name of the model.
 	Name string `json:"name" format:"name"`
-	// Version is the version that is to run.
+	// Version is the version of the model to run.
 	Version string `json:"version" format:"name"`
-	// Layers counts the model's layers; ranges of them go from 0 to Layers.
+	// Layers is the number of layers of the model; layer ranges lie within 0 to
+	// Layers.
 	Layers int `json:"layers" minimum:"1" maximum:"10000"`
 	// Adapters are the names of the adapters to load with the model.
 	Adapters []string `json:"adapters,omitempty" format:"name" maxItems:"256"`
 }
 
-// Capacity is how much the service is to hold ready.
+// Capacity is the capacity that a service provides.
 type Capacity struct {
-	// Replicas is how many replicas to keep; with fixed placement at most the
-	// number of chains.
+	// Replicas is the number of replicas to run; with fixed placement at most
+	// the number of chains.
 	Replicas int `json:"replicas" minimum:"1" maximum:"100000"`
-	// SlotsPerReplica is how many requests run at one time in one replica.
+	// SlotsPerReplica is the number of requests that one replica runs
+	// concurrently.
 	SlotsPerReplica int `json:"slots_per_replica" minimum:"1" maximum:"65536"`
-	// QueuePerClass is how many requests may wait, per class and pool;
+	// QueuePerClass is the maximum number of queued requests per class and pool;
 	// default 256.
 	QueuePerClass int `json:"queue_per_class" default:"256" minimum:"1" maximum:"1000000"`
 }
 
-// PlacementMode says who assigns layers to backend servers.
+// PlacementMode selects who assigns layers to backend servers.
 type PlacementMode string
 
 // The values of PlacementMode.
 const (
 	PlacementFixed PlacementMode = "fixed" // Chains are taken as written
-	PlacementAuto  PlacementMode = "auto"  // the service's controller places them
+	PlacementAuto  PlacementMode = "auto"  // the service's controller assigns them
 )
 
-// Placement is where the layers are.
+// Placement assigns the layers of the model to backend servers.
 type Placement struct {
-	// Mode says who assigns layers: "fixed" takes Chains as written, "auto"
-	// leaves it to the service's controller.
+	// Mode selects who assigns the layers: "fixed" uses Chains as written,
+	// "auto" lets the service's controller assign them.
 	Mode PlacementMode `json:"mode" enum:"fixed,auto"`
-	// Chains are the replicas; set exactly when Mode is "fixed".
+	// Chains are the replicas; set if and only if Mode is "fixed".
 	Chains []Chain `json:"chains,omitempty" maxItems:"20000"`
 }
 
-// Chain is one replica written out by hand.
+// Chain is one replica with fixed placement.
 type Chain struct {
-	// ID names the replica.
+	// ID is the id of the replica.
 	ID state.ReplicaID `json:"id" format:"name"`
-	// Stages hold layers [0, n) in order, each layer once; a plain service's
-	// chain has one stage with first and end 0.
+	// Stages hold the layers [0, n) in order, each layer once; the chain of a
+	// plain service has one stage with first and end 0.
 	Stages []ChainStage `json:"stages" minItems:"1" maxItems:"1024"`
 }
 
-// ChainStage is one backend server's layers [First, End).
+// ChainStage assigns the layers [First, End) to one backend server.
 type ChainStage struct {
-	// Backend is the server, which stands in one stage only.
+	// Backend is the backend server. A server is used in one stage only.
 	Backend state.BackendID `json:"backend" format:"backend"`
-	// First is the first layer held.
+	// First is the first layer of the stage.
 	First int `json:"first" minimum:"0"`
-	// End is the first layer after those held.
+	// End is the first layer after the stage.
 	End int `json:"end" minimum:"0"`
 }
 
-// Class is one kind of request.
+// Class is one request class.
 type Class struct {
-	// Name is what requests give as their class.
+	// Name is the name of the class, as requests state it.
 	Name state.ClassID `json:"name" format:"name"`
 
-	// Priority orders classes: 0 goes first.
+	// Priority orders the classes; 0 is the most urgent.
 	Priority int `json:"priority" minimum:"0" maximum:"100"`
 
-	// Deadline is the longest time from arrival to the first token, such as
+	// Deadline is the maximum time from arrival to the first token, such as
 	// "550ms"; 1ms to 24h.
 	Deadline Duration `json:"deadline" minDuration:"1ms" maxDuration:"24h"`
 
-	// NeverRepeat marks requests that run at most once.
+	// NeverRepeat means that requests of the class run at most once.
 	NeverRepeat bool `json:"never_repeat"`
 
-	// ReservedSlots of each replica are kept for this class and those with a
-	// smaller Priority number; default 0. All classes together reserve fewer
-	// than a replica has.
+	// ReservedSlots is the number of slots of each replica that are reserved for
+	// this class and those with a lower Priority number; default 0. The sum over
+	// all classes is below the number of slots of a replica.
 	ReservedSlots int `json:"reserved_slots" default:"0" minimum:"0"`
 
-	// MaxTokens is the longest answer; 0, the default, for plain services.
+	// MaxTokens is the maximum length of an answer in tokens; 0, the default,
+	// for plain services.
 	MaxTokens int `json:"max_tokens" default:"0" minimum:"0" maximum:"10000000"`
 }
 
-// Customer is one customer and its limits over the whole site.
+// Customer is one customer with its limits across the site.
 type Customer struct {
-	// ID is what requests give as their customer.
+	// ID is the id of the customer, as requests state it.
 	ID state.CustomerID `json:"id" format:"name"`
-	// RequestsPerSecond is the rate over the whole site.
+	// RequestsPerSecond is the rate limit across the site.
 	RequestsPerSecond float64 `json:"requests_per_second" exclusiveMinimum:"0" maximum:"1000000"`
-	// Burst is how many requests may come at once on top of the rate.
+	// Burst is the number of requests that may arrive at once above the rate.
 	Burst int `json:"burst" minimum:"1" maximum:"1000000"`
-	// Weight is the customer's share of a busy queue; default 1.
+	// Weight is the relative share of the customer in a queue with waiting
+	// requests; default 1.
 	Weight float64 `json:"weight" default:"1" exclusiveMinimum:"0" maximum:"1000"`
 }
 
-// Retry bounds repeated attempts.
+// Retry limits the retries of requests.
 type Retry struct {
-	// MaxAttempts counts the executions of one request, the first included;
-	// default 3.
+	// MaxAttempts is the maximum number of executions of one request, including
+	// the first; default 3.
 	MaxAttempts int `json:"max_attempts" default:"3" minimum:"1" maximum:"100"`
-	// BudgetRatio bounds retries as a share of recent successes; default 0.2.
+	// BudgetRatio is the maximum ratio of retries to recent successes; default
+	// 0.2.
 	BudgetRatio float64 `json:"budget_ratio" default:"0.2" minimum:"0" maximum:"1"`
 }
 
-// BackendKind is what is promised of one kind of backend server.
+// BackendKind describes one kind of backend server.
 type BackendKind struct {
-	// Kind is the name that the platform's instance list gives.
+	// Kind is the name of the kind in the platform's instance list.
 	Kind string `json:"kind" format:"name"`
-	// ChecksFencing says that servers of this kind refuse an order with an
-	// old fencing number. It has no default.
+	// ChecksFencing means that servers of this kind refuse orders with an
+	// outdated fencing number. It has no default.
 	ChecksFencing bool `json:"checks_fencing"`
-	// Speed is the relative rate, 1, the default, being the fastest.
+	// Speed is the relative speed; 1, the default, is the fastest.
 	Speed float64 `json:"speed" default:"1" exclusiveMinimum:"0" maximum:"1"`
-	// MemoryLayers is how many layers of this model fit; needed where layers
-	// are placed by the controller, default 0.
+	// MemoryLayers is the number of layers of this model that fit into memory;
+	// required if the controller assigns the layers, default 0.
 	MemoryLayers int `json:"memory_layers" default:"0" minimum:"0" maximum:"10000"`
 }
 
-// Versioned is a document with its place in the service's history.
+// Versioned is a document with its version and the edit that created it.
 type Versioned struct {
 	Version  state.DocumentVersion `json:"version"`
 	EditID   string                `json:"edit_id"`
 	Document Document              `json:"document"`
 }
 
-// Duration is a time.Duration written as text, such as "250ms".
+// Duration is a time.Duration that is encoded as text, such as "250ms".
 type Duration time.Duration
 
-// Class returns the class of that name.
+// Class returns the class with the given name.
 func (d *Document) Class(name state.ClassID) (Class, bool) {
 	for _, c := range d.Classes {
 		if c.Name == name {
@@ -187,7 +193,7 @@
 	return Class{}, false
 }
 
-// Customer returns the customer of that id.
+// Customer returns the customer with the given id.
 func (d *Document) Customer(id state.CustomerID) (Customer, bool) {
 	for _, c := range d.Customers {
 		if c.ID == id {
@@ -197,8 +203,8 @@
 	return Customer{}, false
 }
 
-// KindSpeed returns the relative speed of a kind of backend server, 1 where the
-// document says nothing of it.
+// KindSpeed returns the relative speed of a kind of backend server, 1 if the
+// document does not list the kind.
 func (d *Document) KindSpeed(kind string) float64 {
 	for _, k := range d.BackendKinds {
 		if k.Kind == kind && k.Speed > 0 {
--- a/state/service/duration.go
+++ b/state/service/duration.go
@@ -10,18 +10,18 @@
 	return time.Duration(d)
 }
 
-// String gives text such as "250ms".
+// String returns d as text, such as "250ms".
 func (d Duration) String() string {
 	return time.Duration(d).String()
 }
 
-// MarshalText writes d as text, such as "250ms".
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(d.String()), nil
 }
 
-// UnmarshalText reads text such as "250ms". A number without a unit is refused,
-// except 0.
+// UnmarshalText implements encoding.TextUnmarshaler. It rejects a number without
+// a unit, except 0.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
--- a/state/service/property_test.go
+++ b/state/service/property_test.go
@@ -15,15 +15,15 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// place is one value of a JSON tree that can be replaced.
-type place struct {
+// jsonNode is a value in a JSON tree that can be replaced.
+type jsonNode struct {
 	path string
 	set  func(any)
 }
 
-// places lists the values below v with the paths that faults give them.
-func places(path string, v any) []place {
-	var all []place
+// jsonNodes returns the values below v with their paths as reported in faults.
+func jsonNodes(path string, v any) []jsonNode {
+	var all []jsonNode
 	switch v := v.(type) {
 	case map[string]any:
 		for _, k := range slices.Sorted(maps.Keys(v)) {
@@ -31,20 +31,20 @@
 			if path != "" {
 				at = path + "." + k
 			}
-			all = append(all, place{at, func(n any) { v[k] = n }})
-			all = append(all, places(at, v[k])...)
+			all = append(all, jsonNode{at, func(n any) { v[k] = n }})
+			all = append(all, jsonNodes(at, v[k])...)
 		}
 	case []any:
 		for i := range v {
 			at := fmt.Sprintf("%s[%d]", path, i)
-			all = append(all, place{at, func(n any) { v[i] = n }})
-			all = append(all, places(at, v[i])...)
+			all = append(all, jsonNode{at, func(n any) { v[i] = n }})
+			all = append(all, jsonNodes(at, v[i])...)
 		}
 	}
 	return all
 }
 
-// document draws a document without faults.
+// document generates a document without faults.
 func document(t *rapid.T) service.Document {
 	text := rapid.SampledFrom([]string{"drafts.json", "alerts.json"}).Draw(t, "example")
 	d, faults := service.Decode(example(text))
@@ -67,7 +67,7 @@
 }
 
 var _ = Describe("properties of Decode", func() {
-	It("gives back what Encode wrote", func() {
+	It("decodes the output of Encode to an equal document", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			d := document(t)
 			again, faults := service.Decode(d.Encode())
@@ -78,31 +78,31 @@
 		})
 	})
 
-	It("names each of several values of a wrong type by its path", func() {
+	It("reports each of several values of a wrong type with its path", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			var tree any
 			d := document(t)
 			NewWithT(t).Expect(json.Unmarshal(d.Encode(), &tree)).To(Succeed())
 			var wrong []string
 			for range rapid.IntRange(1, 5).Draw(t, "mistakes") {
-				p := rapid.SampledFrom(places("", tree)).Draw(t, "place")
+				p := rapid.SampledFrom(jsonNodes("", tree)).Draw(t, "node")
 				p.set(nil)
 				wrong = append(wrong, p.path)
 			}
 			text, err := json.Marshal(tree)
 			NewWithT(t).Expect(err).NotTo(HaveOccurred())
 			_, faults := service.Decode(text)
-			for _, path := range stillThere(wrong, tree) {
+			for _, path := range remaining(wrong, tree) {
 				NewWithT(t).Expect(service.Texts(faults)).To(ContainElement(HavePrefix(path + ": is null")))
 			}
 		})
 	})
 })
 
-// stillThere keeps the paths that a later mistake did not take away.
-func stillThere(paths []string, tree any) []string {
+// remaining returns the paths that were not removed by a later change to a parent.
+func remaining(paths []string, tree any) []string {
 	var kept []string
-	for _, p := range places("", tree) {
+	for _, p := range jsonNodes("", tree) {
 		if slices.Contains(paths, p.path) {
 			kept = append(kept, p.path)
 		}
@@ -114,7 +114,7 @@
 	RegisterTestingT(f)
 	f.Add(example("drafts.json"))
 	f.Add(example("alerts.json"))
-	f.Add(broken("alerts.json", `"kind": "plain"`, `"kind": "plain", "kind": "model"`))
+	f.Add(exampleWith("alerts.json", `"kind": "plain"`, `"kind": "plain", "kind": "model"`))
 	f.Add([]byte(`{"service":"a","model":{"layers":1e3,"adapters":[null,"",{}]},"classes":[[]]}`))
 	f.Add([]byte(`[[[[{"\ud800":1}]]]]`))
 	f.Fuzz(func(t *testing.T, text []byte) {
