--- a/protocol/backend/backend.go
+++ b/protocol/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend is the contract with backend servers that answer whole requests
-// by themselves: plain servers, and engines that pass a request along a path.
+// Package backend defines the interface to backend servers that answer complete
+// requests: plain servers, and engines that forward a request along a path.
 package backend
 
 import (
@@ -15,17 +15,17 @@
 
 // Errors of calls.
 var (
-	// ErrNotSent: not one byte of the call left this process, so it has not run
-	// and won't.
+	// ErrNotSent: no byte of the call left this process, so the request has not
+	// run and will not run.
 	ErrNotSent = errors.New("not sent")
-	// ErrBroken: the call left, and no whole answer to it came back. It may
-	// have run.
-	ErrIncomplete = errors.New("no whole answer")
+	// ErrIncomplete: the call was sent, and no complete answer was received. The
+	// request may have run.
+	ErrIncomplete = errors.New("no complete answer")
 )
 
-// Call is one request to one server.
+// Call is a request to one backend server.
 type Call struct {
-	Server       state.BackendID // the life that is meant; another one refuses
+	Server       state.BackendID // the intended incarnation; any other one rejects the call
 	Address      string
 	RequestID    string
 	Method       string
@@ -33,79 +33,83 @@
 	Header       http.Header
 	Body         []byte
 	Customer     state.CustomerID // "" for callers without a key
-	Remaining    time.Duration    // of the caller's deadline; 0 for none
+	Remaining    time.Duration    // time until the caller's deadline; 0 for none
 	Path         fleet.Path       // nil for a plain server
-	LastEventID  string           // id of the last event that the caller has, or ""
+	LastEventID  string           // id of the last event that the caller received, or ""
 	Rank         int              // 0 is the most urgent, 9 the least
-	MaxIdleConns int              // idle connections to the server that may be kept; 0 for as many as suits
+	MaxIdleConns int              // maximum number of pooled idle connections to the server; 0 for the default
 }
 
-// Answer is the head of a server's answer. Body must be closed; it ends with
-// io.EOF only where the answer is whole.
+// Answer is the header of a server's answer together with its body. Body must be
+// closed; it ends with io.EOF only if the answer is complete.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Signed: the answer bears the server's signature.
+	// Signed reports whether the answer carries the server's signature.
 	Signed bool
-	// NotRun proves that the request has not run and won't.
+	// NotRun proves that the request has not run and will not run.
 	NotRun bool
-	// Stale: the server is not the life that was meant, or lacks the layers.
+	// Stale reports that the server is not the intended incarnation, or does not
+	// hold the layers.
 	Stale bool
-	// Culprit is the address of the hop at fault, or "".
+	// FaultyHop is the address of the hop that failed, or "".
 	FaultyHop string
-	// Limit is the limit of requests that the server names in this answer.
+	// Limit is the rate limit that the server states in this answer.
 	Limit fleet.RateLimit
-	// LimitUnreadable: the answer names a limit that can't be read, and Limit says nothing.
+	// LimitUnreadable reports that the answer states a limit that can't be parsed;
+	// Limit is then undefined.
 	LimitUnreadable bool
 }
 
-// Order changes what an engine holds.
+// Order changes the layers that an engine holds.
 type Order struct {
 	Server  state.BackendID
 	Address string
 	Layers  fleet.Range
-	// Fence is the fencing number of whoever gives the order.
+	// FencingNumber is the fencing number of the sender's lease.
 	FencingNumber state.FencingNumber
-	// Orders is how many orders the engine must have begun so far.
+	// OrderCount is the number of orders that the engine must have accepted so
+	// far; the engine rejects the order otherwise.
 	OrderCount uint64
 }
 
-// OrderResult says what an engine made of an order.
+// OrderResult is the result of an order.
 type OrderResult uint8
 
 // The values of OrderResult.
 const (
-	OrderUnknown   OrderResult = iota // no answer: it may be carried out, also later
-	OrderAccepted                     // it is being carried out
-	OrderUnchanged                    // the state already holds
-	OrderConflict                     // it does not fit the engine's state
-	OrderFenced                       // a higher fencing number was seen
-	OrderRejected                     // the engine refuses it for good
+	OrderUnknown   OrderResult = iota // no answer: the order may be carried out, even later
+	OrderAccepted                     // the order is being carried out
+	OrderUnchanged                    // the engine is already in the requested state
+	OrderConflict                     // the order does not match the engine's state
+	OrderFenced                       // the engine has seen a higher fencing number
+	OrderRejected                     // the engine rejects the order permanently
 )
 
 // OrderAnswer is an engine's answer to an order.
 type OrderAnswer struct {
 	Result    OrderResult
-	StartTime int64 // of the life that answered, as state.Life has it; 0 if it does not say
+	StartTime int64 // start time of the incarnation that answered, as in state.BackendIncarnation.Born; 0 if unknown
 }
 
-// Report is what an engine says of itself, some hundred milliseconds old.
+// Report is an engine's report of its own state. It is a few hundred milliseconds
+// old.
 type Report struct {
-	Busy       bool
-	OrderCount uint64
+	Busy       bool   // an order is being carried out
+	OrderCount uint64 // orders accepted so far
 	Layers     fleet.Range
-	Pace       float64 // over 1 is slow
-	Running    int     // requests that it runs as their first server
-	KVUsed     int64   // of Room, what no other request can have
-	KVCapacity int64   // of memory for requests, in tokens times layers; 0 if it does not say
-	StartTime  int64   // of the life that reports, as state.Life has it
+	Pace       float64 // relative duration of a step; above 1 is slow
+	Running    int     // running requests for which the engine is the first hop
+	KVUsed     int64   // part of KVCapacity that is reserved for running requests
+	KVCapacity int64   // KV-cache capacity in tokens times layers; 0 if unknown
+	StartTime  int64   // start time of the reporting incarnation, as in state.BackendIncarnation.Born
 }
 
-// Client speaks to backend servers. Its methods may be called by many goroutines.
+// Client calls backend servers. It is safe for concurrent use.
 type Client interface {
-	// Send sends a request. Canceling ctx closes its connection, so that the
-	// server stops work.
+	// Send sends a request. Canceling ctx closes the connection, which makes the
+	// server stop its work.
 	Send(ctx context.Context, c Call) (*Answer, error)
 	Order(ctx context.Context, o Order) (OrderAnswer, error)
 	Report(ctx context.Context, address string) (Report, error)
