--- a/protocol/caller/caller.go
+++ b/protocol/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is the contract between the HTTP front and the daemon behind
-// it: what callers and operators can ask, and the values they get.
+// Package caller defines the interface between the HTTP front and the daemon
+// behind it: the operations of callers and operators, and their results.
 package caller
 
 import (
@@ -10,18 +10,18 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// AddressQuery asks which daemons to use.
+// AddressQuery asks for the daemons that a caller should use.
 type AddressQuery struct {
 	Service  state.ServiceID
 	Customer state.CustomerID
-	Domain   state.FailureDomain // the caller's own, if it knows it
-	Caller   string              // tells callers of one customer apart, such as their IP
+	Domain   state.FailureDomain // the caller's failure domain, if known
+	Caller   string              // distinguishes callers of one customer, such as by their IP address
 }
 
-// AddressAnswer orders daemons for one caller.
+// AddressAnswer lists the daemons that a caller should use, in order of preference.
 type AddressAnswer struct {
 	Addresses []string      // base URLs, best first
-	TTL       time.Duration // how long the answer holds
+	TTL       time.Duration // how long the answer is valid
 }
 
 // Submission is one request of a caller.
@@ -29,43 +29,46 @@
 	Service        state.ServiceID
 	Customer       state.CustomerID
 	Class          state.ClassID
-	IdempotencyKey state.IdempotencyKey // needed where the class is never to be repeated
-	Deadline       time.Duration        // to the first token; 0 takes the class's
+	IdempotencyKey state.IdempotencyKey // required if requests of the class must never run twice
+	Deadline       time.Duration        // to the first token; 0 uses the deadline of the class
 
-	// Prompt is the model's input, or the body for a plain service.
+	// Prompt is the input of the model, or the body for a plain service.
 	Prompt    string
 	Adapter   string
-	MaxTokens int // 0 takes the class's
+	MaxTokens int // 0 uses the limit of the class
 
-	// After is the index of the last token that the caller has, -1 for none.
+	// After is the index of the last token that the caller received, -1 for none.
 	After int
 }
 
-// Token is one piece of an answer. A plain service's answer is one Token.
+// Token is one token of an answer. The answer of a plain service is one Token.
+//
+// The fields are written under their own names where daemons send answers to each
+// other (package streams).
 type Token struct {
 	Index int
 	Value int64
 	Text  string
 }
 
-// Item is the next thing of a stream: a token, or the outcome that ends it.
+// Item is one element of a stream: a token, or the outcome that ends the stream.
 type Item struct {
 	Token   *Token
-	Outcome state.Outcome // set exactly when Token is nil
+	Outcome state.Outcome // set if and only if Token is nil
 }
 
-// Stream is one caller's view of one answer. Next may be called by one
-// goroutine at a time. Close lets go of the view, not of the request.
+// Stream is one caller's view of one answer. Next must not be called
+// concurrently. Close ends the view but not the request.
 type Stream interface {
 	ID() state.RequestID
-	// Next waits for the next item in order; after an Outcome it is not called
-	// again. The error is only ever that of ctx; no item is lost with it, and
-	// Next may be called again with another ctx.
+	// Next waits for the next item in order and must not be called after an
+	// Outcome. It returns no error but that of ctx; no item is lost in that case,
+	// and Next may be called again with another ctx.
 	Next(ctx context.Context) (Item, error)
 	Close()
 }
 
-// Phase is where a request stands.
+// Phase is the phase of a request.
 type Phase string
 
 // The values of Phase.
@@ -75,7 +78,7 @@
 	PhaseEnded   Phase = "ended"
 )
 
-// Status is what is known of one request.
+// Status is what is known about one request.
 type Status struct {
 	Request state.RequestID
 	Phase   Phase
@@ -83,27 +86,28 @@
 	Outcome state.Outcome // set in PhaseEnded
 }
 
-// Edit is one operator's change of a document.
+// Edit is an operator's change of a document.
 type Edit struct {
-	Base   state.DocumentVersion // the version that the edit is based on; 0 creates
+	Base   state.DocumentVersion // the version that the edit is based on; 0 creates the document
 	EditID string
 	Text   []byte // the document as JSON
 }
 
-// EditStatus is what became of an edit.
+// EditStatus is the result of an edit.
 type EditStatus string
 
 // The values of EditStatus.
 const (
 	EditAccepted EditStatus = "accepted" // committed in the table service
-	EditConflict EditStatus = "conflict" // another edit came first; Current has it
-	EditInvalid  EditStatus = "invalid"  // Faults say why
-	EditUnknown  EditStatus = "unknown"  // the store's answer was lost; repeat with the same EditID
-	// EditUnavailable: the store could not be reached; not committed, and never will be.
+	EditConflict EditStatus = "conflict" // another edit was committed first; Current holds it
+	EditInvalid  EditStatus = "invalid"  // Faults holds the reasons
+	EditUnknown  EditStatus = "unknown"  // the store's answer was lost; retry with the same EditID
+	// EditUnavailable: the store could not be reached; the edit is not committed
+	// and will not be.
 	EditUnavailable EditStatus = "unavailable"
 )
 
-// EditResult answers an Edit.
+// EditResult is the answer to an Edit.
 type EditResult struct {
 	Status  EditStatus
 	Version state.DocumentVersion
@@ -121,7 +125,7 @@
 	Members   []MemberStatus                            `json:"members"`
 }
 
-// MemberStatus is one daemon as another sees it.
+// MemberStatus is one daemon as seen by another one.
 type MemberStatus struct {
 	Member    state.Member                              `json:"member"`
 	Address   string                                    `json:"address"`            // host:port for peers
@@ -130,11 +134,11 @@
 	Documents map[state.ServiceID]state.DocumentVersion `json:"documents,omitempty"`
 }
 
-// Daemon is what the front asks of the daemon behind it. Every method may be
-// called by many goroutines at once.
+// Daemon is the daemon behind the HTTP front. All methods are safe for concurrent
+// use.
 //
-// An Outcome returned in place of a Stream ends the request at once: Refused
-// has proof that it was not run, Unknown does not.
+// An Outcome that is returned instead of a Stream ends the request immediately:
+// Refused carries proof that it was not run, Unknown does not.
 type Daemon interface {
 	Addresses(ctx context.Context, q AddressQuery) AddressAnswer
 	Submit(ctx context.Context, s Submission) (Stream, state.Outcome)
@@ -146,6 +150,6 @@
 	Document(ctx context.Context, id state.ServiceID) (service.Versioned, bool)
 	Documents(ctx context.Context) []service.Versioned
 	DaemonStatus(ctx context.Context) DaemonStatus
-	// Drain starts a graceful stop; it returns at once.
+	// Drain starts a graceful shutdown and returns immediately.
 	Drain(ctx context.Context)
 }
--- a/protocol/caller/wire.go
+++ b/protocol/caller/wire.go
@@ -8,51 +8,51 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// Paths of the caller interface.
+// Paths of the caller API.
 const (
 	PathAddresses = "/v1/addresses"
 	PathRequests  = "/v1/requests"
 	PathEvents    = "/events" // after a request's path
 )
 
-// Headers of the caller interface.
+// Headers of the caller API.
 const (
-	// RequestHeader carries the request's id on every answer about a request.
+	// RequestHeader carries the request's id in every response about a request.
 	RequestHeader = "Hibiscuswick-Request"
-	// KeyHeader carries the caller's own name for a piece of work.
+	// KeyHeader carries the idempotency key that the caller chose.
 	KeyHeader = "Idempotency-Key"
-	// LastEventHeader carries the index of the last token that the caller has.
+	// LastEventHeader carries the index of the last token that the caller received.
 	LastEventHeader = "Last-Event-ID"
-	// PreferHeader with PreferProcessing asks for a sign of life while a request
-	// waits for its first token: informational answers 102 with RequestHeader, at
-	// once and every few seconds. Clients that don't ask get none, since some
-	// take the first status line that comes for the answer's.
+	// PreferHeader with the value PreferProcessing requests informational
+	// responses 102 with RequestHeader, immediately and every few seconds, while
+	// a request waits for its first token. Other clients get none, since some
+	// clients take the first status line for that of the final response.
 	PreferHeader     = "Prefer"
 	PreferProcessing = "processing"
 )
 
-// Names of a stream's events. A token's event id is its index, so that a
-// standard client that reconnects sends it back as Last-Event-ID. The other
-// events have no id and leave the client's as it is.
+// Names of the events of a stream. The event id of a token is its index, which a
+// standard client returns as Last-Event-ID when it reconnects. The other events
+// have no id and leave the client's last event id unchanged.
 const (
 	EventAccepted = "accepted"
 	EventToken    = "token"
 	EventEnd      = "end"
 )
 
-// AcceptedEvent is the data of a stream's first event.
+// AcceptedEvent is the data of the first event of a stream.
 type AcceptedEvent struct {
 	Request state.RequestID `json:"request"`
 }
 
-// TokenEvent is the data of a token's event.
+// TokenEvent is the data of a token event.
 type TokenEvent struct {
 	Index int    `json:"index"`
 	Value int64  `json:"value"`
 	Text  string `json:"text"`
 }
 
-// Ending names the kinds of state.Outcome.
+// Ending is the kind of a state.Outcome.
 type Ending string
 
 // The values of Ending.
@@ -63,7 +63,7 @@
 	EndUnknown   Ending = "unknown"
 )
 
-// EndEvent is the data of a stream's last event.
+// EndEvent is the data of the last event of a stream.
 type EndEvent struct {
 	Outcome    Ending           `json:"outcome"`
 	Tokens     int              `json:"tokens"`
@@ -72,7 +72,7 @@
 	RetryAfter state.RetryAfter `json:"retry_after,omitempty"` // seconds
 }
 
-// EndOf describes o.
+// NewEndEvent returns the last event of a stream that ended with o.
 func NewEndEvent(o state.Outcome) EndEvent {
 	switch o := o.(type) {
 	case state.Completed:
@@ -87,12 +87,12 @@
 	case state.Unknown:
 		return EndEvent{Outcome: EndUnknown, Reason: o.Reason, Execution: state.ExecutionUnknown}
 	default:
-		// A stream that ends with nothing said: nothing may be concluded.
+		// The stream ended without an outcome, which proves nothing.
 		return EndEvent{Outcome: EndUnknown, Reason: state.ReasonInternal, Execution: state.ExecutionUnknown}
 	}
 }
 
-// AddressesBody answers GET PathAddresses.
+// AddressesBody is the body of the response to GET PathAddresses.
 type AddressesBody struct {
 	Addresses []string         `json:"addresses" doc:"Base URLs, best first"`
 	ValidFor  service.Duration `json:"valid_for" doc:"How long the answer holds, such as 5s"`
@@ -109,7 +109,7 @@
 	Deadline  service.Duration `json:"deadline,omitempty" doc:"To the first token, such as 500ms; absent takes the class's"`
 }
 
-// StatusBody answers what is asked about one request.
+// StatusBody is the body of responses about the status of a request.
 type StatusBody struct {
 	Request state.RequestID `json:"request"`
 	Phase   Phase           `json:"phase"`
@@ -117,8 +117,8 @@
 	End     *EndEvent       `json:"end,omitempty" doc:"Present once the request ended"`
 }
 
-// Problem is an RFC 9457 problem document, the body of every answer that is no
-// success. It is an error.
+// Problem is an RFC 9457 problem document, the body of every response that
+// reports no success. It implements error.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -127,18 +127,18 @@
 
 	// Reason is one of state.Reasons.
 	Reason state.Reason `json:"reason,omitempty"`
-	// Execution is what is known of the request's execution; absent where the
-	// problem is not about a request to a service.
+	// Execution is what is known about the request's execution; absent if the
+	// problem does not concern a request to a service.
 	Execution state.Execution `json:"execution,omitempty"`
-	// Request is the request's id where it got one.
+	// Request is the request's id if one was assigned.
 	Request state.RequestID `json:"request,omitempty"`
-	// RetryAfter, in seconds, is when a repeat may be of use; 0 says nothing. It
-	// is in the header Retry-After as well.
+	// RetryAfter is the time in seconds after which a retry may succeed; 0 means
+	// unknown. It is sent in the header Retry-After as well.
 	RetryAfter state.RetryAfter `json:"retry_after,omitempty"`
 
-	// Faults lists what is wrong with the input, each by its path.
+	// Faults lists the errors in the input, each with its path.
 	Faults []string `json:"faults,omitempty"`
-	// Current is the document that an edit lost against.
+	// Current is the document that an edit conflicted with.
 	Current *service.Versioned `json:"current,omitempty"`
 }
 
@@ -149,13 +149,13 @@
 	return p.Title
 }
 
-// GetStatus is the HTTP status.
+// GetStatus returns the HTTP status.
 func (p *Problem) GetStatus() int { return p.Status }
 
-// ContentType is that of RFC 9457.
+// ContentType returns the content type defined by RFC 9457.
 func (p *Problem) ContentType(string) string { return "application/problem+json" }
 
-// GetHeaders gives what a problem says in headers.
+// GetHeaders returns the headers of the response.
 func (p *Problem) GetHeaders() http.Header {
 	h := http.Header{}
 	if p.RetryAfter > 0 {
