--- a/protocol/engine/engine.go
+++ b/protocol/engine/engine.go
@@ -1,11 +1,11 @@
-// Package engine is the contract between hibiscuswick and one model engine:
-// what each call asks, and what it proves when it succeeds, fails or is not
-// answered. Another kind of engine is one more implementation of Engine.
+// Package engine defines the interface to a model engine: the calls, and what
+// the success, the failure and a missing answer of each call prove. Support for
+// another kind of engine is another implementation of Engine.
 //
-// A request passes a replica's stages token by token. For each token the entry
-// daemon runs one Step on each stage in order. The first stage's input for
-// token 0 is the prompt; every other input is the output of the stage before,
-// and for a later token's first stage the token just made.
+// A request passes through the stages of a replica token by token. For each
+// token the entry daemon runs one Step on each stage in order. The input of the
+// first stage is the prompt for token 0 and the previous token after that; the
+// input of every other stage is the output of the stage before it.
 package engine
 
 import (
@@ -14,103 +14,103 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// StepRequest asks one stage to run its layers for one token of one attempt.
+// StepRequest makes one stage run its layers for one token of one attempt.
 type StepRequest struct {
 	Request state.RequestID  `json:"request"`
 	Attempt state.Attempt    `json:"attempt"`
 	Token   int              `json:"token"` // index within the answer, from 0
 	Layers  state.LayerRange `json:"layers"`
 
-	// Prompt is set on an attempt's first step in the first stage only. With
-	// Given, the tokens that earlier attempts gave the caller, it rebuilds
-	// the KV cache up to Token.
+	// Prompt is set only on the first step of an attempt on the first stage.
+	// Together with PriorTokens, the tokens of earlier attempts that were
+	// delivered to the caller, it rebuilds the KV cache up to Token.
 	Prompt      string  `json:"prompt,omitempty"`
 	PriorTokens []int64 `json:"given,omitempty"`
 
-	// Input is the activation of the stage before, or, on the first stage,
-	// empty.
+	// Input is the activation from the previous stage; empty on the first stage.
 	Input []byte `json:"input,omitempty"`
 
-	// Last is the token before Token, for the first stage of later tokens.
+	// LastToken is the value of the token before Token; used by the first stage
+	// for all tokens but the first.
 	LastToken int64 `json:"last"`
 
-	// Life is the life of the engine's process that the step is meant for;
-	// empty for any. An engine of another life answers StepNotRun: the bars
-	// that a Resume set are gone with the process that held them.
+	// BootID is the boot ID of the engine process that is to run the step; empty
+	// for any. An engine with another boot ID answers StepNotRun, since the
+	// fences that Resume set are lost when the process ends.
 	BootID string `json:"life,omitempty"`
 
-	// Epoch is the stream owner's; see Engine.Resume.
+	// Epoch is the epoch of the stream's owner; see Engine.Resume.
 	Epoch state.Epoch `json:"epoch"`
 
-	Priority  int    `json:"priority"` // 0 goes first
+	Priority  int    `json:"priority"` // 0 is the most urgent
 	Adapter   string `json:"adapter,omitempty"`
 	MaxTokens int    `json:"max_tokens"`
 }
 
-// StepStatus is what became of one step.
+// StepStatus is the result of one step.
 type StepStatus string
 
 // The values of StepStatus.
 const (
-	// StepDone: the layers ran once for the token; Output holds the result.
+	// StepDone: the layers ran exactly once for the token; Output holds the
+	// result.
 	StepDone StepStatus = "done"
-	// StepNotRun: the stage says that it did not run the step and will not.
-	// It is proof.
+	// StepNotRun proves that the stage did not run the step and will not run it.
 	StepNotRun StepStatus = "not_run"
-	// StepOvertaken: like StepNotRun, because another owner of the attempt
-	// has barred the step's epoch. That owner may have run it.
+	// StepSuperseded is like StepNotRun, but another owner of the attempt has
+	// fenced the epoch of the step. That owner may have run the step.
 	StepSuperseded StepStatus = "overtaken"
 	// StepFailed: the stage may have run part of the step. Its KV cache for
-	// the attempt is not to be used again.
+	// the attempt must not be used again.
 	StepFailed StepStatus = "failed"
 )
 
-// StepResult is the answer to one StepRequest, in the same place of the batch.
+// StepResult is the answer to the StepRequest at the same index of the batch.
 type StepResult struct {
 	Status StepStatus `json:"status"`
 	Output []byte     `json:"output,omitempty"` // activation for the next stage
 	Token  int64      `json:"token"`            // set by the last stage
-	Final  bool       `json:"final"`            // set by the last stage: the answer ends here
+	Final  bool       `json:"final"`            // set by the last stage: the answer ends with this token
 	Detail string     `json:"detail,omitempty"`
 }
 
-// Held is what one stage holds of one attempt.
+// AttemptState is the state of one attempt on one stage.
 type AttemptState struct {
-	// Life names the life of the engine's process, unlike any other life's.
+	// BootID identifies the process of the engine. It is unique.
 	BootID string `json:"life"`
 
 	Known     bool `json:"known"`
-	NextToken int  `json:"next_token"` // the first token that it did not run
+	NextToken int  `json:"next_token"` // the first token that the stage did not run
 	Canceled  bool `json:"canceled"`
 
-	// LastOutput is the activation of token NextToken-1, so that the next
-	// stage can be given it without running this one again.
+	// LastOutput is the activation of token NextToken-1, so that it can be sent
+	// to the next stage without running this one again.
 	LastOutput []byte `json:"last_output,omitempty"`
 
-	// Tokens are the tokens made so far; only the last stage has them. Final
-	// reports that the answer is whole.
+	// Tokens are the tokens generated so far; only the last stage has them.
+	// Final reports that the answer is complete.
 	Tokens []int64 `json:"tokens,omitempty"`
 	Final  bool    `json:"final"`
 }
 
-// Load is an engine's own report; it is older than it looks by the engine's
-// reporting lag.
+// Load is a load report of an engine. It lags behind by the reporting delay of
+// the engine.
 type Load struct {
-	BootID  string `json:"life"` // of the process; see Held
+	BootID  string `json:"life"` // see AttemptState
 	Running int    `json:"running"`
 	Queued  int    `json:"queued"`
 	Leaving bool   `json:"leaving"`
 }
 
-// CacheEvent tells that a prompt prefix entered or left an engine's cache.
-// Events come late, and numbers in Seq may be missing.
+// CacheEvent reports that a prompt prefix was added to an engine's cache or
+// evicted from it. Events arrive late, and sequence numbers may be missing.
 type CacheEvent struct {
 	Seq     uint64 `json:"seq"`
 	Prefix  uint64 `json:"prefix"` // xxhash of the prefix block
 	Evicted bool   `json:"evicted"`
 }
 
-// OrderKind says what an order changes.
+// OrderKind is the kind of change that an order makes.
 type OrderKind string
 
 // The values of OrderKind.
@@ -120,7 +120,7 @@
 	OrderSetRole OrderKind = "set_role" // change Role
 )
 
-// Order changes what an engine holds or does.
+// Order changes the layers or the role of an engine.
 type Order struct {
 	Kind          OrderKind           `json:"kind"`
 	FencingNumber state.FencingNumber `json:"fencing"`
@@ -132,24 +132,24 @@
 	Role          string              `json:"role,omitempty"`
 }
 
-// OrderStatus is what became of an order.
+// OrderStatus is the result of an order.
 type OrderStatus string
 
 // The values of OrderStatus.
 const (
 	OrderApplied OrderStatus = "applied"
-	OrderStale   OrderStatus = "stale" // refused: a higher fencing number was seen
+	OrderStale   OrderStatus = "stale" // refused: the engine has seen a higher fencing number
 	OrderRefused OrderStatus = "refused"
 )
 
-// OrderResult answers an order with the engine's state after it.
+// OrderResult is the answer to an order, with the state of the engine after it.
 type OrderResult struct {
 	Status OrderStatus `json:"status"`
 	State  State       `json:"state"`
 	Detail string      `json:"detail,omitempty"`
 }
 
-// State is what an engine holds.
+// State is what an engine currently holds.
 type State struct {
 	Service       state.ServiceID     `json:"service"`
 	Model         string              `json:"model"`
@@ -157,56 +157,57 @@
 	Adapters      []string            `json:"adapters,omitempty"`
 	Layers        state.LayerRange    `json:"layers"`
 	Role          string              `json:"role,omitempty"`
-	FencingNumber state.FencingNumber `json:"fencing"` // the highest seen, 0 where ignored
+	FencingNumber state.FencingNumber `json:"fencing"` // the highest seen; 0 if the engine ignores them
 	Loading       bool                `json:"loading"`
 }
 
-// Engine is one model engine as seen by a daemon. All methods may be called by
-// many goroutines at once.
+// Engine is the client of one model engine. All methods are safe for concurrent
+// use.
 //
-// An error from any method means that the call was not answered. Whether it
-// took effect is then unknown, unless NotSent(err) reports that not one byte
+// An error from any method means that the call was not answered. It is then
+// unknown whether the call took effect, unless NotSent(err) reports that no byte
 // left this daemon.
 type Engine interface {
-	// Step runs a batch; results[i] answers steps[i]. Steps of one attempt
-	// never stand twice in a batch.
+	// Step runs a batch; results[i] is the answer to steps[i]. A batch contains
+	// at most one step of each attempt.
 	Step(ctx context.Context, steps []StepRequest) ([]StepResult, error)
 
-	// Resume asks what the stage holds of an attempt, and bars every step of
-	// the attempt that carries an epoch below epoch: such a step is answered
-	// StepOvertaken, even one that was sent before and arrives after. So what
-	// Resume returns stays true until a step of this epoch is sent, and an
-	// owner that was paused while another took its stream over can't run a
-	// step. An epoch below one seen before is answered ErrEpoch.
+	// Resume returns the state of an attempt and fences all lower epochs: a step
+	// with an epoch below epoch is answered StepSuperseded, even if it was sent
+	// before Resume and arrives after it. The returned state therefore holds
+	// until a step with this epoch is sent, and an owner that was paused while
+	// another one took over its stream can't run steps. Resume returns
+	// ErrStaleEpoch if the engine has seen a higher epoch.
 	Resume(ctx context.Context, request state.RequestID, attempt state.Attempt, epoch state.Epoch) (AttemptState, error)
 
-	// Cancel ends an attempt. When it succeeds, no step of the attempt runs
-	// after it, even one that is still under way to the engine.
+	// Cancel ends an attempt. After it succeeds, no step of the attempt runs, not
+	// even one that is still in flight to the engine.
 	Cancel(ctx context.Context, request state.RequestID, attempt state.Attempt) (AttemptState, error)
 
-	// ExportKV and ImportKV move an attempt's cache between two engines that
-	// hold the same layers.
+	// ExportKV and ImportKV move the KV cache of an attempt between two engines
+	// that hold the same layers.
 	ExportKV(ctx context.Context, request state.RequestID, attempt state.Attempt) ([]byte, error)
 	ImportKV(ctx context.Context, request state.RequestID, attempt state.Attempt, kv []byte) error
 
-	// Load reports the engine's load, with a lag.
+	// Load returns the load of the engine, with a delay.
 	Load(ctx context.Context) (Load, error)
 
-	// CacheEvents returns events after a sequence number, late and with gaps.
+	// CacheEvents returns the events after a sequence number. They arrive late
+	// and with gaps.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 
-	// Order carries out o. Engines that ignore fencing numbers apply orders
-	// of any number.
+	// Order makes the engine carry out o. Engines that ignore fencing numbers
+	// apply orders with any number.
 	Order(ctx context.Context, o Order) (OrderResult, error)
 
-	// State reads what the engine holds now.
+	// State returns the current state of the engine.
 	State(ctx context.Context) (State, error)
 }
 
-// Plain is one plain service as seen by a daemon.
+// Plain is the client of one server of a plain service.
 type Plain interface {
-	// Call runs one request. A PlainResult is proof that it ran; an error
-	// leaves that unknown, unless NotSent(err).
+	// Call runs one request. A PlainResult proves whether it ran; after an error
+	// that is unknown, unless NotSent(err) reports true.
 	Call(ctx context.Context, c PlainCall) (PlainResult, error)
 	Load(ctx context.Context) (Load, error)
 }
@@ -218,16 +219,16 @@
 	Body    string          `json:"body"`
 }
 
-// PlainStatus is what became of a call.
+// PlainStatus is the result of a call.
 type PlainStatus string
 
 // The values of PlainStatus.
 const (
 	PlainDone   PlainStatus = "done"
-	PlainNotRun PlainStatus = "not_run" // proof that it did not run
+	PlainNotRun PlainStatus = "not_run" // proves that it did not run
 )
 
-// PlainResult answers a PlainCall.
+// PlainResult is the answer to a PlainCall.
 type PlainResult struct {
 	Status PlainStatus `json:"status"`
 	Body   string      `json:"body"`
--- a/protocol/engine/errors.go
+++ b/protocol/engine/errors.go
@@ -2,19 +2,19 @@
 
 import "errors"
 
-// errNotSent marks errors of calls of which not one byte left this daemon.
+// errNotSent marks errors of calls of which no byte left this daemon.
 var errNotSent = errors.New("not sent")
 
-// ErrEpoch answers a Resume whose epoch is below one seen before: another owner
-// has taken the stream over.
-var ErrStaleEpoch = errors.New("epoch was overtaken")
+// ErrStaleEpoch is returned by Resume if the engine has seen a higher epoch:
+// another owner has taken over the stream.
+var ErrStaleEpoch = errors.New("epoch was superseded")
 
-// ErrNotHeld answers ExportKV and ImportKV of an attempt whose cache the engine
-// does not hold or can't take. It is proof that nothing changed.
+// ErrCacheNotHeld is returned by ExportKV and ImportKV for an attempt whose KV
+// cache the engine does not hold or can't accept. It proves that nothing changed.
 var ErrCacheNotHeld = errors.New("attempt's cache is not held")
 
-// MarkNotSent wraps err as proof that the call never left this daemon, such as
-// a refused connection.
+// MarkNotSent marks err, such as a refused connection, as proof that the call
+// never left this daemon.
 func MarkNotSent(err error) error {
 	return errors.Join(errNotSent, err)
 }
