--- a/protocol/platform/platform.go
+++ b/protocol/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the contract with what the platform gives: the table
-// service, the object store and the instance list. Another platform is one more
-// implementation of these interfaces.
+// Package platform defines the interfaces to the services of the platform: the
+// table service, the object store and the instance list. Support for another
+// platform is another implementation of these interfaces.
 package platform
 
 import (
@@ -11,16 +11,17 @@
 )
 
 // Errors of the table service and the object store. Any other error means that
-// the call was not answered: a write may have taken effect all the same.
+// the call was not answered: a write may have taken effect nevertheless.
 var (
-	// ErrConflict: a condition of the transaction did not hold. Nothing was
-	// written. It is proof.
+	// ErrConflict: a condition of the transaction did not hold. It proves that
+	// nothing was written.
 	ErrConflict = errors.New("condition failed")
-	// ErrNotFound: there is no such row or object.
+	// ErrNotFound: the row or object does not exist.
 	ErrNotFound = errors.New("not found")
 )
 
-// Row is one row of a table. Revision grows with each write of the row, from 1.
+// Row is one row of a table. Revision starts at 1 and increases with each write
+// of the row.
 type Row struct {
 	Table    string `json:"table"`
 	Key      string `json:"key"`
@@ -28,15 +29,15 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Condition must hold when a transaction commits: the row has Revision, or does
-// not exist when Revision is 0.
+// Condition is a precondition of a transaction: the row has Revision, or does not
+// exist if Revision is 0.
 type Condition struct {
 	Table    string `json:"table"`
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
 }
 
-// Write puts a row, or deletes it.
+// Write puts or deletes a row.
 type Write struct {
 	Table  string `json:"table"`
 	Key    string `json:"key"`
@@ -44,21 +45,21 @@
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Txn is a set of writes that take effect together if all conditions hold.
+// Txn is a set of writes that are applied atomically if all conditions hold.
 type Txn struct {
 	Conditions []Condition `json:"conditions"`
 	Writes     []Write     `json:"writes"`
 }
 
-// Table is the transactional table service. Methods may be called by many
-// goroutines at once.
+// Table is the transactional table service. All methods are safe for concurrent
+// use.
 type Table interface {
-	// Commit applies txn whole or not at all and returns the written rows.
-	// ErrConflict proves that nothing was written.
+	// Commit applies txn atomically and returns the written rows. ErrConflict
+	// proves that nothing was written.
 	Commit(ctx context.Context, txn Txn) ([]Row, error)
-	// Get reads one row, or ErrNotFound.
+	// Get returns one row, or ErrNotFound.
 	Get(ctx context.Context, table, key string) (Row, error)
-	// Scan reads the rows of a table whose key begins with prefix, in order.
+	// Scan returns the rows of a table whose key starts with prefix, in key order.
 	Scan(ctx context.Context, table, prefix string) ([]Row, error)
 }
 
@@ -68,17 +69,21 @@
 	Get(ctx context.Context, name string) ([]byte, error)
 }
 
-// InstanceRole says what runs on an instance.
+// InstanceRole is what runs on an instance.
 type InstanceRole string
 
 // The values of InstanceRole.
 const (
-	RoleEntry  InstanceRole = "entry"  // one of our daemons
+	RoleEntry  InstanceRole = "entry"  // a daemon of hibiscuswick
 	RoleEngine InstanceRole = "engine" // a model engine
 	RolePlain  InstanceRole = "plain"  // a plain service
 )
 
-// Instance is one row of the platform's list, which lags behind what is true.
+// Instance is one row of the platform's instance list, which lags behind the
+// actual state.
+//
+// Daemons send it to each other in an InstanceListPage, where its fields are
+// written under their own names.
 type Instance struct {
 	ID      state.InstanceID    `json:"id"`
 	Role    InstanceRole        `json:"role"`
--- a/protocol/platform/share.go
+++ b/protocol/platform/share.go
@@ -1,17 +1,17 @@
 package platform
 
-// ListAsk asks another daemon for the instance list that it read last, from a
-// row on: a list may be longer than a message.
+// InstanceListRequest asks another daemon for the instance list that it read
+// last, starting at a row: a list may exceed the size of a message.
 type InstanceListRequest struct {
 	From int `msgpack:"f"`
 }
 
-// ListTold answers ListAsk with rows of the list in the order of their ids.
-// Total is 0 where the daemon has read none.
+// InstanceListPage is the answer to an InstanceListRequest: rows of the list,
+// sorted by id. Total is 0 if the daemon has not read a list.
 type InstanceListPage struct {
 	Rows  []Instance `msgpack:"r"`
 	Total int        `msgpack:"t"`
 }
 
-// MaxListRows is how many rows one ListTold holds at most.
+// MaxInstanceListPage is the maximum number of rows in one InstanceListPage.
 const MaxInstanceListPage = 2000
