--- a/protocol/site/site.go
+++ b/protocol/site/site.go
@@ -1,6 +1,6 @@
-// Package site is the contract with a site that runs gateways on its platform: a
-// table service that keeps rows and tells what changed, the configuration that
-// operators write there, and the list of backend servers.
+// Package site defines the interfaces between a gateway and the platform of its
+// site: a table service with change feeds, the configuration that operators write
+// there, and the list of backend servers.
 package site
 
 import (
@@ -10,57 +10,58 @@
 )
 
 // Errors of calls. Any other error means that the call was not answered: a write
-// may have taken effect, or may still do so.
+// may have taken effect, or may still take effect.
 var (
-	// ErrHistoryGone: changes after the given revision are no longer kept; the
-	// table has to be read whole.
-	ErrHistoryGone = errors.New("history is gone")
-	// ErrConflict: a condition did not hold, nothing was written.
+	// ErrHistoryGone: the changes after the given revision are no longer
+	// retained; the complete table has to be read.
+	ErrHistoryGone = errors.New("change history is no longer available")
+	// ErrConflict: a condition did not hold; nothing was written.
 	ErrConflict = errors.New("condition failed")
-	// ErrUnavailable: the service refused the call, nothing was done.
+	// ErrUnavailable: the service refused the call; it had no effect.
 	ErrUnavailable = errors.New("service unavailable")
 )
 
-// Item is one row of a feed, decoded.
+// Item is one decoded row of a feed.
 type Item[T any] struct {
 	Key      string
 	Removed  bool
-	Revision uint64 // of the row; a later write has a higher one
+	Revision uint64 // revision of the row; it increases with each write
 	Value    T      // undefined if Removed or Err is set
-	Err      error  // why the row can't be read
+	Err      error  // the error of decoding the row
 }
 
-// Batch is what a feed held, or how it changed, up to Revision.
+// Batch holds all rows of a feed, or its changes, up to Revision.
 type Batch[T any] struct {
 	Items    []Item[T]
 	Revision uint64
 }
 
-// Feed tells how a set of rows changes.
+// Feed reports the changes of a set of rows.
 type Feed[T any] interface {
 	// Read returns all rows.
 	Read(ctx context.Context) (Batch[T], error)
 	// Follow returns the changes after a revision, as soon as there is one or
-	// after wait. ErrHistoryGone demands a Read.
+	// after wait. After ErrHistoryGone the caller has to call Read.
 	Follow(ctx context.Context, after uint64, wait time.Duration) (Batch[T], error)
 }
 
-// Row is one row of a table of our own.
+// Row is one row of a table that hibiscuswick owns.
 type Row struct {
 	Key      string
 	Value    []byte
 	Revision uint64
 }
 
-// Rows is what a table held at one moment.
+// Rows is a snapshot of a table.
 type Rows struct {
 	Rows []Row
-	// Now is the service's steady clock. Only differences mean anything.
+	// Now is the reading of the service's monotonic clock. Only differences
+	// between two readings are meaningful.
 	Now time.Duration
 }
 
 // Change writes one row, or removes it if Value is nil. With Conditional set it
-// takes effect only if the row has Revision, 0 for a row that does not exist.
+// takes effect only if the row has Revision; 0 means that the row does not exist.
 type Change struct {
 	Key         string
 	Value       []byte
@@ -68,7 +69,7 @@
 	Revision    uint64
 }
 
-// Table is a table of our own.
+// Table is a table that hibiscuswick owns.
 type Table interface {
 	Read(ctx context.Context) (Rows, error)
 	// Commit returns the revision of the written row. ErrConflict proves that
