--- a/protocol/streams/bench_test.go
+++ b/protocol/streams/bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// record describes a request with a prompt of 500 bytes over four stages; tokens
-// below 0 stand for one that runs.
-func record(i, tokens int) streams.Record {
+// newRecord returns the record of a request with a prompt of 500 bytes on four
+// stages. With tokens below 0 the request is still running.
+func newRecord(i, tokens int) streams.Record {
 	r := streams.Record{
 		Request: state.RequestID(fmt.Sprintf("entry-1-%012d", i)), Owner: state.Member{ID: "entry-1", Incarnation: 1},
 		Service: "drafts", Customer: "customer-1", Class: "draft", Key: state.IdempotencyKey(fmt.Sprintf("key-%d", i)),
@@ -38,14 +38,15 @@
 	return r
 }
 
-// BenchmarkRegister reports what one registrar is sent for a request, by the
-// tokens of its answer: the first message, at -1, tells that it runs.
+// BenchmarkRegister reports the size of the message that is sent to one registrar
+// for a request, by the number of tokens of its answer. -1 is the first message,
+// which registers the running request.
 //
 //	go test ./protocol/streams -run xxx -bench Register
 func BenchmarkRegister(b *testing.B) {
 	for _, tokens := range []int{-1, 16, 64, 227, 1000} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
-			m := streams.Register{Record: record(1, tokens)}
+			m := streams.Register{Record: newRecord(1, tokens)}
 			var out []byte
 			for b.Loop() {
 				out, _ = msgpack.Marshal(m)
@@ -55,8 +56,8 @@
 	}
 }
 
-// BenchmarkHeld reports the memory of a record that was decoded from a message, as a
-// registrar holds it.
+// BenchmarkHeld reports the memory of a record at a registrar, decoded from a
+// message.
 //
 //	go test ./protocol/streams -run xxx -bench Held -benchtime 1x
 func BenchmarkHeld(b *testing.B) {
@@ -65,21 +66,21 @@
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
 			for b.Loop() {
 				held := make([]streams.Record, n)
-				before := heap()
+				before := heapSize()
 				for i := range held {
-					text, _ := msgpack.Marshal(record(i, tokens))
+					text, _ := msgpack.Marshal(newRecord(i, tokens))
 					if err := msgpack.Unmarshal(text, &held[i]); err != nil {
 						b.Fatal(err)
 					}
 				}
-				b.ReportMetric(float64(heap()-before)/n, "B/record")
+				b.ReportMetric(float64(heapSize()-before)/n, "B/record")
 				runtime.KeepAlive(held)
 			}
 		})
 	}
 }
 
-func heap() uint64 {
+func heapSize() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/protocol/streams/streams.go
+++ b/protocol/streams/streams.go
@@ -1,10 +1,10 @@
-// Package streams holds what daemons tell each other about the answers of
-// requests, so that a caller can take its answer up at any daemon.
+// Package streams defines the messages that daemons exchange about the answers of
+// requests, so that a caller can resume its answer at any daemon.
 //
 // The owner of a request registers it with two other daemons, the request's
-// registrars, once it surely began, and again at its end. A daemon that a caller
-// comes back to looks the record up there, then pulls the answer from its owner,
-// or takes the request over if the owner is gone.
+// registrars, once it is known to have started, and again when it ends. A daemon
+// to which a caller reconnects looks up the record there, then pulls the answer
+// from the owner, or takes over the request if the owner is gone.
 package streams
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Record is one request as its registrars know it.
+// Record is the record of one request at its registrars.
 type Record struct {
 	Request  state.RequestID      `msgpack:"r"`
 	Owner    state.Member         `msgpack:"o"`
@@ -28,7 +28,7 @@
 	MaxTokens int           `msgpack:"m"`
 	Deadline  time.Duration `msgpack:"t"` // to the first token
 
-	// What runs it now.
+	// The attempt that currently runs it.
 	Replica state.Replica `msgpack:"i"`
 	Attempt state.Attempt `msgpack:"a"`
 	Epoch   state.Epoch   `msgpack:"e"`
@@ -37,14 +37,14 @@
 	Answer *Answer `msgpack:"w"`
 }
 
-// Answer is the part of an answer from one index on.
+// Answer is the part of an answer that starts at an index.
 type Answer struct {
 	From    int            `msgpack:"f"`
 	Tokens  []caller.Token `msgpack:"t"`
-	Outcome *Outcome       `msgpack:"o"` // nil while it goes on
+	Outcome *Outcome       `msgpack:"o"` // nil while the answer continues
 }
 
-// OutcomeKind names the kinds of state.Outcome.
+// OutcomeKind is the kind of a state.Outcome.
 type OutcomeKind string
 
 // The values of OutcomeKind.
@@ -55,40 +55,40 @@
 	Unknown   OutcomeKind = "unknown"
 )
 
-// Outcome is a state.Outcome on its way between daemons.
+// Outcome is the encoding of a state.Outcome in messages between daemons.
 type Outcome struct {
 	Kind   OutcomeKind  `msgpack:"k"`
 	Reason state.Reason `msgpack:"r"`
 	Tokens int          `msgpack:"t"`
 }
 
-// Register stores a record at a registrar; a later one of the same request
-// replaces it if its epoch is not below.
+// Register stores a record at a registrar. It replaces the stored record of the
+// same request unless its epoch is lower.
 type Register struct {
 	Record Record `msgpack:"r"`
 }
 
-// LookUp asks a registrar for a record.
+// Lookup asks a registrar for a record.
 type Lookup struct {
 	Request state.RequestID `msgpack:"r"`
 }
 
-// LookedUp answers LookUp.
+// LookupResult is the answer to a Lookup.
 type LookupResult struct {
 	Known  bool   `msgpack:"k"`
 	Record Record `msgpack:"r"`
 }
 
 // Pull asks a request's owner for its answer from an index on. The owner waits
-// up to Wait for something to tell.
+// up to Wait until there is something to report.
 type Pull struct {
 	Request state.RequestID `msgpack:"r"`
 	From    int             `msgpack:"f"`
 	Wait    time.Duration   `msgpack:"w"`
 }
 
-// Pulled answers Pull. Known is false where the receiver does not have the
-// request.
+// PullResult is the answer to a Pull. Known is false if the receiver does not have
+// the request.
 type PullResult struct {
 	Known  bool   `msgpack:"k"`
 	Answer Answer `msgpack:"a"`
@@ -99,12 +99,12 @@
 	Request state.RequestID `msgpack:"r"`
 }
 
-// Canceled answers CancelRequest.
+// CancelResult is the answer to a CancelRequest.
 type CancelResult struct {
 	Known bool `msgpack:"k"`
 }
 
-// OutcomeOf describes o for another daemon.
+// NewOutcome returns the encoding of o, nil for an unknown type.
 func NewOutcome(o state.Outcome) *Outcome {
 	switch o := o.(type) {
 	case state.Completed:
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// State returns the outcome. A refusal's proof does not travel: another daemon's
-// word that a request was not run is passed on as unknown.
+// State returns the decoded outcome. The proof of a refusal is not transmitted, so
+// that a request which another daemon reports as not run is returned as unknown.
 func (o *Outcome) State() state.Outcome {
 	switch o.Kind {
 	case Completed:
