--- a/protocol/peer/doc.go
+++ b/protocol/peer/doc.go
@@ -1,18 +1,18 @@
-// Package peer is the protocol between daemons: the frame, the envelope in it
-// and the registry of message kinds. It does no input or output beyond the
-// io.Reader that a Reader is given.
+// Package peer implements the protocol between daemons: the frame, the envelope
+// in it and the registry of message kinds. It does no I/O except on the io.Reader
+// that is passed to a Reader.
 //
-// A frame is
+// The format of a frame is
 //
-//	length  4 bytes, big endian, of what follows; at most the reader's bound
-//	version 1 byte, Version
+//	length   4 bytes, big endian: size of the rest, at most the reader's limit
+//	version  1 byte: Version
 //	envelope msgpack array [role, kind, call, timeout, body]
 //
-// role is a Role, kind a Kind (0 on frames that carry no message), call the
-// sender's number of a call and of its answer, timeout the milliseconds that a
-// caller waits (0 for no bound), body the message as a msgpack map, or nil.
+// role is a Role, kind a Kind (0 in frames without a message), call the number
+// that the sender assigned to a call and that its answer repeats, timeout the
+// time in milliseconds that the sender of a call waits (0 for no limit), and body
+// the message as a msgpack map, or nil.
 //
-// Whatever bytes come in, a Reader answers with an envelope or a *FrameError,
-// never panics, and holds no more memory than the bytes that arrived, up to its
-// bound.
+// For any input a Reader returns an envelope or a *FrameError, never panics, and
+// allocates memory in proportion to the bytes that arrived, up to its limit.
 package peer
--- a/protocol/peer/envelope.go
+++ b/protocol/peer/envelope.go
@@ -12,39 +12,39 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Version is the frame's version byte.
+// Version is the version byte of a frame.
 const Version = 1
 
-// Sizes of a frame.
+// Sizes of frames and of their parts.
 const (
-	MaxFrame     = 1 << 20 // default bound of length, in bytes
-	headerLen    = 4
-	envelopeLen  = 5 // elements of the envelope's array
-	minFrameLen  = 2 // the version and at least one byte of envelope
-	encodeBuffer = 64 << 10
+	MaxFrame        = 1 << 20 // default limit of the length field, in bytes
+	lengthSize      = 4       // bytes of the length field
+	envelopeFields  = 5       // elements of the envelope array
+	minFrameSize    = 2       // the version and at least one byte of the envelope
+	maxPooledBuffer = 64 << 10
 )
 
-// Role says what a frame is for.
+// Role is the purpose of a frame.
 type Role uint8
 
 // The values of Role.
 const (
-	RoleHello        Role = iota + 1 // first frame of each side; body Hello
-	RoleHeartbeat                    // to be answered at once
-	RoleHeartbeatAck                 // answers a heartbeat, or any number of them
-	RoleSend                         // a message without an answer
-	RoleCall                         // a message to be answered under the same call number
-	RoleAnswer                       // the answer to a call; body the message
-	RoleRefusal                      // the call was not handled, and will not be; body Refusal
-	RoleFailure                      // the call was handled and failed; body Refusal
-	RoleBye                          // last frame before a close; body Refusal
-	roleEnd
+	RoleHello        Role = iota + 1 // the first frame of each side; body is a Hello
+	RoleHeartbeat                    // must be answered immediately
+	RoleHeartbeatAck                 // acknowledges one or more heartbeats
+	RoleSend                         // a one-way message
+	RoleCall                         // a message that is answered with the same call number
+	RoleAnswer                       // the answer to a call; body is the message
+	RoleRefusal                      // the call was not handled and will not be; body is a Refusal
+	RoleFailure                      // the call was handled and failed; body is a Refusal
+	RoleBye                          // the last frame before the connection is closed; body is a Refusal
+	roleLimit
 )
 
-// Kind numbers a type of message. Numbers are never reused.
+// Kind is the number of a message type. Numbers are never reused.
 type Kind uint16
 
-// Envelope is one frame's content. Body is raw msgpack.
+// Envelope is the content of one frame. Body is raw msgpack.
 type Envelope struct {
 	Role    Role
 	Kind    Kind
@@ -53,27 +53,28 @@
 	Body    []byte
 }
 
-// Hello introduces a daemon on a new connection; everything else on it is from
-// this member.
+// Hello identifies the sender of all further frames on a new connection.
 type Hello struct {
 	From state.Member `msgpack:"from"`
 }
 
-// Refusal says why a call was not handled, or why a connection is closed.
+// Refusal is the reason why a call was not handled or failed, or why a connection
+// is closed.
 type Refusal struct {
 	Detail string `msgpack:"detail"`
 }
 
-// buffers holds encode buffers between frames.
+// buffers pools encode buffers. Those above maxPooledBuffer are not returned to
+// the pool.
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// AppendFrame appends a frame with e's fields and body, a value for msgpack or
-// nil, to dst; e.Body is not looked at. A frame longer than limit is a
-// *FrameError of FaultOversized, and dst is returned as it was.
+// AppendFrame appends a frame to dst with the fields of e and with body, a value
+// to encode as msgpack or nil; e.Body is ignored. If the frame is longer than
+// limit it returns a *FrameError with FaultOversized and dst unchanged.
 func AppendFrame(dst []byte, e Envelope, body any, limit int) ([]byte, error) {
 	buf := buffers.Get().(*bytes.Buffer)
 	defer func() {
-		if buf.Cap() <= encodeBuffer {
+		if buf.Cap() <= maxPooledBuffer {
 			buffers.Put(buf)
 		}
 	}()
@@ -83,21 +84,21 @@
 		return dst, fmt.Errorf("message can't be encoded: %w", err)
 	}
 	frame := buf.Bytes()
-	n := len(frame) - headerLen
+	n := len(frame) - lengthSize
 	if n > limit || n > math.MaxUint32 {
-		return dst, fault(FaultOversized, "%d bytes, at most %d", n, limit)
+		return dst, newFrameError(FaultOversized, "%d bytes, at most %d", n, limit)
 	}
 	binary.BigEndian.PutUint32(frame, uint32(n))
 	return append(dst, frame...), nil
 }
 
-// encodeEnvelope writes the array.
+// encodeEnvelope appends the envelope array to buf.
 func encodeEnvelope(buf *bytes.Buffer, e Envelope, body any) error {
 	enc := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(enc)
 	enc.Reset(buf)
 	enc.UseCompactInts(true)
-	if err := enc.EncodeArrayLen(envelopeLen); err != nil {
+	if err := enc.EncodeArrayLen(envelopeFields); err != nil {
 		return err
 	}
 	for _, n := range [...]uint64{uint64(e.Role), uint64(e.Kind), e.Call, uint64(e.Timeout)} {
@@ -108,11 +109,11 @@
 	return enc.Encode(body)
 }
 
-// DecodeEnvelope reads the envelope that fills b whole. Body is part of b.
+// DecodeEnvelope decodes the envelope that b consists of. Body is a subslice of b.
 func DecodeEnvelope(b []byte) (Envelope, error) {
-	// Lengths are checked against the bytes that are there before the decoder
-	// sees them: it would make room for a million entries on the word of a
-	// five-byte frame, and recurse as deep as the frame says.
+	// Lengths and nesting are checked against the available bytes first. The
+	// decoder trusts them: it would allocate a million entries for a frame of a
+	// few bytes that announces them, and recurse to any depth.
 	if err := WellFormed(b); err != nil {
 		return Envelope{}, err
 	}
@@ -121,24 +122,24 @@
 	r := bytes.NewReader(b)
 	dec.Reset(r)
 	n, err := dec.DecodeArrayLen()
-	if err != nil || n != envelopeLen {
-		return Envelope{}, fault(FaultMsgpack, "no envelope")
+	if err != nil || n != envelopeFields {
+		return Envelope{}, newFrameError(FaultMsgpack, "no envelope")
 	}
-	var fields [envelopeLen - 1]uint64
+	var fields [envelopeFields - 1]uint64
 	for i := range fields {
 		if fields[i], err = decodeUint(dec); err != nil {
-			return Envelope{}, fault(FaultMsgpack, "field %d of the envelope is no unsigned number", i)
+			return Envelope{}, newFrameError(FaultMsgpack, "field %d of the envelope is no unsigned number", i)
 		}
 	}
 	role, kind, call, timeout := fields[0], fields[1], fields[2], fields[3]
-	if role == 0 || role >= uint64(roleEnd) {
-		return Envelope{}, fault(FaultRole, "role %d", role)
+	if role == 0 || role >= uint64(roleLimit) {
+		return Envelope{}, newFrameError(FaultRole, "role %d", role)
 	}
 	if kind > math.MaxUint16 {
-		return Envelope{}, fault(FaultKind, "kind %d", kind)
+		return Envelope{}, newFrameError(FaultKind, "kind %d", kind)
 	}
 	if timeout > math.MaxUint32 {
-		return Envelope{}, fault(FaultMsgpack, "timeout %d", timeout)
+		return Envelope{}, newFrameError(FaultMsgpack, "timeout %d", timeout)
 	}
 	return Envelope{
 		Role: Role(role), Kind: Kind(kind), Call: call, Timeout: uint32(timeout),
@@ -146,23 +147,23 @@
 	}, nil
 }
 
-// decodeUint reads an unsigned number; msgpack's decoder would also take a
-// negative one, a float or nil.
+// decodeUint decodes an unsigned integer. The msgpack decoder alone would also
+// accept a negative integer, a float or nil.
 func decodeUint(dec *msgpack.Decoder) (uint64, error) {
 	code, err := dec.PeekCode()
 	if err != nil {
 		return 0, err
 	}
 	if code > codeFixintMax && (code < codeUint8 || code > codeUint64) {
-		return 0, errNoUint
+		return 0, errNotUint
 	}
 	return dec.DecodeUint64()
 }
 
-// DecodeBody reads a body into v, a pointer.
+// DecodeBody decodes a body into v, a pointer.
 func DecodeBody(body []byte, v any) error {
 	if err := msgpack.Unmarshal(body, v); err != nil {
-		return fault(FaultMsgpack, "body: %v", err)
+		return newFrameError(FaultMsgpack, "body: %v", err)
 	}
 	return nil
 }
--- a/protocol/peer/fault.go
+++ b/protocol/peer/fault.go
@@ -5,27 +5,27 @@
 	"fmt"
 )
 
-// Fault is the closed list of what can be wrong with a frame. Each has a
-// counter of the same name.
+// Fault is the kind of error of a frame. The set is closed; each value is a label
+// value of a counter.
 type Fault string
 
 // The values of Fault.
 const (
-	FaultOversized Fault = "oversized" // longer than the bound
-	FaultTruncated Fault = "truncated" // the connection ended inside a frame
-	FaultVersion   Fault = "version"   // another version byte
-	FaultMsgpack   Fault = "msgpack"   // no msgpack, or not of the expected shape
-	FaultRole      Fault = "role"      // no Role, or not one that may come here
-	FaultKind      Fault = "kind"      // no registered Kind
+	FaultOversized Fault = "oversized" // longer than the limit
+	FaultTruncated Fault = "truncated" // the connection ended within a frame
+	FaultVersion   Fault = "version"   // unknown version byte
+	FaultMsgpack   Fault = "msgpack"   // invalid msgpack, or not of the expected type
+	FaultRole      Fault = "role"      // unknown Role, or one that is not allowed here
+	FaultKind      Fault = "kind"      // unregistered Kind
 )
 
-// Faults lists every Fault once.
+// Faults returns every Fault once.
 func Faults() []Fault {
 	return []Fault{FaultOversized, FaultTruncated, FaultVersion, FaultMsgpack, FaultRole, FaultKind}
 }
 
-// FrameError tells what is wrong with a frame. The connection that it came on
-// can't be read on.
+// FrameError reports an invalid frame. No further frames can be read from the
+// connection.
 type FrameError struct {
 	Fault  Fault
 	Detail string
@@ -35,7 +35,8 @@
 	return fmt.Sprintf("bad frame: %s: %s", e.Fault, e.Detail)
 }
 
-// FaultOf returns the Fault of err, and whether it is one.
+// FaultOf returns the Fault of the FrameError in err. The second result is false
+// if there is none.
 func FaultOf(err error) (Fault, bool) {
 	var e *FrameError
 	if errors.As(err, &e) {
@@ -44,14 +45,14 @@
 	return "", false
 }
 
-var errNoUint = errors.New("no unsigned number")
+var errNotUint = errors.New("no unsigned number")
 
-// NewFrameError builds the error of a frame that is sound in itself but may not
-// come where it came.
+// NewFrameError returns the error for a frame that is valid in itself but not
+// allowed at this point of the connection.
 func NewFrameError(f Fault, detail string) *FrameError {
 	return &FrameError{Fault: f, Detail: detail}
 }
 
-func fault(f Fault, format string, args ...any) *FrameError {
+func newFrameError(f Fault, format string, args ...any) *FrameError {
 	return &FrameError{Fault: f, Detail: fmt.Sprintf(format, args...)}
 }
--- a/protocol/peer/membership.go
+++ b/protocol/peer/membership.go
@@ -2,7 +2,8 @@
 
 import "github.com/hibiscuswick/hibiscuswick/coordination/membership"
 
-// RegisterMembership lists the messages of the membership, from kind first on.
+// RegisterMembership registers the messages of the membership protocol under
+// consecutive kinds that start at first.
 func RegisterMembership(r *Registry, first Kind) {
 	Register[membership.Ping](r, first)
 	Register[membership.Ack](r, first+1)
--- a/protocol/peer/peer_test.go
+++ b/protocol/peer/peer_test.go
@@ -18,7 +18,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// sample has a field of each shape that messages use.
+// sample has a field of each type that messages use.
 type sample struct {
 	Name   string            `msgpack:"n"`
 	Count  uint64            `msgpack:"c"`
@@ -29,38 +29,39 @@
 	Nested *sample           `msgpack:"x,omitempty"`
 }
 
-type other struct {
+type flagMessage struct {
 	Flag bool `msgpack:"f"`
 }
 
 const (
 	kindSample peer.Kind = 7
-	kindOther  peer.Kind = 300
+	kindFlag   peer.Kind = 300
 )
 
-func registry() *peer.Registry {
+func newTestRegistry() *peer.Registry {
 	r := peer.NewRegistry()
 	peer.Register[sample](r, kindSample)
-	peer.Register[other](r, kindOther)
+	peer.Register[flagMessage](r, kindFlag)
 	return r
 }
 
-// frame builds a frame of any content.
-func frame(version byte, content ...byte) []byte {
+// buildFrame builds a frame with arbitrary content.
+func buildFrame(version byte, content ...byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(1+len(content)))
 	return append(append(b, version), content...)
 }
 
-// deep is a sound envelope whose body has an unknown field of n nested arrays.
-func deep(n int) []byte {
+// nestedEnvelope returns a valid envelope whose body has an unknown field with n
+// nested arrays.
+func nestedEnvelope(n int) []byte {
 	b := []byte{0x95, 4, 7, 0, 0, 0x81, 0xa1, 'z'}
 	b = append(b, bytes.Repeat([]byte{0x91}, n)...)
 	return append(b, 0xc0)
 }
 
-// read reads all frames of b and decodes those that carry a message.
-func read(b []byte, limit int) (msgs []any, err error) {
-	reg := registry()
+// readAll reads all frames of b and decodes those that carry a message.
+func readAll(b []byte, limit int) (msgs []any, err error) {
+	reg := newTestRegistry()
 	r := peer.NewReader(bytes.NewReader(b), limit)
 	for {
 		e, err := r.Next()
@@ -79,7 +80,7 @@
 	}
 }
 
-func drawSample(t *rapid.T) sample {
+func genSample(t *rapid.T) sample {
 	s := sample{
 		Name:  rapid.String().Draw(t, "name"),
 		Count: rapid.Uint64().Draw(t, "count"),
@@ -87,7 +88,7 @@
 		Blob:  rapid.SliceOfN(rapid.Byte(), 1, 300).Draw(t, "blob"),
 	}
 	if rapid.Bool().Draw(t, "nested") {
-		n := drawSample(t)
+		n := genSample(t)
 		s.Nested = &n
 	}
 	for _, k := range rapid.SliceOfN(rapid.String(), 0, 20).Draw(t, "keys") {
@@ -101,19 +102,19 @@
 }
 
 var _ = Describe("frames", func() {
-	It("come back as they were sent, whatever the pieces they arrive in", func() {
+	It("are decoded as they were sent, however the bytes are split", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			var b []byte
 			var want []any
-			reg := registry()
+			reg := newTestRegistry()
 			for range rapid.IntRange(1, 5).Draw(t, "frames") {
-				var msg any = drawSample(t)
+				var msg any = genSample(t)
 				if rapid.Bool().Draw(t, "other") {
-					msg = other{Flag: true}
+					msg = flagMessage{Flag: true}
 				}
 				k, ok := reg.KindOf(msg)
 				if !ok {
-					t.Fatal("not registered")
+					t.Fatal("message type is not registered")
 				}
 				var err error
 				b, err = peer.AppendFrame(b, peer.Envelope{Role: peer.RoleSend, Kind: k}, msg, peer.MaxFrame)
@@ -122,8 +123,8 @@
 				}
 				want = append(want, msg)
 			}
-			size := rapid.IntRange(1, 64).Draw(t, "piece")
-			r := peer.NewReader(pieces{bytes.NewReader(b), size}, peer.MaxFrame)
+			size := rapid.IntRange(1, 64).Draw(t, "chunk")
+			r := peer.NewReader(chunkReader{bytes.NewReader(b), size}, peer.MaxFrame)
 			for _, w := range want {
 				e, err := r.Next()
 				if err != nil {
@@ -140,37 +141,37 @@
 		})
 	})
 
-	DescribeTable("that are broken are refused with a typed error", Label("failure:bad-frame"),
+	DescribeTable("are rejected with a typed error if they are invalid", Label("failure:bad-frame"),
 		func(b []byte, want peer.Fault) {
-			_, err := read(b, peer.MaxFrame)
+			_, err := readAll(b, peer.MaxFrame)
 			f, ok := peer.FaultOf(err)
 			Expect(ok).To(BeTrue(), "%v", err)
 			Expect(f).To(Equal(want))
 		},
-		Entry("longer than the bound", binary.BigEndian.AppendUint32(nil, peer.MaxFrame+1), peer.FaultOversized),
-		Entry("cut off in its length", []byte{0, 0}, peer.FaultTruncated),
-		Entry("cut off in its content", frame(1, 0x95, 1)[:6], peer.FaultTruncated),
+		Entry("longer than the limit", binary.BigEndian.AppendUint32(nil, peer.MaxFrame+1), peer.FaultOversized),
+		Entry("truncated in the length", []byte{0, 0}, peer.FaultTruncated),
+		Entry("truncated in the content", buildFrame(1, 0x95, 1)[:6], peer.FaultTruncated),
 		Entry("empty", []byte{0, 0, 0, 0}, peer.FaultTruncated),
-		Entry("of another version", frame(2, 0x95, 4, 7, 0, 0, 0xc0), peer.FaultVersion),
-		Entry("no array", frame(1, 0xc0), peer.FaultMsgpack),
-		Entry("of too few fields", frame(1, 0x93, 4, 7, 0), peer.FaultMsgpack),
-		Entry("with bytes after the envelope", frame(1, 0x95, 4, 7, 0, 0, 0xc0, 0xc0), peer.FaultMsgpack),
-		Entry("with a negative call number", frame(1, 0x95, 4, 7, 0xff, 0, 0xc0), peer.FaultMsgpack),
-		Entry("with an unused code", frame(1, 0x95, 4, 7, 0, 0, 0xc1), peer.FaultMsgpack),
-		Entry("with a map longer than the frame", frame(1, 0x95, 4, 7, 0, 0, 0xdf, 0, 15, 0, 0), peer.FaultMsgpack),
-		Entry("with text longer than the frame", frame(1, 0x95, 4, 7, 0, 0, 0xdb, 0, 15, 0, 0), peer.FaultMsgpack),
-		Entry("nested too deep", frame(1, deep(500_000)...), peer.FaultMsgpack),
-		Entry("of no role", frame(1, 0x95, 0, 7, 0, 0, 0xc0), peer.FaultRole),
-		Entry("of an unknown role", frame(1, 0x95, 99, 7, 0, 0, 0xc0), peer.FaultRole),
-		Entry("of an unknown kind", frame(1, 0x95, 4, 8, 0, 0, 0xc0), peer.FaultKind),
-		Entry("of a kind out of range", frame(1, 0x95, 4, 0xce, 0, 1, 0, 0, 0, 0, 0xc0), peer.FaultKind),
-		Entry("with a body of another shape", frame(1, 0x95, 4, 7, 0, 0, 0x81, 0xa1, 'n', 0x90), peer.FaultMsgpack),
+		Entry("with another version", buildFrame(2, 0x95, 4, 7, 0, 0, 0xc0), peer.FaultVersion),
+		Entry("no array", buildFrame(1, 0xc0), peer.FaultMsgpack),
+		Entry("with too few fields", buildFrame(1, 0x93, 4, 7, 0), peer.FaultMsgpack),
+		Entry("with bytes after the envelope", buildFrame(1, 0x95, 4, 7, 0, 0, 0xc0, 0xc0), peer.FaultMsgpack),
+		Entry("with a negative call number", buildFrame(1, 0x95, 4, 7, 0xff, 0, 0xc0), peer.FaultMsgpack),
+		Entry("with an unused code", buildFrame(1, 0x95, 4, 7, 0, 0, 0xc1), peer.FaultMsgpack),
+		Entry("with a map longer than the frame", buildFrame(1, 0x95, 4, 7, 0, 0, 0xdf, 0, 15, 0, 0), peer.FaultMsgpack),
+		Entry("with text longer than the frame", buildFrame(1, 0x95, 4, 7, 0, 0, 0xdb, 0, 15, 0, 0), peer.FaultMsgpack),
+		Entry("nested too deeply", buildFrame(1, nestedEnvelope(500_000)...), peer.FaultMsgpack),
+		Entry("without a role", buildFrame(1, 0x95, 0, 7, 0, 0, 0xc0), peer.FaultRole),
+		Entry("with an unknown role", buildFrame(1, 0x95, 99, 7, 0, 0, 0xc0), peer.FaultRole),
+		Entry("with an unknown kind", buildFrame(1, 0x95, 4, 8, 0, 0, 0xc0), peer.FaultKind),
+		Entry("with a kind out of range", buildFrame(1, 0x95, 4, 0xce, 0, 1, 0, 0, 0, 0, 0xc0), peer.FaultKind),
+		Entry("with a body of another type", buildFrame(1, 0x95, 4, 7, 0, 0, 0x81, 0xa1, 'n', 0x90), peer.FaultMsgpack),
 	)
 
-	// A broken or hostile sender announces a long frame on each of many
-	// connections and sends nothing more. Were room made on its word, the
-	// daemon would run out of memory and everyone's answers with it.
-	It("cost the memory of the bytes that came, not of those announced", Label("failure:bad-frame"), func() {
+	// A faulty or malicious sender announces a long frame on each of many
+	// connections and sends nothing more. If the reader allocated the announced
+	// length, the daemon would run out of memory and all its answers would fail.
+	It("allocate memory for received bytes, not for the announced length", Label("failure:bad-frame"), func() {
 		head := binary.BigEndian.AppendUint32(nil, peer.MaxFrame)
 		const conns = 200
 		readers := make([]*peer.Reader, conns)
@@ -186,22 +187,22 @@
 		runtime.KeepAlive(readers)
 	})
 
-	// A frame of some 20 bytes says that its map has a million entries. A decoder
-	// that makes room on its word takes tens of megabytes for each such frame.
-	It("cost no memory for entries that they only announce", Label("failure:bad-frame"), func() {
+	// A frame of some 20 bytes announces a map with a million entries. A decoder
+	// that allocates them in advance uses tens of megabytes for each such frame.
+	It("allocate no memory for entries that are only announced", Label("failure:bad-frame"), func() {
 		const frames = 20
-		hostile := frame(1, 0x95, 4, 7, 0, 0, 0x81, 0xa1, 'm', 0xdf, 0, 0x0f, 0, 0)
+		hostile := buildFrame(1, 0x95, 4, 7, 0, 0, 0x81, 0xa1, 'm', 0xdf, 0, 0x0f, 0, 0)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for range frames {
-			_, err := read(hostile, peer.MaxFrame)
+			_, err := readAll(hostile, peer.MaxFrame)
 			Expect(err).To(HaveOccurred())
 		}
 		runtime.ReadMemStats(&after)
 		Expect((after.TotalAlloc - before.TotalAlloc) / frames).To(BeNumerically("<", 256<<10))
 	})
 
-	It("above the bound are not built", func() {
+	It("are not built if they exceed the limit", func() {
 		big := sample{Name: strings.Repeat("x", 2000)}
 		dst := []byte("kept")
 		out, err := peer.AppendFrame(dst, peer.Envelope{Role: peer.RoleSend, Kind: kindSample}, big, 1000)
@@ -210,26 +211,26 @@
 		Expect(out).To(Equal(dst))
 	})
 
-	It("need a registry without two of a kind", func() {
-		Expect(func() { peer.Register[sample](registry(), 99) }).To(Panic())
-		Expect(func() { peer.Register[peer.Hello](registry(), kindSample) }).To(Panic())
-		_, ok := registry().KindOf(peer.Hello{})
+	It("need a registry without duplicate kinds or types", func() {
+		Expect(func() { peer.Register[sample](newTestRegistry(), 99) }).To(Panic())
+		Expect(func() { peer.Register[peer.Hello](newTestRegistry(), kindSample) }).To(Panic())
+		_, ok := newTestRegistry().KindOf(peer.Hello{})
 		Expect(ok).To(BeFalse())
 	})
 })
 
-// pieces gives at most size bytes a read.
-type pieces struct {
-	r    io.Reader
-	size int
+// chunkReader returns at most chunk bytes per read.
+type chunkReader struct {
+	r     io.Reader
+	chunk int
 }
 
-func (p pieces) Read(b []byte) (int, error) {
-	return p.r.Read(b[:min(len(b), p.size)])
+func (p chunkReader) Read(b []byte) (int, error) {
+	return p.r.Read(b[:min(len(b), p.chunk)])
 }
 
-// seeds are sound frames and the broken ones of the table.
-func seeds(f *testing.F) {
+// addSeeds adds valid frames, their truncations and some invalid frames.
+func addSeeds(f *testing.F) {
 	good, err := peer.AppendFrame(nil, peer.Envelope{Role: peer.RoleCall, Kind: kindSample, Call: 1 << 40, Timeout: 70_000},
 		sample{
 			Name: "n", Count: 1 << 60, Delta: -5, Set: map[string]uint64{"a": 1}, Blob: []byte{1},
@@ -243,46 +244,46 @@
 	for i := range good {
 		f.Add(good[:i])
 	}
-	f.Add(frame(1, 0x95, 4, 7, 0, 0, 0xdf, 0, 15, 0, 0))
-	f.Add(frame(1, 0x95, 4, 7, 0, 0, 0x81, 0xa1, 'x', 0x81, 0xa1, 'x', 0xc0))
-	f.Add(frame(1, deep(100)...))
-	f.Add(frame(2, 0xc0))
+	f.Add(buildFrame(1, 0x95, 4, 7, 0, 0, 0xdf, 0, 15, 0, 0))
+	f.Add(buildFrame(1, 0x95, 4, 7, 0, 0, 0x81, 0xa1, 'x', 0x81, 0xa1, 'x', 0xc0))
+	f.Add(buildFrame(1, nestedEnvelope(100)...))
+	f.Add(buildFrame(2, 0xc0))
 }
 
-// FuzzReader feeds any bytes to a reader and decodes what comes out.
+// FuzzReader reads and decodes frames from arbitrary bytes.
 func FuzzReader(f *testing.F) {
-	seeds(f)
+	addSeeds(f)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		msgs, err := read(b, 4<<10)
+		msgs, err := readAll(b, 4<<10)
 		if err == nil {
-			t.Fatal("a reader ends with an error")
+			t.Fatal("the reader ended without an error")
 		}
 		if _, ok := peer.FaultOf(err); !ok && !errors.Is(err, io.EOF) {
-			t.Fatalf("untyped error %v", err)
+			t.Fatalf("error without a Fault: %v", err)
 		}
 		if len(msgs) > len(b) {
-			t.Fatalf("%d messages of %d bytes", len(msgs), len(b))
+			t.Fatalf("%d messages from %d bytes", len(msgs), len(b))
 		}
 	})
 }
 
-// FuzzEnvelope feeds any bytes to the envelope decoder, and what it takes
-// through the encoder again.
+// FuzzEnvelope decodes envelopes from arbitrary bytes and encodes those that are
+// accepted again.
 func FuzzEnvelope(f *testing.F) {
-	seeds(f)
+	addSeeds(f)
 	f.Add([]byte{0x95, 4, 7, 0, 0, 0xc0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		e, err := peer.DecodeEnvelope(b)
 		if err != nil {
 			if _, ok := peer.FaultOf(err); !ok {
-				t.Fatalf("untyped error %v", err)
+				t.Fatalf("error without a Fault: %v", err)
 			}
 			return
 		}
 		if len(e.Body) == 0 {
-			t.Fatal("an envelope without a body")
+			t.Fatal("DecodeEnvelope accepted an envelope without a body")
 		}
-		msg, err := registry().Decode(e)
+		msg, err := newTestRegistry().Decode(e)
 		if err != nil {
 			return
 		}
@@ -313,7 +314,7 @@
 func BenchmarkDecode(b *testing.B) {
 	msg := sample{Name: "entry-3", Count: 12345, Delta: -1}
 	out, _ := peer.AppendFrame(nil, peer.Envelope{Role: peer.RoleSend, Kind: kindSample}, msg, peer.MaxFrame)
-	reg := registry()
+	reg := newTestRegistry()
 	b.ReportAllocs()
 	for b.Loop() {
 		e, err := peer.DecodeEnvelope(out[5:])
--- a/protocol/peer/reader.go
+++ b/protocol/peer/reader.go
@@ -9,75 +9,75 @@
 
 // Sizes of a Reader's buffers.
 const (
-	readBuffer = 16 << 10
-	firstGrow  = 4 << 10
-	keepBuffer = 64 << 10 // a longer one is given back after its frame
+	readBufferSize    = 16 << 10
+	initialBufferSize = 4 << 10
+	maxRetainedBuffer = 64 << 10 // a larger buffer is released after its frame
 )
 
-// Reader reads frames. It belongs to one goroutine.
+// Reader reads frames. It is not safe for concurrent use.
 type Reader struct {
 	r     *bufio.Reader
 	limit int
 	buf   []byte
 }
 
-// NewReader returns a Reader of r that refuses frames whose length is above
-// limit.
+// NewReader returns a Reader of r that rejects frames longer than limit.
 func NewReader(r io.Reader, limit int) *Reader {
-	return &Reader{r: bufio.NewReaderSize(r, readBuffer), limit: limit}
+	return &Reader{r: bufio.NewReaderSize(r, readBufferSize), limit: limit}
 }
 
-// Wait returns when the first byte of a frame is there. The error is that of
-// the underlying reader; io.EOF is an end between frames.
+// Wait blocks until the first byte of a frame is available. It returns the error
+// of the underlying reader; io.EOF means that it ended between two frames.
 func (r *Reader) Wait() error {
 	_, err := r.r.Peek(1)
 	return err
 }
 
-// Ready reports whether the next frame is buffered whole, so that Next does
+// Ready reports whether the next frame is completely buffered, so that Next does
 // not read from the underlying reader.
 func (r *Reader) Ready() bool {
-	if r.r.Buffered() < headerLen {
+	if r.r.Buffered() < lengthSize {
 		return false
 	}
-	head, err := r.r.Peek(headerLen)
-	return err == nil && r.r.Buffered()-headerLen >= int(binary.BigEndian.Uint32(head))
+	head, err := r.r.Peek(lengthSize)
+	return err == nil && r.r.Buffered()-lengthSize >= int(binary.BigEndian.Uint32(head))
 }
 
-// Next reads one frame. The envelope's Body holds until the next call. An error
-// is a *FrameError, io.EOF between frames, or that of the underlying reader.
+// Next reads one frame. The Body of the envelope is valid until the next call.
+// The error is a *FrameError, io.EOF between two frames, or the error of the
+// underlying reader.
 func (r *Reader) Next() (Envelope, error) {
-	var head [headerLen]byte
+	var head [lengthSize]byte
 	if _, err := io.ReadFull(r.r, head[:]); err != nil {
-		return Envelope{}, truncated(err)
+		return Envelope{}, truncatedError(err)
 	}
 	n := int(binary.BigEndian.Uint32(head[:]))
 	if n > r.limit {
-		return Envelope{}, fault(FaultOversized, "%d bytes, at most %d", n, r.limit)
+		return Envelope{}, newFrameError(FaultOversized, "%d bytes, at most %d", n, r.limit)
 	}
-	if n < minFrameLen {
-		return Envelope{}, fault(FaultTruncated, "%d bytes are no frame", n)
+	if n < minFrameSize {
+		return Envelope{}, newFrameError(FaultTruncated, "%d bytes are no frame", n)
 	}
 	frame, err := r.read(n)
 	if err != nil {
 		return Envelope{}, err
 	}
 	if frame[0] != Version {
-		return Envelope{}, fault(FaultVersion, "version %d, want %d", frame[0], Version)
+		return Envelope{}, newFrameError(FaultVersion, "version %d, want %d", frame[0], Version)
 	}
 	return DecodeEnvelope(frame[1:])
 }
 
-// read reads n bytes. Room is made as bytes come, so that a sender that
-// announces a long frame and sends none of it holds no memory.
+// read reads n bytes. The buffer grows as bytes arrive, so that a sender that
+// announces a long frame without sending it occupies no memory.
 func (r *Reader) read(n int) ([]byte, error) {
-	if cap(r.buf) > keepBuffer {
+	if cap(r.buf) > maxRetainedBuffer {
 		r.buf = nil
 	}
 	have := 0
 	for have < n {
 		if have == cap(r.buf) {
-			grown := make([]byte, min(n, max(firstGrow, 2*cap(r.buf))))
+			grown := make([]byte, min(n, max(initialBufferSize, 2*cap(r.buf))))
 			copy(grown, r.buf[:have])
 			r.buf = grown
 		}
@@ -88,16 +88,16 @@
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
-			return nil, truncated(err)
+			return nil, truncatedError(err)
 		}
 	}
 	return r.buf[:n], nil
 }
 
-// truncated turns an end inside a frame into a *FrameError.
-func truncated(err error) error {
+// truncatedError converts an end of input within a frame to a *FrameError.
+func truncatedError(err error) error {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
-		return fault(FaultTruncated, "the connection ended inside a frame")
+		return newFrameError(FaultTruncated, "the connection ended inside a frame")
 	}
 	return err
 }
--- a/protocol/peer/wellformed.go
+++ b/protocol/peer/wellformed.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// Codes of msgpack that WellFormed needs.
+// msgpack type codes that WellFormed uses.
 const (
 	codeFixintMax = 0x7f
 	codeFixmap    = 0x80
@@ -23,14 +23,14 @@
 	codeNegFixint = 0xe0
 )
 
-// maxDepth bounds nesting; no message is nested a quarter as deep.
+// maxDepth limits the nesting depth; no message uses a quarter of it.
 const maxDepth = 24
 
-// WellFormed checks that b is exactly one msgpack value, that each length in it
-// is covered by bytes that are there, and that it is not nested too deep. It
-// needs no memory.
+// WellFormed checks that b is exactly one msgpack value, that no length in it
+// exceeds the available bytes, and that it is not nested too deeply. It does not
+// allocate.
 func WellFormed(b []byte) error {
-	// left[d] counts the values still to come at depth d.
+	// left[d] is the number of values that remain at depth d.
 	var left [maxDepth + 1]int
 	left[0] = 1
 	depth := 0
@@ -38,33 +38,34 @@
 		for left[depth] == 0 {
 			if depth == 0 {
 				if len(b) > 0 {
-					return fault(FaultMsgpack, "%d bytes too many", len(b))
+					return newFrameError(FaultMsgpack, "%d bytes too many", len(b))
 				}
 				return nil
 			}
 			depth--
 		}
 		left[depth]--
-		skip, children, ok := value(b)
+		skip, children, ok := parseHead(b)
 		if !ok || skip > len(b) || children > len(b)-skip {
-			return fault(FaultMsgpack, "a value is cut off")
+			return newFrameError(FaultMsgpack, "a value is cut off")
 		}
 		b = b[skip:]
 		if children == 0 {
 			continue
 		}
 		if depth == maxDepth {
-			return fault(FaultMsgpack, "nested deeper than %d", maxDepth)
+			return newFrameError(FaultMsgpack, "nested deeper than %d", maxDepth)
 		}
 		depth++
 		left[depth] = children
 	}
 }
 
-// value looks at the value at the start of b: the bytes of its own (code,
-// length and content) and the number of values inside it. ok is false when b
-// ends before its length does, or with a code that msgpack does not use.
-func value(b []byte) (skip, children int, ok bool) {
+// parseHead parses the head of the value at the start of b. It returns the size
+// of the value without nested values (code, length and content) and the number of
+// values nested in it. ok is false if b ends before the length does, or if the
+// code is not used by msgpack.
+func parseHead(b []byte) (skip, children int, ok bool) {
 	if len(b) == 0 {
 		return 0, 0, false
 	}
@@ -103,20 +104,21 @@
 	}
 }
 
-// lengthAt reads a length of width bytes after the code; extra bytes stand
-// between the length and the content.
+// lengthAt reads a length of width bytes after the code; extra is the number of
+// bytes between the length and the content.
 func lengthAt(b []byte, width, extra int) (skip, children int, ok bool) {
 	n, ok := bigEndian(b, width)
 	return 1 + width + extra + n, 0, ok
 }
 
-// childrenAt reads a count of width bytes after the code.
+// childrenAt reads an element count of width bytes after the code. each is the
+// number of values per element.
 func childrenAt(b []byte, width, each int) (skip, children int, ok bool) {
 	n, ok := bigEndian(b, width)
 	return 1 + width, n * each, ok
 }
 
-// bigEndian reads a number of 1, 2 or 4 bytes after the code.
+// bigEndian reads an unsigned integer of 1, 2 or 4 bytes after the code.
 func bigEndian(b []byte, width int) (int, bool) {
 	if len(b) < 1+width {
 		return 0, false
