--- a/settings/decode.go
+++ b/settings/decode.go
@@ -9,15 +9,15 @@
 	"github.com/hibiscuswick/hibiscuswick/internal/strictjson"
 )
 
-// MaxBytes bounds the text of one daemon's settings.
+// MaxBytes is the maximum size of a settings file.
 const MaxBytes = 64 << 10
 
-// Fault is one thing that is wrong with settings; its String gives
+// Fault is one error in settings; its String method returns text such as
 // "drain.limit: is 0s, must be at least 1s".
 type Fault = strictjson.Fault
 
-// Load reads the settings in the file at path. The error is that of reading the
-// file; faults of its text are returned as by Decode.
+// Load reads and decodes the settings file at path. The error concerns reading the
+// file; faults of its content are returned as by Decode.
 func Load(path string) (Settings, []Fault, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -32,9 +32,9 @@
 	return s, faults, nil
 }
 
-// Decode reads settings and returns every fault of them: unknown, missing and
-// doubled fields, wrong types and units, impossible values, and parts that
-// contradict each other. Fields that are left out take their defaults.
+// Decode parses settings and returns all of their faults: unknown, missing and
+// duplicate fields, wrong types and units, values out of range, and parts that
+// contradict each other. Omitted fields get their defaults.
 //
 // The settings may be used only if there are no faults.
 func Decode(text []byte) (Settings, []Fault) {
@@ -52,8 +52,8 @@
 	return s, append(faults, s.contradictions()...)
 }
 
-// contradictions returns the faults between the parts of s. Fields that are
-// zero or malformed were reported while decoding and are passed over.
+// contradictions returns the faults that involve more than one part of s. Fields
+// that are zero or malformed were reported during decoding and are skipped.
 func (s *Settings) contradictions() []Fault {
 	var faults []Fault
 	addf := func(path, format string, args ...any) {
@@ -71,7 +71,7 @@
 			addf(a.path, "is %q; give a port that others can connect to", a.advertised)
 		}
 	}
-	if s.PeerAddress != "" && s.PeerAddress == s.CallerAddress && !freePort(s.PeerAddress) {
+	if s.PeerAddress != "" && s.PeerAddress == s.CallerAddress && !hasPortZero(s.PeerAddress) {
 		addf("caller_address", "is %q, which is peer_address too", s.CallerAddress)
 	}
 	p := s.Peers
@@ -88,8 +88,9 @@
 	return faults
 }
 
-// freePort reports whether address leaves the choice of the port to the system.
-func freePort(address string) bool {
+// hasPortZero reports whether address has port 0, for which the operating system
+// chooses a free port.
+func hasPortZero(address string) bool {
 	ap, err := netip.ParseAddrPort(address)
 	return err == nil && ap.Port() == 0
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("settings", func() {
-	It("loads the example and fills in defaults", func() {
+	It("loads the example and applies defaults", func() {
 		s, found, err := settings.Load(file)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(found).To(BeEmpty())
@@ -38,12 +38,12 @@
 		Expect(s.Log.Format).To(Equal("json"))
 	})
 
-	It("reports a file that can't be read", func() {
+	It("returns the error of a file that can't be read", func() {
 		_, _, err := settings.Load(filepath.Join(GinkgoT().TempDir(), "none.json"))
 		Expect(err).To(MatchError(os.ErrNotExist))
 	})
 
-	It("names every fault at once, each by its path", func() {
+	It("reports all faults at once, each with its path", func() {
 		Expect(faults(
 			`"10.1.0.7:7100"`, `"entry-1.example:7100"`,
 			`"10.1.0.7:7080"`, `"0.0.0.0:7080"`,
@@ -65,7 +65,7 @@
 		))
 	})
 
-	It("needs an address that others can connect to", func() {
+	It("requires an address that others can connect to", func() {
 		Expect(faults(`"peer_advertise": "10.1.0.7:7100",`, "")).To(ConsistOf(HavePrefix(`peer_advertise: is "0.0.0.0:7100"`)))
 		Expect(faults(`"10.1.0.7:7100"`, `"10.1.0.7:0"`)).To(ConsistOf(HavePrefix(`peer_advertise: is "10.1.0.7:0"`)))
 		Expect(faults(`0.0.0.0:7080`, `0.0.0.0:7100`)).To(ConsistOf(`caller_address: is "0.0.0.0:7100", which is peer_address too`))
