--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -8,60 +8,60 @@
 )
 
 const (
-	// linesPerSecond is how many lines of one event are written in a second. A daemon
-	// serves some ten requests a second; what goes beyond is a storm of one kind,
-	// which its first lines and the count of the rest explain.
-	linesPerSecond = 40
-	// queuedLines is how many lines may wait for a reader of the output that is slow.
-	queuedLines = 2048
+	// maxLinesPerSecond is the maximum number of lines per event and second. A daemon
+	// serves some ten requests per second; more lines than this come from a burst of
+	// the same event, which its first lines and the number of the others describe.
+	maxLinesPerSecond = 40
+	// maxQueuedLines is the maximum number of lines that wait for a slow output.
+	maxQueuedLines = 2048
 )
 
-// bounds keeps the volume of a log bounded under load: of each event only so many
-// lines a second are written, and how many were left out is told afterwards.
-type bounds struct {
-	mu     sync.Mutex
-	second int64
-	counts map[Event]int
-	left   map[Event]int
+// lineLimiter limits the volume of a log under load: at most maxLinesPerSecond lines
+// of each event are written, and the number of suppressed lines is reported afterwards.
+type lineLimiter struct {
+	mu         sync.Mutex
+	second     int64
+	counts     map[Event]int
+	suppressed map[Event]int
 }
 
-func newBounds() *bounds {
-	return &bounds{counts: make(map[Event]int), left: make(map[Event]int)}
+func newLineLimiter() *lineLimiter {
+	return &lineLimiter{counts: make(map[Event]int), suppressed: make(map[Event]int)}
 }
 
-// allow reports whether a line of e may be written now. In a new second it also
-// returns what was left out in the one before.
-func (b *bounds) allow(now time.Time, e Event) (bool, map[Event]int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var left map[Event]int
-	if s := now.Unix(); s != b.second {
-		b.second = s
-		clear(b.counts)
-		if len(b.left) > 0 {
-			left, b.left = b.left, make(map[Event]int)
+// allow reports whether a line of e may be written now. On the first call in a new
+// second it also returns the number of lines suppressed before, by event.
+func (l *lineLimiter) allow(now time.Time, e Event) (bool, map[Event]int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var suppressed map[Event]int
+	if s := now.Unix(); s != l.second {
+		l.second = s
+		clear(l.counts)
+		if len(l.suppressed) > 0 {
+			suppressed, l.suppressed = l.suppressed, make(map[Event]int)
 		}
 	}
-	b.counts[e]++
-	if b.counts[e] > linesPerSecond {
-		b.left[e]++
-		return false, left
+	l.counts[e]++
+	if l.counts[e] > maxLinesPerSecond {
+		l.suppressed[e]++
+		return false, suppressed
 	}
-	return true, left
+	return true, suppressed
 }
 
-// asyncWriter hands lines to an output that may block. Lines beyond its queue are
-// dropped and counted: a daemon must not wait for whoever reads its log.
+// asyncWriter writes lines to an output that may block. Lines that do not fit into
+// its queue are dropped and counted, since a daemon must not block on its log.
 type asyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
 func newAsyncWriter(out io.Writer) *asyncWriter {
-	w := &asyncWriter{lines: make(chan []byte, queuedLines)}
+	w := &asyncWriter{lines: make(chan []byte, maxQueuedLines)}
 	go func() {
 		for line := range w.lines {
-			// There is nobody to tell that a line of the log can't be written.
+			// A failed write to the log can't be reported anywhere.
 			_, _ = out.Write(line)
 		}
 	}()
--- a/telemetry/counter.go
+++ b/telemetry/counter.go
@@ -1,16 +1,16 @@
 package telemetry
 
-// Kind says how a metric's value moves.
+// Kind is the type of a metric.
 type Kind string
 
 // The values of Kind.
 const (
-	KindCounter   Kind = "counter"   // only grows
-	KindGauge     Kind = "gauge"     // goes up and down
-	KindHistogram Kind = "histogram" // counts values in buckets, in seconds
+	KindCounter   Kind = "counter"   // only increases
+	KindGauge     Kind = "gauge"     // can increase and decrease
+	KindHistogram Kind = "histogram" // counts values in buckets; in seconds
 )
 
-// Name is the name of one metric, as /metrics gives it.
+// Name is the name of a metric at /metrics.
 type Name string
 
 // Counters.
@@ -62,7 +62,7 @@
 	GatewayAnnouncementsTotal  Name = "gateway_announcements_total"
 )
 
-// Metrics of the HTTP front, which counts in the scope that Metrics.Scope gives.
+// Metrics of the HTTP front, which creates them in the scope returned by Metrics.Scope.
 const (
 	FrontRefused    Name = "front_refused"
 	FrontViewsOpen  Name = "front_views_open"
@@ -108,7 +108,7 @@
 	AnswerSeconds     Name = "answer_seconds"
 )
 
-// Label is the name of a metric's label.
+// Label is the name of a label of a metric.
 type Label string
 
 // The values of Label.
@@ -119,15 +119,15 @@
 	LabelClass   Label = "class"
 )
 
-// Metric describes one metric.
+// Metric describes a metric.
 type Metric struct {
 	Name   Name
 	Kind   Kind
 	Labels []Label
-	Doc    string // what it counts, and its unit
+	Doc    string // the description, with the unit
 }
 
-// Catalogue lists every metric in the order of docs/COUNTERS.md.
+// Catalogue returns every metric in the order of docs/COUNTERS.md.
 func Catalogue() []Metric {
 	return append([]Metric(nil), metrics...)
 }
@@ -140,86 +140,86 @@
 )
 
 var metrics = []Metric{
-	{AcceptedTotal, KindCounter, byClass, "Requests taken in."},
-	{CompletedTotal, KindCounter, byClass, "Requests whose whole answer was given."},
-	{RefusedTotal, KindCounter, byReason, "Requests refused as not run, by reason."},
-	{FailedTotal, KindCounter, byReason, "Requests that began and whose answer is not whole, by reason."},
-	{UnknownTotal, KindCounter, byReason, "Requests of which it can't be told whether they ran, by reason."},
+	{AcceptedTotal, KindCounter, byClass, "Requests accepted."},
+	{CompletedTotal, KindCounter, byClass, "Requests whose complete answer was delivered."},
+	{RefusedTotal, KindCounter, byReason, "Requests refused and not run, by reason."},
+	{FailedTotal, KindCounter, byReason, "Requests that started and whose answer is incomplete, by reason."},
+	{UnknownTotal, KindCounter, byReason, "Requests for which it is not known whether they ran, by reason."},
 	{RetriedTotal, KindCounter, byReason, "Attempts after the first, by the reason of the retry."},
-	{RetryDeniedTotal, KindCounter, byReason, "Lost attempts that were not repeated, by what forbade it."},
-	{LimitedTotal, KindCounter, byReason, "Requests without a token of their customer's limit, by why there was none."},
-	{TokensTotal, KindCounter, nil, "Tokens given to callers."},
-	{ReattachedTotal, KindCounter, nil, "Streams that a caller attached to again."},
-	{JoinedRepeatsTotal, KindCounter, nil, "Repeats that were joined to a request under way with the same idempotency key."},
-	{ClaimsTotal, KindCounter, nil, "Claims of idempotency keys that were committed."},
+	{RetryDeniedTotal, KindCounter, byReason, "Failed attempts that were not retried, by the reason for not retrying."},
+	{LimitedTotal, KindCounter, byReason, "Requests that got no token of their customer's limit, by the reason."},
+	{TokensTotal, KindCounter, nil, "Tokens delivered to callers."},
+	{ReattachedTotal, KindCounter, nil, "Streams that a caller re-attached to."},
+	{JoinedRepeatsTotal, KindCounter, nil, "Repeated requests that joined a running request with the same idempotency key."},
+	{ClaimsTotal, KindCounter, nil, "Committed claims of idempotency keys."},
 	{StoreWritesTotal, KindCounter, nil, "Transactions sent to the table service."},
 	{StoreReadsTotal, KindCounter, nil, "Reads and scans sent to the table service."},
 	{StoreConflictsTotal, KindCounter, nil, "Transactions whose condition did not hold."},
 	{StoreUnansweredTotal, KindCounter, nil, "Calls to the table service without an answer."},
-	{DocumentsAppliedTotal, KindCounter, nil, "Document versions that came into force here."},
+	{DocumentsAppliedTotal, KindCounter, nil, "Document versions that became active on this daemon."},
 	{OrdersTotal, KindCounter, nil, "Orders sent to backend servers."},
-	{StaleOrdersTotal, KindCounter, nil, "Orders that a backend server refused for an old fencing number."},
-	{SilentConnectionsTotal, KindCounter, nil, "Open connections that went silent and were replaced."},
-	{BrokenFramesTotal, KindCounter, nil, "Frames that were broken, oversized or of an unknown kind."},
+	{StaleOrdersTotal, KindCounter, nil, "Orders that a backend server refused because of an outdated fencing number."},
+	{SilentConnectionsTotal, KindCounter, nil, "Open connections that became unresponsive and were replaced."},
+	{BrokenFramesTotal, KindCounter, nil, "Frames that were invalid, oversized or of an unknown kind."},
 	{PeerSentBytesTotal, KindCounter, nil, "Bytes sent to other daemons."},
 	{PeerReceivedBytesTotal, KindCounter, nil, "Bytes received from other daemons."},
 	{PeerSentTotal, KindCounter, nil, "Messages sent to other daemons."},
 	{PeerReceivedTotal, KindCounter, nil, "Messages received from other daemons."},
 	{PeerHeartbeatsTotal, KindCounter, nil, "Heartbeats sent on connections to other daemons."},
 	{PeerDroppedTotal, KindCounter, nil, "Messages dropped from a full queue."},
-	{PeerConnectionsOpenedTotal, KindCounter, nil, "Connections made to other daemons."},
-	{PeerDialFailuresTotal, KindCounter, nil, "Connections to other daemons that could not be made."},
-	{PeerSilentConnectionsTotal, KindCounter, nil, "Connections to other daemons that went silent."},
+	{PeerConnectionsOpenedTotal, KindCounter, nil, "Connections established to other daemons."},
+	{PeerDialFailuresTotal, KindCounter, nil, "Failed attempts to connect to other daemons."},
+	{PeerSilentConnectionsTotal, KindCounter, nil, "Connections to other daemons that became unresponsive."},
 	{PeerLostConnectionsTotal, KindCounter, nil, "Connections to other daemons that ended with an error."},
 	{PeerUnansweredCallsTotal, KindCounter, nil, "Calls to other daemons without an answer."},
-	{PeerRefusedCallsTotal, KindCounter, nil, "Calls of other daemons that were refused unhandled."},
-	{PeerInboundRefusedTotal, KindCounter, nil, "Connections of other daemons refused over the bound."},
-	{PeerInboundSlowTotal, KindCounter, nil, "Connections of other daemons closed for sending too slowly."},
-	{PeerFrameFaultsTotal, KindCounter, byFault, "Frames that can't be read, by what is wrong with them."},
-	{GatewayEndedTotal, KindCounter, byReason, "Requests that a gateway has ended, by outcome."},
-	{GatewayRefusedTotal, KindCounter, byReason, "Requests that a gateway refused as not run, by reason."},
-	{GatewayFailedTotal, KindCounter, byReason, "Requests that a gateway failed, timed out or cut, by reason."},
-	{GatewayRetriedTotal, KindCounter, byReason, "Requests sent to another backend server, by how the attempt before ended."},
-	{GatewayProbesTotal, KindCounter, byReason, "Probes of backend servers on silent streams, by result."},
-	{GatewayLimitedTotal, KindCounter, byReason, "Requests that met a backend server which names a limit: sent to it, or passed over it for want of a permit."},
-	{GatewayLayoutsTotal, KindCounter, nil, "Layouts of engines that were worked out. Many at a daemon that gives no orders take processor time from its requests."},
-	{GatewayAnnouncementsTotal, KindCounter, byReason, "Announcements of the daemons that follow the store, by whether they were new or had come before."},
-	{ControlMicrosecondsTotal, KindCounter, nil, "Processor time of the control goroutine, in microseconds."},
-
-	{ActiveRequests, KindGauge, nil, "Requests under way at this daemon."},
-	{QueuedRequests, KindGauge, byService, "Requests waiting for a slot in queues homed here."},
-	{LiveMembers, KindGauge, nil, "Daemons that count as alive here, this one included."},
+	{PeerRefusedCallsTotal, KindCounter, nil, "Calls from other daemons that were refused without being handled."},
+	{PeerInboundRefusedTotal, KindCounter, nil, "Connections from other daemons that were refused because of the connection limit."},
+	{PeerInboundSlowTotal, KindCounter, nil, "Connections from other daemons that were closed for sending too slowly."},
+	{PeerFrameFaultsTotal, KindCounter, byFault, "Invalid frames, by the kind of error."},
+	{GatewayEndedTotal, KindCounter, byReason, "Requests that ended at a gateway, by outcome."},
+	{GatewayRefusedTotal, KindCounter, byReason, "Requests that a gateway refused and that were not run, by reason."},
+	{GatewayFailedTotal, KindCounter, byReason, "Requests that failed, timed out or were truncated at a gateway, by reason."},
+	{GatewayRetriedTotal, KindCounter, byReason, "Requests sent to another backend server, by the result of the previous attempt."},
+	{GatewayProbesTotal, KindCounter, byReason, "Probes of backend servers on the paths of stalled streams, by result."},
+	{GatewayLimitedTotal, KindCounter, byReason, "Requests for which a backend server with a rate limit was considered, by whether they were sent to it or the server was skipped for lack of a permit."},
+	{GatewayLayoutsTotal, KindCounter, nil, "Computed layer assignments. A high rate on a daemon that sends no orders takes CPU time from its requests."},
+	{GatewayAnnouncementsTotal, KindCounter, byReason, "Announcements received from the daemons that follow the store, by whether they were new or duplicates."},
+	{ControlMicrosecondsTotal, KindCounter, nil, "CPU time of the control goroutine, in microseconds."},
+
+	{ActiveRequests, KindGauge, nil, "Requests in flight at this daemon."},
+	{QueuedRequests, KindGauge, byService, "Requests waiting for a slot in the queues of replicas whose home is this daemon."},
+	{LiveMembers, KindGauge, nil, "Daemons that this daemon considers alive, including itself."},
 	{ServingReplicas, KindGauge, byService, "Replicas that can serve."},
-	{HomedReplicas, KindGauge, byService, "Replicas whose home this daemon is."},
-	{DocumentVersion, KindGauge, byService, "The version of the document in force here."},
+	{HomedReplicas, KindGauge, byService, "Replicas whose home is this daemon."},
+	{DocumentVersion, KindGauge, byService, "The active version of the document on this daemon."},
 	{LeasesHeld, KindGauge, nil, "Services that this daemon controls."},
 	{StoreQueued, KindGauge, nil, "Writes waiting for the store budget."},
-	{ConfigVersion, KindGauge, nil, "The version of the configuration in force at this gateway."},
-	{OpenStreams, KindGauge, nil, "Streams that this gateway passes on."},
-	{DeadServers, KindGauge, nil, "Backend servers that answered no probe of this gateway and are avoided."},
-	{UncoveredLayers, KindGauge, nil, "Layers that no backend server holds which may be used, over all services."},
-	{Draining, KindGauge, nil, "1 while a planned stop is under way."},
-	{ConfigAge, KindGauge, nil, "Time since this gateway's configuration was known to be the newest, in seconds."},
-	{ServersAge, KindGauge, nil, "The same for the list of backend servers."},
-	{WaitingRequests, KindGauge, nil, "Requests that wait at this gateway for a server or a path to be there."},
-	{RetriesLeft, KindGauge, byService, "Retries that this gateway's part of the budget still allows."},
-	{RoomUsed, KindGauge, byService, "Share of its engines' room for tokens that this gateway's requests hold, times the live gateways."},
-	{ProcessMemory, KindGauge, nil, "Memory that the process has from the system, in bytes."},
-	{Isolated, KindGauge, nil, "1 while the daemon can't know that its documents are current."},
-
-	{FrontRefused, KindCounter, nil, "Requests that the HTTP front refused itself: malformed, or over one of its bounds."},
-	{FrontViewsOpen, KindGauge, nil, "Answers that are being streamed to a connection."},
-	{FrontViewsSlow, KindCounter, nil, "Streams ended since the caller did not take an event in time."},
-	{FrontViewsGone, KindCounter, nil, "Streams ended since the caller closed its connection."},
-	{FrontTokens, KindCounter, nil, "Tokens written to callers' connections, those of re-attached streams again."},
-	{FrontKeepAlives, KindCounter, nil, "Comments sent on streams that had no token for a while."},
-
-	{FirstTokenSeconds, KindHistogram, byClass, "From a request's arrival to its first token, in seconds."},
-	{TokenGapSeconds, KindHistogram, byService, "Between two tokens of one answer, in seconds."},
-	{QueueSeconds, KindHistogram, byClass, "From a request's arrival to its slot, in seconds."},
-	{StoreCallSeconds, KindHistogram, nil, "One call to the table service, in seconds."},
-	{FirstEventSeconds, KindHistogram, byService, "From a request's arrival at a gateway to its first event, in seconds."},
-	{EventGapSeconds, KindHistogram, byService, "The longest pause of each stream at a gateway, in seconds."},
-	{AnswerSeconds, KindHistogram, byService, "From a request's arrival at a gateway to the end of its answer, in seconds."},
-	{StepSeconds, KindHistogram, byService, "One pipeline step in one stage, in seconds."},
+	{ConfigVersion, KindGauge, nil, "The active version of the configuration at this gateway."},
+	{OpenStreams, KindGauge, nil, "Streams that this gateway is forwarding."},
+	{DeadServers, KindGauge, nil, "Backend servers that did not answer probes of this gateway and are avoided."},
+	{UncoveredLayers, KindGauge, nil, "Layers that no usable backend server holds, over all services."},
+	{Draining, KindGauge, nil, "1 during a planned stop."},
+	{ConfigAge, KindGauge, nil, "Time since this gateway's configuration was last known to be current, in seconds."},
+	{ServersAge, KindGauge, nil, "Time since this gateway's list of backend servers was last known to be current, in seconds."},
+	{WaitingRequests, KindGauge, nil, "Requests that wait at this gateway for an available server or path."},
+	{RetriesLeft, KindGauge, byService, "Retries that remain in this gateway's share of the budget."},
+	{RoomUsed, KindGauge, byService, "Share of the engines' KV-cache capacity that this gateway's requests occupy, times the number of live gateways."},
+	{ProcessMemory, KindGauge, nil, "Memory obtained from the operating system, in bytes."},
+	{Isolated, KindGauge, nil, "1 while the daemon can't verify that its documents are current."},
+
+	{FrontRefused, KindCounter, nil, "Requests that the HTTP front itself rejected as malformed or above one of its limits."},
+	{FrontViewsOpen, KindGauge, nil, "Answers that are currently streamed to a connection."},
+	{FrontViewsSlow, KindCounter, nil, "Streams ended because the caller did not read an event in time."},
+	{FrontViewsGone, KindCounter, nil, "Streams ended because the caller closed its connection."},
+	{FrontTokens, KindCounter, nil, "Tokens written to callers' connections, including repeated tokens of re-attached streams."},
+	{FrontKeepAlives, KindCounter, nil, "Keep-alive comments sent on streams without a recent token."},
+
+	{FirstTokenSeconds, KindHistogram, byClass, "Time from a request's arrival to its first token, in seconds."},
+	{TokenGapSeconds, KindHistogram, byService, "Time between two tokens of one answer, in seconds."},
+	{QueueSeconds, KindHistogram, byClass, "Time from a request's arrival to the grant of its slot, in seconds."},
+	{StoreCallSeconds, KindHistogram, nil, "Duration of a call to the table service, in seconds."},
+	{FirstEventSeconds, KindHistogram, byService, "Time from a request's arrival at a gateway to its first event, in seconds."},
+	{EventGapSeconds, KindHistogram, byService, "Longest pause between two events of each stream at a gateway, in seconds."},
+	{AnswerSeconds, KindHistogram, byService, "Time from a request's arrival at a gateway to the end of its answer, in seconds."},
+	{StepSeconds, KindHistogram, byService, "Duration of one pipeline step in one stage, in seconds."},
 }
--- a/telemetry/doc.go
+++ b/telemetry/doc.go
@@ -1,6 +1,6 @@
-// Package telemetry holds what a daemon tells about itself: numbered log events
-// (docs/EVENTS.md) and counters (docs/COUNTERS.md). Both catalogues are typed
-// constants, so that nothing is logged or counted that the docs don't list.
+// Package telemetry defines the numbered log events (docs/EVENTS.md) and the
+// metrics (docs/COUNTERS.md) of a daemon. Both catalogues are typed constants, so
+// that nothing is logged or counted that is not documented.
 //
-// Log and Metrics may be used by many goroutines at once.
+// Log and Metrics are safe for concurrent use.
 package telemetry
--- a/telemetry/events.go
+++ b/telemetry/events.go
@@ -1,6 +1,6 @@
 package telemetry
 
-// Events of daemon.
+// Events of the daemon.
 const (
 	EventDaemonStarted       Event = 1001
 	EventDrainStarted        Event = 1004
@@ -16,7 +16,7 @@
 	EventLinesLeftOut        Event = 1015
 )
 
-// Events of membership.
+// Events of the membership.
 const (
 	EventMemberJoined          Event = 1101
 	EventMemberSuspected       Event = 1102
@@ -60,7 +60,7 @@
 	EventRequestAnswered    Event = 1321
 )
 
-// Events of store.
+// Events of the store.
 const (
 	EventStoreUnavailable        Event = 1401
 	EventStoreRecovered          Event = 1402
@@ -106,7 +106,7 @@
 	EventCacheEventsMissed Event = 1608
 )
 
-// Events of transport.
+// Events of the transport.
 const (
 	EventConnectionSilent Event = 1703
 	EventFrameRefused     Event = 1704
--- a/telemetry/field.go
+++ b/telemetry/field.go
@@ -8,13 +8,13 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// Keys of every line.
+// Keys that every line has.
 const (
 	numberKey = "number"
 	eventKey  = "event"
 )
 
-// Key is the closed list of names that fields of a line can have.
+// Key is the name of a field of a log line. The set is closed.
 type Key string
 
 // The values of Key.
@@ -44,7 +44,7 @@
 	KeyFirstSeconds Key = "first_seconds"
 )
 
-// Keys lists every Key in the order of docs/EVENTS.md.
+// Keys returns every Key in the order of docs/EVENTS.md.
 func Keys() []Key {
 	return []Key{
 		KeyDaemon, KeyIncarnation, KeyPeer, KeyService, KeyCustomer, KeyClass,
@@ -55,20 +55,20 @@
 	}
 }
 
-// Field is one named value of a line. Only the functions below make one, so
-// that a key always carries the same kind of value.
+// Field is one field of a log line. It is created only by the functions below, so
+// that the values of a key always have the same type.
 type Field struct {
 	key   Key
 	value any
 }
 
-// Daemon is the daemon that writes the line.
+// Daemon is the id of the daemon that writes the line.
 func Daemon(id state.DaemonID) Field { return Field{KeyDaemon, id} }
 
-// Incarnation is the life of the daemon that writes the line.
+// Incarnation is the incarnation of the daemon that writes the line.
 func Incarnation(n state.Incarnation) Field { return Field{KeyIncarnation, n} }
 
-// Peer is the other daemon that the line is about.
+// Peer is another daemon that the line is about.
 func Peer(id state.DaemonID) Field { return Field{KeyPeer, id} }
 
 // Service is the service that the line is about.
@@ -83,7 +83,7 @@
 // Request is the request that the line is about.
 func Request(id state.RequestID) Field { return Field{KeyRequest, id} }
 
-// Attempt is the execution of the request, from 1.
+// Attempt is the attempt of the request.
 func Attempt(n state.Attempt) Field { return Field{KeyAttempt, n} }
 
 // Replica is the replica that the line is about.
@@ -98,28 +98,28 @@
 // Version is the version of a service document.
 func Version(v state.DocumentVersion) Field { return Field{KeyVersion, v} }
 
-// EditID is the operator's name for an edit.
+// EditID is the id that an operator assigned to an edit.
 func EditID(id string) Field { return Field{KeyEditID, id} }
 
-// Fencing is the fencing number of a lease or order.
+// Fencing is the fencing number of a lease or an order.
 func Fencing(n state.FencingNumber) Field { return Field{KeyFencing, n} }
 
-// Reason is why a request ended without a whole answer.
+// Reason is why a request ended without a complete answer.
 func Reason(r state.Reason) Field { return Field{KeyReason, r} }
 
-// RetryReason is why a request is tried again.
+// RetryReason is why a request is retried.
 func RetryReason(r state.RetryReason) Field { return Field{KeyRetryReason, r} }
 
-// Address is an address, host:port.
+// Address is an address in the form host:port.
 func Address(a string) Field { return Field{KeyAddress, a} }
 
-// Count is how many of what the event is about.
+// Count is a count; the description of the event says of what.
 func Count(n int) Field { return Field{KeyCount, n} }
 
-// Took is a time, written in seconds.
+// Duration is a duration, written in seconds.
 func Duration(d time.Duration) Field { return Field{KeySeconds, d.Seconds()} }
 
-// Cause is the error behind the event; nil writes an empty text.
+// Cause is the error that caused the event; nil is written as an empty string.
 func Cause(err error) Field {
 	if err == nil {
 		return Field{KeyCause, ""}
@@ -127,13 +127,13 @@
 	return Field{KeyCause, err.Error()}
 }
 
-// Layers is a range of layers, such as "0-20", the second one excluded.
+// Layers is a range of layers such as "0-20", with the second number excluded.
 func Layers(r fleet.Range) Field {
 	return Field{KeyLayers, fmt.Sprintf("%d-%d", r.From, r.To)}
 }
 
-// FirstTook is the time to the first event, written in seconds.
+// TimeToFirstEvent is the time to the first event of a stream, written in seconds.
 func TimeToFirstEvent(d time.Duration) Field { return Field{KeyFirstSeconds, d.Seconds()} }
 
-// Detail is a short text for people.
+// Detail is a short text for human readers.
 func Detail(text string) Field { return Field{KeyDetail, text} }
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -8,28 +8,28 @@
 	"github.com/sirupsen/logrus"
 )
 
-// LogConfig says what is logged, and where.
+// LogConfig configures a Log.
 type LogConfig struct {
 	Level  string    // "debug", "info", "warning" or "error"; default "info"
 	Format string    // "json" or "text"; default "json"
 	Output io.Writer // default standard error
-	// Bounded writes at most 40 lines a second of each event, and never blocks on
-	// Output; what was left out is told by lines_left_out.
+	// Bounded limits the log to 40 lines per event and second and never blocks on
+	// Output. The event lines_left_out reports the number of suppressed lines.
 	Bounded bool
 }
 
 // Log writes events. Each line has the fields "number", "event", "level",
-// "time" (RFC 3339, nanoseconds, UTC), "msg" (what the event means) and those
-// given with it.
+// "time" (RFC 3339, nanoseconds, UTC), "msg" (the description of the event) and
+// the fields passed to With and Emit.
 type Log struct {
-	logger *logrus.Logger
-	fields []Field // of every line
-	bounds *bounds // nil for none
-	async  *asyncWriter
+	logger  *logrus.Logger
+	fields  []Field      // of every line
+	limiter *lineLimiter // nil for no limit
+	async   *asyncWriter
 }
 
-// NewLog returns a log that writes as cfg says. An unknown level counts as
-// "info"; settings refuse one.
+// NewLog returns a log with the configuration cfg. An unknown level is treated as
+// "info"; the settings reject it earlier.
 func NewLog(cfg LogConfig) *Log {
 	l := logrus.New()
 	l.SetOutput(os.Stderr)
@@ -45,7 +45,7 @@
 	}
 	log := &Log{logger: l}
 	if cfg.Bounded {
-		log.bounds = newBounds()
+		log.limiter = newLineLimiter()
 		log.async = newAsyncWriter(l.Out)
 		l.SetOutput(log.async)
 	}
@@ -59,31 +59,32 @@
 	return l
 }
 
-// With returns a log that adds fields to every line.
+// With returns a log that adds fields to every line. l is not changed.
 func (l *Log) With(fields ...Field) *Log {
 	all := make([]Field, 0, len(l.fields)+len(fields))
 	all = append(all, l.fields...)
 	all = append(all, fields...)
-	return &Log{logger: l.logger, fields: all, bounds: l.bounds, async: l.async}
+	return &Log{logger: l.logger, fields: all, limiter: l.limiter, async: l.async}
 }
 
-// Emit writes one line for e, unless its level is switched off.
+// Emit writes one line for e, unless its level is disabled or the line exceeds the
+// limit.
 func (l *Log) Emit(e Event, fields ...Field) {
 	info := e.info()
-	if !l.logger.IsLevelEnabled(info.Level) || !l.within(e) {
+	if !l.logger.IsLevelEnabled(info.Level) || !l.withinLimit(e) {
 		return
 	}
 	l.write(info, e, fields)
 }
 
-// within reports whether a line of e is within the log's bounds, and tells what was
-// left out before.
-func (l *Log) within(e Event) bool {
-	if l.bounds == nil {
+// withinLimit reports whether a line of e is within the limit of the log. It also
+// writes the number of lines that were suppressed or dropped before.
+func (l *Log) withinLimit(e Event) bool {
+	if l.limiter == nil {
 		return true
 	}
-	ok, left := l.bounds.allow(time.Now(), e)
-	for event, n := range left {
+	ok, suppressed := l.limiter.allow(time.Now(), e)
+	for event, n := range suppressed {
 		l.write(EventLinesLeftOut.info(), EventLinesLeftOut, []Field{Detail(event.Name()), Count(n)})
 	}
 	if n := l.async.dropped.Swap(0); n > 0 {
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -12,34 +12,34 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// reportInterval is how often counts reach /metrics: a scrape is at most this
-// old.
+// reportInterval is the interval at which values are reported to /metrics, and so
+// the maximum age of a scrape.
 const reportInterval = 500 * time.Millisecond
 
-// buckets are the upper bounds of every histogram, in seconds. They are dense
-// around the targets of 68 ms between tokens and 0.55 s to the first one.
+// buckets are the upper bounds of all histograms, in seconds. They are dense around
+// the targets of 68 ms between two tokens and 0.55 s to the first token.
 var buckets = tally.ValueBuckets{
 	0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.035, 0.05, 0.068, 0.1, 0.15,
 	0.25, 0.4, 0.55, 0.8, 1.2, 2, 4, 8, 15, 30, 60,
 }
 
-// Metrics counts what one daemon does. Its registry is its own, so that several
-// daemons of one process count apart.
+// Metrics are the metrics of one daemon. Each has its own registry, so that several
+// daemons in one process have separate values.
 type Metrics struct {
 	scope   tally.Scope
 	closer  io.Closer
 	handler http.Handler
 
-	refused map[state.Reason]tally.Counter
-	failed  map[state.Reason]tally.Counter
-	unknown map[state.Reason]tally.Counter
-	retried map[state.RetryReason]tally.Counter
-	plain   map[Name]tally.Counter
-	gauges  map[Name]tally.Gauge
-	timings map[Name]tally.Histogram
+	refused    map[state.Reason]tally.Counter
+	failed     map[state.Reason]tally.Counter
+	unknown    map[state.Reason]tally.Counter
+	retried    map[state.RetryReason]tally.Counter
+	counters   map[Name]tally.Counter
+	gauges     map[Name]tally.Gauge
+	histograms map[Name]tally.Histogram
 }
 
-// NewMetrics returns counters at zero. Close it to stop its reporting.
+// NewMetrics returns metrics with all values at zero. Close stops the reporting.
 func NewMetrics() *Metrics {
 	reporter := tallyprom.NewReporter(tallyprom.Options{Registerer: prometheus.NewRegistry()})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -49,23 +49,24 @@
 		OmitCardinalityMetrics: true,
 	}, reportInterval)
 	m := &Metrics{
-		scope:   scope,
-		closer:  closer,
-		handler: reporter.HTTPHandler(),
-		refused: byReasons(scope, RefusedTotal, state.Reasons()),
-		failed:  byReasons(scope, FailedTotal, state.Reasons()),
-		unknown: byReasons(scope, UnknownTotal, state.Reasons()),
-		retried: byReasons(scope, RetriedTotal, state.RetryReasons()),
-		plain:   make(map[Name]tally.Counter),
-		gauges:  make(map[Name]tally.Gauge),
-		timings: make(map[Name]tally.Histogram),
+		scope:      scope,
+		closer:     closer,
+		handler:    reporter.HTTPHandler(),
+		refused:    reasonCounters(scope, RefusedTotal, state.Reasons()),
+		failed:     reasonCounters(scope, FailedTotal, state.Reasons()),
+		unknown:    reasonCounters(scope, UnknownTotal, state.Reasons()),
+		retried:    reasonCounters(scope, RetriedTotal, state.RetryReasons()),
+		counters:   make(map[Name]tally.Counter),
+		gauges:     make(map[Name]tally.Gauge),
+		histograms: make(map[Name]tally.Histogram),
 	}
-	m.makeUnlabeled()
+	m.createUnlabeled()
 	return m
 }
 
-// byReasons makes one counter a reason, so that each shows as 0 from the start.
-func byReasons[R ~string](scope tally.Scope, name Name, reasons []R) map[R]tally.Counter {
+// reasonCounters creates a counter per reason, so that each is exported as 0 from
+// the start.
+func reasonCounters[R ~string](scope tally.Scope, name Name, reasons []R) map[R]tally.Counter {
 	counters := make(map[R]tally.Counter, len(reasons))
 	for _, r := range reasons {
 		counters[r] = reasonCounter(scope, name, r)
@@ -78,7 +79,7 @@
 	return scope.Tagged(tags).Counter(string(name))
 }
 
-func (m *Metrics) makeUnlabeled() {
+func (m *Metrics) createUnlabeled() {
 	for _, metric := range metrics {
 		if len(metric.Labels) > 0 {
 			continue
@@ -86,65 +87,66 @@
 		name := string(metric.Name)
 		switch metric.Kind {
 		case KindCounter:
-			m.plain[metric.Name] = m.scope.Counter(name)
+			m.counters[metric.Name] = m.scope.Counter(name)
 		case KindGauge:
 			m.gauges[metric.Name] = m.scope.Gauge(name)
 		case KindHistogram:
-			m.timings[metric.Name] = m.scope.Histogram(name, buckets)
+			m.histograms[metric.Name] = m.scope.Histogram(name, buckets)
 		}
 	}
 }
 
-// Scope is where a part of the daemon counts that names its own counters; they
-// stand in Catalogue all the same.
+// Scope returns the scope for components that create metrics themselves. Their
+// metrics are in Catalogue too.
 func (m *Metrics) Scope() tally.Scope {
 	return m.scope
 }
 
-// Handler serves the counters in the format of Prometheus, for /metrics. What
-// it gives is at most half a second old.
+// Handler serves the metrics in the Prometheus format, for /metrics. The values
+// are at most half a second old.
 func (m *Metrics) Handler() http.Handler {
 	return m.handler
 }
 
-// Close reports a last time and stops reporting.
+// Close reports the values once more and stops the reporting.
 func (m *Metrics) Close() error {
 	return m.closer.Close()
 }
 
-// Accepted counts a request that was taken in.
+// Accepted counts an accepted request.
 func (m *Metrics) Accepted(service state.ServiceID, class state.ClassID) {
 	m.classScope(service, class).Counter(string(AcceptedTotal)).Inc(1)
 }
 
-// Completed counts a request whose whole answer was given.
+// Completed counts a request whose complete answer was delivered.
 func (m *Metrics) Completed(service state.ServiceID, class state.ClassID) {
 	m.classScope(service, class).Counter(string(CompletedTotal)).Inc(1)
 }
 
 // Refused counts a request that was refused as not run.
 func (m *Metrics) Refused(r state.Reason) {
-	count(m, RefusedTotal, m.refused, r)
+	incReason(m, RefusedTotal, m.refused, r)
 }
 
-// Failed counts a request that began and whose answer is not whole.
+// Failed counts a request that started and whose answer is incomplete.
 func (m *Metrics) Failed(r state.Reason) {
-	count(m, FailedTotal, m.failed, r)
+	incReason(m, FailedTotal, m.failed, r)
 }
 
-// Unknown counts a request of which it can't be told whether it ran.
+// Unknown counts a request for which it is not known whether it ran.
 func (m *Metrics) Unknown(r state.Reason) {
-	count(m, UnknownTotal, m.unknown, r)
+	incReason(m, UnknownTotal, m.unknown, r)
 }
 
 // Retried counts an attempt after the first.
 func (m *Metrics) Retried(r state.RetryReason) {
-	count(m, RetriedTotal, m.retried, r)
+	incReason(m, RetriedTotal, m.retried, r)
 }
 
-// count adds one for reason. A peer of a newer program may send a reason that
-// this one does not list; it is counted under its own name, not dropped.
-func count[R ~string](m *Metrics, name Name, counters map[R]tally.Counter, reason R) {
+// incReason increments the counter of reason. A peer that runs a newer version may
+// send a reason that this version does not list; it is counted under its own name
+// and not dropped.
+func incReason[R ~string](m *Metrics, name Name, counters map[R]tally.Counter, reason R) {
 	c, ok := counters[reason]
 	if !ok {
 		c = reasonCounter(m.scope, name, reason)
@@ -152,7 +154,7 @@
 	c.Inc(1)
 }
 
-// Ended counts how a request ended.
+// Ended counts the outcome of a request.
 func (m *Metrics) Ended(service state.ServiceID, class state.ClassID, o state.Outcome) {
 	switch o := o.(type) {
 	case state.Completed:
@@ -166,20 +168,20 @@
 	}
 }
 
-// CountReason adds one to a counter that has the label "reason", for reasons whose
-// closed list is kept by the package that decides.
+// CountReason increments a counter that has the label "reason". The possible
+// reasons are defined by the package that decides on them.
 func (m *Metrics) CountReason(name Name, reason string) {
 	m.scope.Tagged(map[string]string{string(LabelReason): reason}).Counter(string(name)).Inc(1)
 }
 
-// Tokens counts n tokens given to callers.
+// Tokens counts n tokens delivered to callers.
 func (m *Metrics) Tokens(n int) {
 	m.Add(TokensTotal, int64(n))
 }
 
 // Add adds n to a counter without labels.
 func (m *Metrics) Add(name Name, n int64) {
-	unlabeled(m.plain, name).Inc(n)
+	unlabeled(m.counters, name).Inc(n)
 }
 
 // Set sets a gauge without labels.
@@ -196,9 +198,9 @@
 	m.Set(name, v)
 }
 
-// Observe adds a time to a histogram without labels.
+// Observe adds a duration to a histogram without labels.
 func (m *Metrics) Observe(name Name, d time.Duration) {
-	unlabeled(m.timings, name).RecordValue(d.Seconds())
+	unlabeled(m.histograms, name).RecordValue(d.Seconds())
 }
 
 func unlabeled[M any](all map[Name]M, name Name) M {
@@ -219,12 +221,12 @@
 	m.classScope(service, class).Gauge(string(name)).Update(v)
 }
 
-// ObserveService adds a time to a histogram that has the label "service".
+// ObserveService adds a duration to a histogram that has the label "service".
 func (m *Metrics) ObserveService(name Name, service state.ServiceID, d time.Duration) {
 	m.serviceScope(service).Histogram(string(name), buckets).RecordValue(d.Seconds())
 }
 
-// ObserveClass adds a time to a histogram that has the labels "service" and
+// ObserveClass adds a duration to a histogram that has the labels "service" and
 // "class".
 func (m *Metrics) ObserveClass(name Name, service state.ServiceID, class state.ClassID, d time.Duration) {
 	m.classScope(service, class).Histogram(string(name), buckets).RecordValue(d.Seconds())
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -31,14 +31,14 @@
 		}))
 	})
 
-	It("leaves out events below its level", func() {
+	It("omits events below its level", func() {
 		var out bytes.Buffer
 		log := telemetry.NewLog(telemetry.LogConfig{Level: "warning", Output: &out})
 		log.Emit(telemetry.EventDaemonStarted)
 		Expect(out.Len()).To(BeZero())
 	})
 
-	It("keeps its fields apart from those of a log made from it", func() {
+	It("does not get the fields of a log derived from it", func() {
 		var out bytes.Buffer
 		base := telemetry.NewLog(telemetry.LogConfig{Output: &out}).With(telemetry.Daemon("a"))
 		base.With(telemetry.Peer("b"))
@@ -54,7 +54,7 @@
 		return w.Body.String()
 	}
 
-	It("shows each refusal and retry reason from the start, at 0", func() {
+	It("exports each refusal and retry reason as 0 from the start", func() {
 		m := telemetry.NewMetrics()
 		defer m.Close()
 		text := scrape(m)
@@ -66,7 +66,7 @@
 		}
 	})
 
-	It("counts what many goroutines report, apart from another daemon's", func() {
+	It("counts reports of concurrent goroutines, separately from another daemon", func() {
 		m, other := telemetry.NewMetrics(), telemetry.NewMetrics()
 		defer other.Close()
 		proof, _ := state.NewDispatches().NotRun()
@@ -88,7 +88,7 @@
 		m.SetFlag(telemetry.Draining, true)
 		m.SetService(telemetry.DocumentVersion, "drafts", 7)
 		m.ObserveClass(telemetry.FirstTokenSeconds, "drafts", "check", 60*time.Millisecond)
-		Expect(m.Close()).To(Succeed()) // reports what is left
+		Expect(m.Close()).To(Succeed()) // reports the remaining counts
 		text := scrape(m)
 		for _, line := range []string{
 			`accepted_total{class="check",service="drafts"} 800`,
@@ -108,7 +108,7 @@
 		Expect(scrape(other)).To(ContainSubstring("tokens_total 0\n"))
 	})
 
-	It("counts a reason that only a newer program knows", func() {
+	It("counts a reason that only a newer version knows", func() {
 		m := telemetry.NewMetrics()
 		m.Refused("of_tomorrow")
 		Expect(m.Close()).To(Succeed())
