--- a/explain/doc.go
+++ b/explain/doc.go
@@ -1,11 +1,12 @@
-// Package explain tells the story of one request from the logs of several daemons.
+// Package explain reconstructs the timeline of one request from the logs of several
+// daemons and determines the cause of its failure.
 //
-// A request's attempt lives in one daemon, whose lines about it are its steps. Each
-// step is shown with what that daemon went by then and how long it had known it: the
-// configuration, the store, the servers of the path. What other daemons saw of the
-// same servers shortly before and after tells whether a server failed or the daemon
-// was cut off. The cause is concluded from these alone.
+// A request runs on one daemon, whose log lines about it are the steps of the timeline.
+// Each step is shown with the state that the daemon had cached at that time, and with
+// the age of that state: the configuration, the store, the servers of the path. Lines of
+// other daemons about the same servers shortly before and after show whether a server
+// failed or the daemon was partitioned. The cause is derived from the logs only.
 //
-// Read is lenient: lines that are no log lines are counted and passed over, since
-// logs come with prefixes and cut ends.
+// Read is lenient: lines that are not log lines are counted and skipped, since logs may
+// contain prefixes and truncated lines.
 package explain
--- a/explain/line.go
+++ b/explain/line.go
@@ -12,13 +12,13 @@
 
 // Line is one line of a daemon's log.
 type Line struct {
-	Time    time.Time `json:"time"` // by the daemon's own clock
+	Time    time.Time `json:"time"` // by the clock of the daemon
 	Daemon  string    `json:"daemon"`
 	Event   string    `json:"event"`
 	Message string    `json:"msg"`
 	Request string    `json:"request,omitempty"`
 	Service string    `json:"service,omitempty"`
-	Backend string    `json:"backend,omitempty"` // id of a server's life
+	Backend string    `json:"backend,omitempty"` // id of a backend server
 	Address string    `json:"address,omitempty"`
 	Detail  string    `json:"detail,omitempty"`
 	Cause   string    `json:"cause,omitempty"`
@@ -29,19 +29,20 @@
 	Peer    string    `json:"peer,omitempty"`
 }
 
-// maxLine bounds one line, in bytes: the longest path has 32 hops of some 30 bytes.
-const maxLine = 1 << 20
+// maxLineSize is the maximum size of a line in bytes, far above that of the longest path,
+// which has 32 hops of some 30 bytes.
+const maxLineSize = 1 << 20
 
-// Log is what was read.
+// Log holds the lines read from the logs of one or more daemons.
 type Log struct {
-	Lines   []Line // in the order of their times
-	Skipped int    // lines that are none of a daemon's log
+	Lines   []Line // ordered by time
+	Skipped int    // number of lines that are not log lines of a daemon
 }
 
-// Read adds the lines of one daemon's or several daemons' logs.
+// Read adds the lines of the logs of one or more daemons.
 func (l *Log) Read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineSize)
 	for scanner.Scan() {
 		line, ok := parse(scanner.Bytes())
 		if !ok {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// parse reads the JSON object of a line, after any prefix that collectors add.
+// parse parses the JSON object of a line and ignores a prefix that log collectors add.
 func parse(b []byte) (Line, bool) {
 	at := bytes.IndexByte(b, '{')
 	if at < 0 {
--- a/explain/story.go
+++ b/explain/story.go
@@ -7,97 +7,100 @@
 	"time"
 )
 
-// Story is what became of one request.
+// Timeline is the history of one request and its cause of failure.
 type Timeline struct {
 	Request string `json:"request"`
-	Daemon  string `json:"daemon"` // that served it
+	Daemon  string `json:"daemon"` // the daemon that served the request
 	Steps   []Step `json:"steps"`
 	Cause   Cause  `json:"cause"`
 }
 
-// Step is one line about the request, with what its daemon went by.
+// Step is one line about the request, with the state that its daemon had cached.
 type Step struct {
 	Line        Line          `json:"line"`
 	CachedState []CachedState `json:"beliefs,omitempty"`
 }
 
-// Belief is something that a daemon held for true, since Line.
+// CachedState is what a daemon knew about a subject, as of Line.
 type CachedState struct {
 	Subject string        `json:"about"`
 	Line    Line          `json:"line"`
 	Age     time.Duration `json:"age_ns"`
 }
 
-// seenWithin is how long before and after a step other daemons' lines about the same
-// server belong to its story: a dead one leaves the list within four heartbeats.
-const seenWithin = 6 * time.Second
+// correlationWindow is the time before and after a step in which lines of other daemons
+// about the same server are taken into account: the entry of a dead server is removed
+// from the list within four heartbeats.
+const correlationWindow = 6 * time.Second
 
-// Find tells the story of a request. Its error says that no line names it.
+// Find returns the timeline of a request, or an error if no line names the request.
 func (l *Log) Find(request string) (Timeline, error) {
-	s := Timeline{Request: request}
+	t := Timeline{Request: request}
 	for i, line := range l.Lines {
 		if line.Request != request {
 			continue
 		}
-		s.Daemon = line.Daemon
-		s.Steps = append(s.Steps, Step{Line: line, CachedState: l.beliefs(i)})
+		t.Daemon = line.Daemon
+		t.Steps = append(t.Steps, Step{Line: line, CachedState: l.cachedStates(i)})
 	}
-	if len(s.Steps) == 0 {
-		return Timeline{}, fmt.Errorf("no line of %d names request %s", len(l.Lines), request)
+	if len(t.Steps) == 0 {
+		return Timeline{}, fmt.Errorf("none of %d lines names request %s", len(l.Lines), request)
 	}
-	s.Cause = l.conclude(&s)
-	return s, nil
+	t.Cause = l.findCause(&t)
+	return t, nil
 }
 
-// beliefs lists what the daemon of line i went by then, where the line is of a
-// decision that depends on it.
-func (l *Log) beliefs(i int) []CachedState {
+// cachedStates returns the state that the daemon of line i had cached at that time, as
+// far as the event of the line depends on it.
+func (l *Log) cachedStates(i int) []CachedState {
 	line := l.Lines[i]
 	var out []CachedState
-	add := func(about string, known *Line) {
-		if known != nil {
-			out = append(out, CachedState{Subject: about, Line: *known, Age: line.Time.Sub(known.Time)})
+	add := func(subject string, source *Line) {
+		if source != nil {
+			out = append(out, CachedState{Subject: subject, Line: *source, Age: line.Time.Sub(source.Time)})
 		}
 	}
 	switch line.Event {
 	case eventSent, eventRefused, eventFailed:
-		add("configuration", l.last(i, func(x *Line) bool { return x.Event == eventConfig }))
+		add("configuration", l.lastBefore(i, func(x *Line) bool { return x.Event == eventConfigApplied }))
 		for _, feed := range []string{"configuration", "servers"} {
-			add("store: "+feed, l.last(i, func(x *Line) bool {
-				return (x.Event == eventStoreLost || x.Event == eventStoreBack) && x.Detail == feed
+			add("store: "+feed, l.lastBefore(i, func(x *Line) bool {
+				return (x.Event == eventStoreLost || x.Event == eventStoreRecovered) && x.Detail == feed
 			}))
-			add("source: "+feed, l.last(i, func(x *Line) bool {
-				return x.Event == eventSource && strings.HasPrefix(x.Detail, feed+" ")
+			add("source: "+feed, l.lastBefore(i, func(x *Line) bool {
+				return x.Event == eventFeedSource && strings.HasPrefix(x.Detail, feed+" ")
 			}))
 		}
-		add("daemon", l.last(i, func(x *Line) bool { return x.Event == eventStarted || x.Event == eventDrain }))
+		add("daemon", l.lastBefore(i, func(x *Line) bool { return x.Event == eventDaemonStarted || x.Event == eventDrainStarted }))
 	}
 	for _, address := range line.addresses() {
-		id := l.life(i, address)
-		add("server "+address, l.last(i, func(x *Line) bool { return x.aboutServer(address, id) }))
+		id := l.backendIDAt(i, address)
+		add("server "+address, l.lastBefore(i, func(x *Line) bool { return x.aboutServer(address, id) }))
 	}
 	return out
 }
 
-// last is the last line before i of the same daemon that fits, or nil.
-func (l *Log) last(i int, fits func(*Line) bool) *Line {
+// lastBefore returns the last line of the same daemon before line i that matches, or nil.
+func (l *Log) lastBefore(i int, match func(*Line) bool) *Line {
 	for k := i - 1; k >= 0; k-- {
-		if x := &l.Lines[k]; x.Daemon == l.Lines[i].Daemon && fits(x) {
+		if x := &l.Lines[k]; x.Daemon == l.Lines[i].Daemon && match(x) {
 			return x
 		}
 	}
 	return nil
 }
 
-// life is the id of the server that a daemon knew at an address before line i.
-func (l *Log) life(i int, address string) string {
-	if x := l.last(i, func(x *Line) bool { return x.Event == eventJoined && x.Address == address }); x != nil {
+// backendIDAt returns the id of the server that the daemon of line i knew at an address
+// before that line, or "".
+func (l *Log) backendIDAt(i int, address string) string {
+	if x := l.lastBefore(i, func(x *Line) bool { return x.Event == eventBackendJoined && x.Address == address }); x != nil {
 		return x.Backend
 	}
 	return ""
 }
 
-// aboutServer reports whether a line tells of a server's state, not of a request.
+// aboutServer reports whether a line is about the state of a server and not about a
+// request.
 func (x *Line) aboutServer(address, id string) bool {
 	if x.Request != "" || !slices.Contains(serverEvents, x.Event) {
 		return false
@@ -105,7 +108,8 @@
 	return x.Address == address || id != "" && x.Backend == id
 }
 
-// addresses lists the servers that a line is about: the hops of a path, or one.
+// addresses returns the addresses of the servers that a line is about: the hops of a
+// path, or a single server.
 func (x *Line) addresses() []string {
 	if x.Event != eventSent {
 		if x.Address == "" {
@@ -125,21 +129,21 @@
 	return out
 }
 
-// others counts the daemons, this one left out, that found a server dead at about a
-// time, and those that saw it leave or lapse.
-func (l *Log) others(x *Line) (dead, gone int) {
+// countOthers returns the number of other daemons that found the server of line x dead
+// within correlationWindow, and of those that saw it leave or its entry expire.
+func (l *Log) countOthers(x *Line) (dead, gone int) {
 	daemons := make(map[string]bool)
 	for i := range l.Lines {
 		o := &l.Lines[i]
-		near := o.Time.Sub(x.Time).Abs() <= seenWithin
+		near := o.Time.Sub(x.Time).Abs() <= correlationWindow
 		if !near || o.Daemon == x.Daemon || daemons[o.Event+o.Daemon] || !o.aboutServer(x.Address, x.Backend) {
 			continue
 		}
 		daemons[o.Event+o.Daemon] = true
 		switch o.Event {
-		case eventDead:
+		case eventBackendDead:
 			dead++
-		case eventLeaving, eventGone:
+		case eventBackendLeaving, eventBackendDied:
 			gone++
 		}
 	}
--- a/explain/text.go
+++ b/explain/text.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// WriteText writes a story for people: the steps in order, what was believed under
-// each, and the cause.
-func (s *Timeline) WriteText(w io.Writer) error {
+// WriteText writes the timeline for human readers: the steps in order, the cached state
+// below each step, and the cause.
+func (t *Timeline) WriteText(w io.Writer) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "request %s at %s\n\n", s.Request, s.Daemon)
-	start := s.Steps[0].Line.Time
-	for _, step := range s.Steps {
-		fmt.Fprintf(&b, "%8.3f s  %s\n", step.Line.Time.Sub(start).Seconds(), step.Line.brief())
-		for _, belief := range step.CachedState {
-			fmt.Fprintf(&b, "             %-28s %s, known for %s\n", belief.Subject, belief.Line.brief(), belief.Age.Round(time.Millisecond))
+	fmt.Fprintf(&b, "request %s at %s\n\n", t.Request, t.Daemon)
+	start := t.Steps[0].Line.Time
+	for _, step := range t.Steps {
+		fmt.Fprintf(&b, "%8.3f s  %s\n", step.Line.Time.Sub(start).Seconds(), step.Line.summary())
+		for _, c := range step.CachedState {
+			fmt.Fprintf(&b, "             %-28s %s, known for %s\n", c.Subject, c.Line.summary(), c.Age.Round(time.Millisecond))
 		}
 	}
-	fmt.Fprintf(&b, "\ncause: %s (%s)\n", s.Cause.Summary, s.Cause.Kind)
-	if s.Cause.Next != "" {
-		fmt.Fprintf(&b, "look at: %s\n", s.Cause.Next)
+	fmt.Fprintf(&b, "\ncause: %s (%s)\n", t.Cause.Summary, t.Cause.Kind)
+	if t.Cause.Next != "" {
+		fmt.Fprintf(&b, "look at: %s\n", t.Cause.Next)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-// brief is a line in short: its event and the fields that it has.
-func (x *Line) brief() string {
+// summary returns the event of a line and the fields that are set.
+func (x *Line) summary() string {
 	parts := []string{x.Event}
 	add := func(name, value string) {
 		if value != "" {
