--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -72,8 +72,8 @@
 		Expect(s.Daemon).To(Equal("g1"))
 		Expect(s.Cause.Kind).To(Equal(explain.KindHopDied))
 		Expect(s.Cause.Summary).To(ContainSubstring(string(hop.Server.ID)))
-		Expect(s.Steps[0].CachedState).To(ContainElement(HaveField("About", "configuration")))
-		Expect(s.Steps[0].CachedState).To(ContainElement(HaveField("About", "server "+hop.Address)))
+		Expect(s.Steps[0].CachedState).To(ContainElement(HaveField("Subject", "configuration")))
+		Expect(s.Steps[0].CachedState).To(ContainElement(HaveField("Subject", "server "+hop.Address)))
 	})
 
 	// A caller gets 502 for a request that may run only once, because its answer was lost.
--- a/gateway/lives_test.go
+++ b/gateway/lives_test.go
@@ -103,7 +103,7 @@
 		h.awaitLayers(state.BackendID(id), "4-8")
 		h.servers.mu.Lock()
 		defer h.servers.mu.Unlock()
-		Expect(h.servers.orders).To(ContainElement(And(HaveField("Server", state.BackendID(id)), HaveField("Orders", BeZero()))))
+		Expect(h.servers.orders).To(ContainElement(And(HaveField("Server", state.BackendID(id)), HaveField("OrderCount", BeZero()))))
 	})
 
 	// A delayed write of a server's former incarnation takes effect after the write of its
