--- a/client/client.go
+++ b/client/client.go
@@ -18,14 +18,14 @@
 
 // Defaults of Config.
 const (
-	DefaultProgress    = 8 * time.Second
-	DefaultAskTimeout  = 2 * time.Second
-	DefaultPause       = 50 * time.Millisecond
-	DefaultTries       = 12
-	DefaultRefusals    = 5
-	dialTimeout        = 1500 * time.Millisecond
-	idleConnections    = 30 * time.Second
-	connectionsPerHost = 64
+	DefaultProgressTimeout = 8 * time.Second
+	DefaultCallTimeout     = 2 * time.Second
+	DefaultRetryDelay      = 50 * time.Millisecond
+	DefaultMaxAttempts     = 12
+	DefaultMaxRefusals     = 5
+	dialTimeout            = 1500 * time.Millisecond
+	idleConnections        = 30 * time.Second
+	connectionsPerHost     = 64
 )
 
 // Config is what a Client needs. Zero fields below Domain take the defaults.
@@ -37,12 +37,12 @@
 
 	// Progress is the longest time without a sign of life before a connection
 	// counts as silent. Daemons give one at least every few seconds.
-	Progress time.Duration
+	ProgressTimeout time.Duration
 
-	AskTimeout time.Duration // for each question that is not a request
-	Pause      time.Duration // before the second try; doubles with each that brings nothing
-	Tries      int           // connections in a row without progress before Do gives up
-	Refusals   int           // refusals as not run, for reasons that pass, before Do returns one
+	CallTimeout time.Duration // for each question that is not a request
+	RetryDelay  time.Duration // before the second try; doubles with each that brings nothing
+	MaxAttempts int           // connections in a row without progress before Do gives up
+	MaxRefusals int           // refusals as not run, for reasons that pass, before Do returns one
 
 	HTTP *http.Client // nil makes one
 }
@@ -59,20 +59,20 @@
 
 // New returns a Client.
 func New(cfg Config) *Client {
-	if cfg.Progress == 0 {
-		cfg.Progress = DefaultProgress
+	if cfg.ProgressTimeout == 0 {
+		cfg.ProgressTimeout = DefaultProgressTimeout
 	}
-	if cfg.AskTimeout == 0 {
-		cfg.AskTimeout = DefaultAskTimeout
+	if cfg.CallTimeout == 0 {
+		cfg.CallTimeout = DefaultCallTimeout
 	}
-	if cfg.Pause == 0 {
-		cfg.Pause = DefaultPause
+	if cfg.RetryDelay == 0 {
+		cfg.RetryDelay = DefaultRetryDelay
 	}
-	if cfg.Tries == 0 {
-		cfg.Tries = DefaultTries
+	if cfg.MaxAttempts == 0 {
+		cfg.MaxAttempts = DefaultMaxAttempts
 	}
-	if cfg.Refusals == 0 {
-		cfg.Refusals = DefaultRefusals
+	if cfg.MaxRefusals == 0 {
+		cfg.MaxRefusals = DefaultMaxRefusals
 	}
 	if cfg.HTTP == nil {
 		cfg.HTTP = &http.Client{Transport: &http.Transport{
@@ -173,7 +173,7 @@
 // ask makes a call whose answer is JSON. An answer that is no success is a
 // *caller.Problem.
 func (c *Client) ask(ctx context.Context, method, target string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.CallTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, target, nil)
 	if err != nil {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -154,7 +154,7 @@
 
 func config(url string) client.Config {
 	return client.Config{
-		Seeds: []string{url}, Service: "notes", Customer: "kochi", Progress: 100 * time.Millisecond, Refusals: 100, Pause: 2 * time.Millisecond,
+		Seeds: []string{url}, Service: "notes", Customer: "kochi", ProgressTimeout: 100 * time.Millisecond, MaxRefusals: 100, RetryDelay: 2 * time.Millisecond,
 	}
 }
 
@@ -222,10 +222,10 @@
 			r, err := client.New(config(s.URL)).Do(context.Background(), client.Request{}, nil)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(r.End).To(Equal(caller.EndEvent{Outcome: c.want, Reason: c.reason, Execution: c.execution}))
-			Expect(r.Tries).To(Equal(1))
+			Expect(r.Attempts).To(Equal(1))
 		}
 		cfg := config("http://127.0.0.1:1")
-		cfg.Tries = 2
+		cfg.MaxAttempts = 2
 		r, err := client.New(cfg).Do(context.Background(), client.Request{}, nil)
 		Expect(err).To(MatchError(client.ErrGaveUp))
 		Expect(r.End.Outcome).To(Equal(caller.EndUnknown))
@@ -241,7 +241,7 @@
 		DeferCleanup(second.Close)
 		d.addresses = []string{first.URL, second.URL}
 		cfg := config(second.URL)
-		cfg.Progress = 10 * time.Second
+		cfg.ProgressTimeout = 10 * time.Second
 		done := make(chan client.Result, 1)
 		go func() {
 			defer GinkgoRecover()
--- a/client/connect.go
+++ b/client/connect.go
@@ -38,7 +38,7 @@
 	defer cancel(nil)
 	// An open connection can stop carrying bytes for good. Daemons send a sign of
 	// life every few seconds, so that its absence ends the connection here.
-	progress := a.client.cfg.Progress
+	progress := a.client.cfg.ProgressTimeout
 	watchdog := time.AfterFunc(progress, func() { cancel(errSilent) })
 	defer watchdog.Stop()
 	alive := func() { watchdog.Reset(progress) }
--- a/client/do.go
+++ b/client/do.go
@@ -27,10 +27,10 @@
 
 // Result is how a request ended.
 type Result struct {
-	Request state.RequestID // empty where it got none
-	Key     state.IdempotencyKey
-	End     caller.EndEvent
-	Tries   int // connections that it took
+	Request  state.RequestID // empty where it got none
+	Key      state.IdempotencyKey
+	End      caller.EndEvent
+	Attempts int // connections that it took
 }
 
 // ErrGaveUp says that too many connections in a row brought nothing. What became of the
@@ -81,7 +81,7 @@
 		if a.have > had || a.id != id {
 			a.idle = 0
 		}
-		if a.idle >= a.client.cfg.Tries {
+		if a.idle >= a.client.cfg.MaxAttempts {
 			return fmt.Errorf("%w: %w", ErrGaveUp, err)
 		}
 		if err := sleep(ctx, max(pause, a.backoff())); err != nil {
@@ -93,7 +93,7 @@
 // backoff is the wait before the next try, with jitter so that the callers of a
 // dead daemon do not arrive at the next one together.
 func (a *answer) backoff() time.Duration {
-	d := a.client.cfg.Pause << min(a.idle, maxDoubled)
+	d := a.client.cfg.RetryDelay << min(a.idle, maxDoubled)
 	return d/2 + mathrand.N(d/2)
 }
 
@@ -115,7 +115,7 @@
 	if err != nil {
 		return false, 0, err
 	}
-	a.result.Tries++
+	a.result.Attempts++
 	err = a.connect(ctx, addresses[a.address%len(addresses)])
 	var p *caller.Problem
 	var end *endError
@@ -159,7 +159,7 @@
 
 // ended takes an end, unless it is a refusal worth another try.
 func (a *answer) ended(end caller.EndEvent) (bool, time.Duration, error) {
-	if end.Outcome == caller.EndRefused && passes(end.Reason) && a.refusals < a.client.cfg.Refusals {
+	if end.Outcome == caller.EndRefused && passes(end.Reason) && a.refusals < a.client.cfg.MaxRefusals {
 		a.refusals++
 		a.id = ""
 		if elsewhere(end.Reason) {
--- a/cmd/hibiscusd/script_test.go
+++ b/cmd/hibiscusd/script_test.go
@@ -120,7 +120,7 @@
 	// A daemon that has just started refuses, as not run, until it holds its part of
 	// the customer's limit.
 	const refusals = 30
-	c := client.New(client.Config{Seeds: []string{r.url}, Service: "drafts", Customer: "bank", Refusals: refusals})
+	c := client.New(client.Config{Seeds: []string{r.url}, Service: "drafts", Customer: "bank", MaxRefusals: refusals})
 	for i := range count {
 		res, err := c.Do(ctx, client.Request{Class: "note", Prompt: fmt.Sprint("letter ", i)}, func(caller.TokenEvent) {})
 		if err != nil || res.End.Outcome != caller.EndCompleted {
--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -36,10 +36,10 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	c := client.New(client.Config{
-		Seeds:    seeds,
-		Service:  w.service,
-		Customer: w.customer,
-		Progress: silentAfter,
+		Seeds:           seeds,
+		Service:         w.service,
+		Customer:        w.customer,
+		ProgressTimeout: silentAfter,
 	})
 	var got result
 	res, err := c.Do(ctx, client.Request{Class: w.class, Key: w.key, Prompt: w.prompt}, func(t caller.TokenEvent) {
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -101,7 +101,7 @@
 	out := make([]*client.Client, customers)
 	for i := range out {
 		cfg := f.callerConfig(i)
-		cfg.Refusals = refusals
+		cfg.MaxRefusals = refusals
 		out[i] = client.New(cfg)
 	}
 	return out
--- a/measure/stream.go
+++ b/measure/stream.go
@@ -76,7 +76,7 @@
 		res, _ := c.Do(ctx, client.Request{Class: s.work.class, Prompt: s.work.prompt, MaxTokens: s.work.tokens},
 			func(t caller.TokenEvent) { s.onToken(t.Value) })
 		s.ending = ending{res.End.Outcome, res.End.Reason}
-		s.request, s.tries = res.Request, res.Tries
+		s.request, s.tries = res.Request, res.Attempts
 	}
 }
 
--- a/scenario/daemon/requests.go
+++ b/scenario/daemon/requests.go
@@ -71,7 +71,7 @@
 	s.calls[name] = c
 	seeds := lo.Map(s.Live(), func(d *router.Daemon, _ int) string { return "http://" + d.CallerAddress() })
 	cl := client.New(client.Config{
-		Seeds: seeds, Service: drafts, Customer: customer, Refusals: refusals, HTTP: &http.Client{Transport: c},
+		Seeds: seeds, Service: drafts, Customer: customer, MaxRefusals: refusals, HTTP: &http.Client{Transport: c},
 	})
 	go func() {
 		req := client.Request{Class: c.class, Key: state.IdempotencyKey(key), Prompt: c.prompt}
