--- a/cmd/hibiscusctl/apply.go
+++ b/cmd/hibiscusctl/apply.go
@@ -87,7 +87,7 @@
 	case caller.EditInvalid:
 		return refused(cmd, r.Faults)
 	default:
-		if r.Unreached {
+		if r.Unreachable {
 			return fail(exitFailed, "no server could be reached; nothing was changed: %v", r.Cause)
 		}
 		return fail(exitFailed, "whether the edit was accepted is not known: %v\nrepeat it with --base %d --edit-id %s",
@@ -105,7 +105,7 @@
 	}
 	for _, diff := range ctl.Differences(d, r.Current.Document) {
 		printf(cmd.ErrWriter, "%s: this edit has %s, version %d has %s\n",
-			diff.Path, orNothing(diff.Mine), r.Current.Version, orNothing(diff.Now))
+			diff.Path, orNothing(diff.Submitted), r.Current.Version, orNothing(diff.Existing))
 	}
 	return fail(exitConflict, "the edit is based on version %d, but version %d by edit %s came first",
 		e.Base, r.Current.Version, r.Current.EditID)
@@ -119,7 +119,7 @@
 }
 
 func waitInForce(ctx context.Context, cmd *cli.Command, c *ctl.Client, id state.ServiceID, v state.DocumentVersion) error {
-	lags := c.WaitInForce(ctx, id, v)
+	lags := c.WaitActive(ctx, id, v)
 	if len(lags) == 0 {
 		printf(cmd.Writer, "%s version %d in force everywhere\n", id, v)
 		return nil
--- a/ctl/apply.go
+++ b/ctl/apply.go
@@ -30,7 +30,7 @@
 	// effect although their answer was lost.
 	Unanswered int
 	// Unreached: no server could be connected to, so nothing was changed.
-	Unreached bool
+	Unreachable bool
 	// Cause is why the result is EditUnknown.
 	Cause error
 }
@@ -56,7 +56,7 @@
 			unanswered++
 		}
 		if !sleep(ctx, wait.NextBackOff()) {
-			return ApplyResult{EditResult: r, Unanswered: unanswered, Unreached: unanswered == 0, Cause: err}
+			return ApplyResult{EditResult: r, Unanswered: unanswered, Unreachable: unanswered == 0, Cause: err}
 		}
 	}
 }
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -99,12 +99,12 @@
 		fleet.Stop("a")
 		r := client(fleet.URL("a")).Apply(brief(), "alerts", edit(0, "e1"))
 		Expect(r.Status).To(Equal(caller.EditUnknown))
-		Expect(r.Unreached).To(BeTrue())
+		Expect(r.Unreachable).To(BeTrue())
 
 		fleet.Change("b", func(d *ctltest.Daemon) { d.LoseAnswers = 1000 })
 		r = client(fleet.URL("b")).Apply(brief(), "alerts", edit(0, "e1"))
 		Expect(r.Status).To(Equal(caller.EditUnknown))
-		Expect(r.Unreached).To(BeFalse())
+		Expect(r.Unreachable).To(BeFalse())
 	})
 
 	// Two operators edit version 1 at the same moment. The second is told the
@@ -118,7 +118,7 @@
 		Expect(r.Status).To(Equal(caller.EditConflict))
 		Expect(r.Current.EditID).To(Equal("theirs"))
 		Expect(ctl.Differences(alerts(), r.Current.Document)).To(ConsistOf(
-			ctl.Difference{Path: "capacity.replicas", Mine: "3", Now: "2"},
+			ctl.Difference{Path: "capacity.replicas", Submitted: "3", Existing: "2"},
 			HaveField("Path", "customers[2]"),
 		))
 	})
@@ -132,25 +132,25 @@
 			fleet.Change("c", func(d *ctltest.Daemon) { d.Lagging = true })
 			fleet.Commit(service.Versioned{Version: 2, EditID: "e2", Document: alerts()})
 			c := client(fleet.URL("a"))
-			Expect(c.WaitInForce(brief(), "alerts", 2)).To(Equal([]ctl.Lag{{Daemon: "c", Version: 1}}))
+			Expect(c.WaitActive(brief(), "alerts", 2)).To(Equal([]ctl.Lag{{Daemon: "c", Version: 1}}))
 			done := make(chan []ctl.Lag)
-			go func() { done <- c.WaitInForce(ctx, "alerts", 2) }()
+			go func() { done <- c.WaitActive(ctx, "alerts", 2) }()
 			fleet.Change("c", func(d *ctltest.Daemon) { d.Lagging = false })
 			Eventually(done).WithTimeout(bound).Should(Receive(BeEmpty()))
 		})
 
 		It("leaves out dead daemons, but not live ones that can't be asked", func() {
 			fleet.Stop("c")
-			lags := client(fleet.URL("a")).WaitInForce(brief(), "alerts", 1)
+			lags := client(fleet.URL("a")).WaitActive(brief(), "alerts", 1)
 			Expect(lags).To(ConsistOf(HaveField("Daemon", state.DaemonID("c"))))
 			fleet.Change("c", func(d *ctltest.Daemon) { d.Dead = true })
-			Expect(client(fleet.URL("a")).WaitInForce(ctx, "alerts", 1)).To(BeEmpty())
+			Expect(client(fleet.URL("a")).WaitActive(ctx, "alerts", 1)).To(BeEmpty())
 		})
 
 		It("takes a server's word for a daemon that has told no address", func() {
 			fleet.Change("c", func(d *ctltest.Daemon) { d.Hidden, d.Lagging = true, true })
 			fleet.Commit(service.Versioned{Version: 2, EditID: "e2", Document: alerts()})
-			Expect(client(fleet.URL("a")).WaitInForce(brief(), "alerts", 2)).To(Equal([]ctl.Lag{{Daemon: "c", Version: 1}}))
+			Expect(client(fleet.URL("a")).WaitActive(brief(), "alerts", 2)).To(Equal([]ctl.Lag{{Daemon: "c", Version: 1}}))
 		})
 
 		// A daemon is cut off from the others and sees them as dead. An operator
@@ -160,14 +160,14 @@
 			fleet.Change("a", func(d *ctltest.Daemon) { d.CutOff = true })
 			fleet.Change("c", func(d *ctltest.Daemon) { d.Lagging = true })
 			fleet.Commit(service.Versioned{Version: 2, EditID: "e2", Document: alerts()})
-			lags := client(fleet.URL("a"), fleet.URL("b")).WaitInForce(brief(), "alerts", 2)
+			lags := client(fleet.URL("a"), fleet.URL("b")).WaitActive(brief(), "alerts", 2)
 			Expect(lags).To(Equal([]ctl.Lag{{Daemon: "a", Version: 1}, {Daemon: "c", Version: 1}}))
 		})
 
 		It("does not end while no server answers", func() {
 			fleet.Stop("a")
 			short := brief()
-			lags := client(fleet.URL("a")).WaitInForce(short, "alerts", 1)
+			lags := client(fleet.URL("a")).WaitActive(short, "alerts", 1)
 			Expect(lags).To(ConsistOf(HaveField("Daemon", state.DaemonID(fleet.URL("a")))))
 			Expect(short.Err()).To(HaveOccurred())
 		})
--- a/ctl/diff.go
+++ b/ctl/diff.go
@@ -12,9 +12,9 @@
 
 // Difference is one value that differs between two documents.
 type Difference struct {
-	Path string
-	Mine string // as JSON; empty where the document has no such value
-	Now  string
+	Path      string
+	Submitted string // as JSON; empty where the document has no such value
+	Existing  string
 }
 
 // Differences lists where now, the document in force, differs from mine, by
--- a/ctl/wait.go
+++ b/ctl/wait.go
@@ -44,7 +44,7 @@
 // A daemon is live while any of the client's servers sees it so. One view is
 // not enough: a daemon that is cut off sees the others as dead, and a wait
 // through it alone would end at once although the site has not changed.
-func (c *Client) WaitInForce(ctx context.Context, id state.ServiceID, version state.DocumentVersion) []Lag {
+func (c *Client) WaitActive(ctx context.Context, id state.ServiceID, version state.DocumentVersion) []Lag {
 	w := &waiter{client: c, service: id, version: version, reached: map[state.DaemonID]bool{}}
 	for {
 		w.round(ctx)
