--- a/cmd/hibiscusctl/script_test.go
+++ b/cmd/hibiscusctl/script_test.go
@@ -60,8 +60,8 @@
 	return nil
 }
 
-func fleetOf(ts *testscript.TestScript) *ctltest.Fleet {
-	return ts.Value(fleetKey{}).(*ctltest.Fleet)
+func fleetOf(ts *testscript.TestScript) *ctltest.Cluster {
+	return ts.Value(fleetKey{}).(*ctltest.Cluster)
 }
 
 func exit(ts *testscript.TestScript, _ bool, args []string) {
@@ -111,9 +111,9 @@
 // what it saw before: it prints one list before it asks for the next.
 func polled(ts *testscript.TestScript, _ bool, args []string) {
 	id := state.DaemonID(args[0])
-	before := fleetOf(ts).Lists(id)
+	before := fleetOf(ts).ListCalls(id)
 	for range 1000 {
-		if fleetOf(ts).Lists(id) >= before+2 {
+		if fleetOf(ts).ListCalls(id) >= before+2 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -34,7 +34,7 @@
 }
 
 var _ = Describe("Client", func() {
-	var fleet *ctltest.Fleet
+	var fleet *ctltest.Cluster
 	var ctx context.Context
 
 	client := func(servers ...string) *ctl.Client {
@@ -75,7 +75,7 @@
 	// one that came first.
 	It("knows its own edit in a conflict", Label("failure:store-answer-lost"), func() {
 		fleet.Change("a", func(d *ctltest.Daemon) { d.LoseAnswers = 1 })
-		fleet.Change("b", func(d *ctltest.Daemon) { d.Forgetful = true })
+		fleet.Change("b", func(d *ctltest.Daemon) { d.IgnoresEditIDs = true })
 		r := client(fleet.URL("a"), fleet.URL("b")).Apply(ctx, "alerts", edit(0, "e1"))
 		Expect(r.Status).To(Equal(caller.EditAccepted))
 		Expect(r.Version).To(Equal(state.DocumentVersion(1)))
@@ -148,7 +148,7 @@
 		})
 
 		It("takes a server's word for a daemon that has told no address", func() {
-			fleet.Change("c", func(d *ctltest.Daemon) { d.Hidden, d.Lagging = true, true })
+			fleet.Change("c", func(d *ctltest.Daemon) { d.NoAddress, d.Lagging = true, true })
 			fleet.Commit(service.Versioned{Version: 2, EditID: "e2", Document: alerts()})
 			Expect(client(fleet.URL("a")).WaitActive(brief(), "alerts", 2)).To(Equal([]ctl.Lag{{Daemon: "c", Version: 1}}))
 		})
@@ -157,7 +157,7 @@
 		// waits through it and through another; the daemon that lags must count
 		// although the first server calls it dead.
 		It("counts a daemon that only one server sees alive", Label("failure:isolated-daemon"), func() {
-			fleet.Change("a", func(d *ctltest.Daemon) { d.CutOff = true })
+			fleet.Change("a", func(d *ctltest.Daemon) { d.Partitioned = true })
 			fleet.Change("c", func(d *ctltest.Daemon) { d.Lagging = true })
 			fleet.Commit(service.Versioned{Version: 2, EditID: "e2", Document: alerts()})
 			lags := client(fleet.URL("a"), fleet.URL("b")).WaitActive(brief(), "alerts", 2)
--- a/ctl/ctltest/fleet.go
+++ b/ctl/ctltest/fleet.go
@@ -16,7 +16,7 @@
 
 // Fleet is some daemons that share the committed documents. Its methods may be
 // called by many goroutines at once.
-type Fleet struct {
+type Cluster struct {
 	mu        sync.Mutex
 	committed map[state.ServiceID]service.Versioned
 	daemons   map[state.DaemonID]*Daemon
@@ -27,15 +27,15 @@
 	ID  state.DaemonID
 	URL string
 
-	LoseAnswers int  // so many edits take effect and are answered 503
-	Forgetful   bool // does not know an edit by its id
-	Lagging     bool // keeps the documents it has
-	CutOff      bool // sees all others as dead, and keeps its documents
-	Dead        bool // is seen as dead by the others
-	Hidden      bool // the others tell no address of it
-	Active      int
+	LoseAnswers    int  // so many edits take effect and are answered 503
+	IgnoresEditIDs bool // does not know an edit by its id
+	Lagging        bool // keeps the documents it has
+	Partitioned    bool // sees all others as dead, and keeps its documents
+	Dead           bool // is seen as dead by the others
+	NoAddress      bool // the others tell no address of it
+	Active         int
 
-	fleet    *Fleet
+	fleet    *Cluster
 	server   *httptest.Server
 	inForce  map[state.ServiceID]service.Versioned
 	draining bool
@@ -43,8 +43,8 @@
 }
 
 // New starts daemons of the given names; Close stops them.
-func New(ids ...state.DaemonID) *Fleet {
-	f := &Fleet{
+func New(ids ...state.DaemonID) *Cluster {
+	f := &Cluster{
 		committed: map[state.ServiceID]service.Versioned{},
 		daemons:   map[state.DaemonID]*Daemon{},
 	}
@@ -58,25 +58,25 @@
 }
 
 // Close stops every daemon.
-func (f *Fleet) Close() {
+func (f *Cluster) Close() {
 	for _, d := range f.daemons {
 		d.server.Close()
 	}
 }
 
 // URL is the base URL of a daemon.
-func (f *Fleet) URL(id state.DaemonID) string {
+func (f *Cluster) URL(id state.DaemonID) string {
 	return f.daemons[id].URL
 }
 
 // Stop closes a daemon's address.
-func (f *Fleet) Stop(id state.DaemonID) {
+func (f *Cluster) Stop(id state.DaemonID) {
 	f.daemons[id].server.CloseClientConnections()
 	f.daemons[id].server.Close()
 }
 
 // Change changes a daemon.
-func (f *Fleet) Change(id state.DaemonID, change func(*Daemon)) {
+func (f *Cluster) Change(id state.DaemonID, change func(*Daemon)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f.daemons[id])
@@ -84,7 +84,7 @@
 }
 
 // Commit makes a document the one in force, as an edit of another operator.
-func (f *Fleet) Commit(v service.Versioned) {
+func (f *Cluster) Commit(v service.Versioned) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.committed[v.Document.Service] = v
@@ -92,16 +92,16 @@
 }
 
 // Committed returns the version committed last.
-func (f *Fleet) Committed(id state.ServiceID) service.Versioned {
+func (f *Cluster) Committed(id state.ServiceID) service.Versioned {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.committed[id]
 }
 
 // spread brings the committed documents to each daemon that does not lag.
-func (f *Fleet) spread() {
+func (f *Cluster) spread() {
 	for _, d := range f.daemons {
-		if d.Lagging || d.CutOff {
+		if d.Lagging || d.Partitioned {
 			continue
 		}
 		for id, v := range f.committed {
@@ -111,14 +111,14 @@
 }
 
 // Draining reports whether a planned stop has begun.
-func (f *Fleet) Draining(id state.DaemonID) bool {
+func (f *Cluster) Draining(id state.DaemonID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.daemons[id].draining
 }
 
 // Lists counts the calls that listed a daemon's documents.
-func (f *Fleet) Lists(id state.DaemonID) int64 {
+func (f *Cluster) ListCalls(id state.DaemonID) int64 {
 	return f.daemons[id].lists.Load()
 }
 
@@ -132,7 +132,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.committed[document.Service]
-	if d.Forgetful || now.EditID != e.EditID {
+	if d.IgnoresEditIDs || now.EditID != e.EditID {
 		if now.Version != e.Base {
 			return caller.EditResult{Status: caller.EditConflict, Current: &now}
 		}
@@ -160,7 +160,7 @@
 func (d *Daemon) status() caller.DaemonStatus {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
-	s := caller.DaemonStatus{ID: d.ID, Draining: d.draining, Isolated: d.CutOff, Active: d.Active, Documents: d.versions()}
+	s := caller.DaemonStatus{ID: d.ID, Draining: d.draining, Isolated: d.Partitioned, Active: d.Active, Documents: d.versions()}
 	for _, other := range d.fleet.daemons {
 		if other != d {
 			s.Members = append(s.Members, d.view(other))
@@ -179,10 +179,10 @@
 		State:     "alive",
 		Documents: other.versions(),
 	}
-	if other.Dead || d.CutOff {
+	if other.Dead || d.Partitioned {
 		m.State = "dead"
 	}
-	if other.Hidden {
+	if other.NoAddress {
 		m.BaseURL = ""
 	}
 	return m
