--- a/cmd/hibiscusd/standin.go
+++ b/cmd/hibiscusd/standin.go
@@ -38,7 +38,7 @@
 	if n < 1 || n > maxDaemons {
 		return cli.Exit(fmt.Sprintf("--%s must be from 1 to %d", flagDaemons, maxDaemons), exitBadInput)
 	}
-	s, err := demo.Standins(cmd.String(flagOut), n)
+	s, err := demo.StartStandins(cmd.String(flagOut), n)
 	if err != nil {
 		return err
 	}
--- a/internal/demo/standins.go
+++ b/internal/demo/standins.go
@@ -23,7 +23,7 @@
 // Standins starts the platform, engines and plain servers of the demo on loopback
 // ports, lists n daemons that are to be run beside them, and writes to dir what
 // those need: entry-<n>.json, the settings of each, and a document for each service.
-func Standins(dir string, n int) (*site.Site, error) {
+func StartStandins(dir string, n int) (*site.Site, error) {
 	s, err := site.New(telemetry.Discard())
 	if err != nil {
 		return nil, err
--- a/internal/demo/standins_test.go
+++ b/internal/demo/standins_test.go
@@ -19,7 +19,7 @@
 var _ = Describe("stand-ins for daemons that run by themselves", func() {
 	It("write settings and documents that are taken, and list each daemon where it will listen", func() {
 		dir := filepath.Join(GinkgoT().TempDir(), "site")
-		s, err := demo.Standins(dir, 3)
+		s, err := demo.StartStandins(dir, 3)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(s.Close)
 
