--- a/cmd/hibiscusd/standin.go
+++ b/cmd/hibiscusd/standin.go
@@ -44,7 +44,7 @@
 	}
 	defer s.Close()
 	fmt.Printf("platform at %s, %d engines, %d plain servers; settings and documents are in %s\n",
-		s.Platform.URL(), len(s.Engines), len(s.Plains), cmd.String(flagOut))
+		s.Platform.URL(), len(s.Engines), len(s.PlainServers), cmd.String(flagOut))
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	<-stop
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -87,7 +87,7 @@
 		}
 	}
 	d.say(fmt.Sprintf("%d daemons before %d engines and %d plain servers",
-		len(d.site.Daemons), len(d.site.Engines), len(d.site.Plains)))
+		len(d.site.Daemons), len(d.site.Engines), len(d.site.PlainServers)))
 	return d.awaitServing(ctx)
 }
 
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -25,11 +25,11 @@
 
 // Site is a running set of daemons and stand-ins. It belongs to one goroutine.
 type Site struct {
-	Platform *standin.Platform
-	Ledger   *standin.Ledger
-	Engines  map[state.BackendID]*standin.Engine
-	Plains   map[state.BackendID]*standin.PlainServer
-	Daemons  []*daemon.Daemon
+	Platform     *standin.Platform
+	Ledger       *standin.Ledger
+	Engines      map[state.BackendID]*standin.Engine
+	PlainServers map[state.BackendID]*standin.PlainServer
+	Daemons      []*daemon.Daemon
 
 	log     *telemetry.Log
 	started int // daemons so far, which names the next
@@ -42,11 +42,11 @@
 		return nil, err
 	}
 	return &Site{
-		Platform: p,
-		Ledger:   standin.NewLedger(),
-		Engines:  make(map[state.BackendID]*standin.Engine),
-		Plains:   make(map[state.BackendID]*standin.PlainServer),
-		log:      log,
+		Platform:     p,
+		Ledger:       standin.NewLedger(),
+		Engines:      make(map[state.BackendID]*standin.Engine),
+		PlainServers: make(map[state.BackendID]*standin.PlainServer),
+		log:          log,
 	}, nil
 }
 
@@ -59,7 +59,7 @@
 	for _, e := range s.Engines {
 		e.Close()
 	}
-	for _, p := range s.Plains {
+	for _, p := range s.PlainServers {
 		p.Close()
 	}
 	s.Platform.Close()
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	s.Plains[cfg.ID] = p
+	s.PlainServers[cfg.ID] = p
 	s.Platform.PutInstance(platform.Instance{
 		ID:      state.InstanceID(cfg.ID),
 		Role:    platform.RolePlain,
