--- a/daemon/failure_test.go
+++ b/daemon/failure_test.go
@@ -83,7 +83,7 @@
 		h := newHarness(2, slowStepTime)
 		stream := h.submit(0, note("a"))
 		first, _ := h.read(stream, 5)
-		h.Engines[chains.Engine(h.replicaOf(stream.ID()), 1)].SilenceConnections()
+		h.Engines[chains.Engine(h.replicaOf(stream.ID()), 1)].BlackholeConnections()
 		rest, outcome := h.read(stream, -1)
 		expectComplete(append(first, rest...), outcome, "a")
 		Expect(h.runCount("a")).To(Equal(1), "the stage was queried; the step was not sent again")
--- a/daemon/operations_test.go
+++ b/daemon/operations_test.go
@@ -122,12 +122,12 @@
 		// Once all daemons know, a round of requests at each of them adds no
 		// work at the leaving server; that takes at most 3 s.
 		Eventually(func(g Gomega) {
-			startedBefore, before := leaving.NewAfterLeave(0), l.completed()
+			startedBefore, before := leaving.StartedAfterLeave(0), l.completed()
 			Eventually(l.completed).WithTimeout(testTimeout).Should(BeNumerically(">", before+12))
-			g.Expect(leaving.NewAfterLeave(0)).To(Equal(startedBefore))
+			g.Expect(leaving.StartedAfterLeave(0)).To(Equal(startedBefore))
 		}).WithTimeout(testTimeout).Should(Succeed())
 		l.stopAndWait()
-		Expect(leaving.NewAfterLeave(3 * time.Second)).To(Equal(0))
+		Expect(leaving.StartedAfterLeave(3 * time.Second)).To(Equal(0))
 		Expect(h.Engines[chains.Engine(2, 1)].Connections()).To(BeNumerically(">", 0))
 		Expect(l.unexpected).To(BeEmpty())
 		h.expectNoViolations()
--- a/daemon/placement_test.go
+++ b/daemon/placement_test.go
@@ -244,7 +244,7 @@
 		first, _ := h.read(stream, 3)
 		var lost state.BackendID
 		for id, e := range h.Engines {
-			if e.Runs(stream.ID()) && e.State().Layers.First > 0 {
+			if e.HasStarted(stream.ID()) && e.State().Layers.First > 0 {
 				lost = id
 			}
 		}
--- a/daemon/rig_test.go
+++ b/daemon/rig_test.go
@@ -251,7 +251,7 @@
 // 0.
 func (h *harness) replicaOf(id state.RequestID) int {
 	for n := 1; n <= chains.Replicas; n++ {
-		if h.Engines[chains.Engine(n, 1)].Runs(id) {
+		if h.Engines[chains.Engine(n, 1)].HasStarted(id) {
 			return n
 		}
 	}
--- a/daemon/twofaults_test.go
+++ b/daemon/twofaults_test.go
@@ -62,7 +62,7 @@
 		first, _ := h.read(stream, 3)
 		h.Daemons[1].Drain(h.ctx)
 		for _, e := range h.Engines {
-			e.SilenceConnections()
+			e.BlackholeConnections()
 		}
 		rest, outcome := h.read(stream, -1)
 		expectComplete(append(first, rest...), outcome, "a")
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -174,7 +174,7 @@
 
 // SilenceConnections makes the connections of this moment carry nothing any
 // more, without closing them; new ones work.
-func (e *endpoint) SilenceConnections() {
+func (e *endpoint) BlackholeConnections() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for c := range e.conns {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -167,7 +167,7 @@
 }
 
 // Runs reports whether the engine holds an attempt of a request that began.
-func (e *Engine) Runs(id state.RequestID) bool {
+func (e *Engine) HasStarted(id state.RequestID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for key, a := range e.life.attempts {
@@ -232,7 +232,7 @@
 }
 
 // NewAfterLeave counts the attempts that began later than grace after Leave.
-func (e *Engine) NewAfterLeave(grace time.Duration) int {
+func (e *Engine) StartedAfterLeave(grace time.Duration) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -60,7 +60,7 @@
 		go func() {
 			defer GinkgoRecover()
 			Eventually(func() int { return c.servers[0].Running() }, generous).Should(Equal(1))
-			c.servers[0].SilenceConnections()
+			c.servers[0].BlackholeConnections()
 			silenced <- time.Now()
 		}()
 		_, err := client.Step(ctx, []engine.StepRequest{c.step(a, 0, nil)})
@@ -90,7 +90,7 @@
 		client := dial(c.servers[0].Address(), patience)
 		c.clients[0] = client
 		c.token(ctx, a)
-		c.servers[0].SilenceConnections()
+		c.servers[0].BlackholeConnections()
 		_, err := client.Step(ctx, []engine.StepRequest{c.step(a, 0, nil)})
 		Expect(err).To(MatchError(enginehttp.ErrUnresponsive))
 		Expect(engine.NotSent(err)).To(BeFalse())
@@ -179,7 +179,7 @@
 		Expect(held.Known).To(BeFalse())
 		release()
 		Expect((<-late).Status).To(Equal(engine.StepNotRun))
-		Expect(c.ledger.RanAny(a.request)).To(BeFalse())
+		Expect(c.ledger.HasStarted(a.request)).To(BeFalse())
 	}, SpecTimeout(generous))
 
 	It("refuse a step that is meant for the process before a restart", func(ctx SpecContext) {
@@ -259,7 +259,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		out <- results[0]
 	}()
-	Eventually(proxy.Held, generous).Should(Equal(1))
+	Eventually(proxy.HeldConnections, generous).Should(Equal(1))
 	return func() { proxy.Hold(standin.ToServer, false) }, out
 }
 
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -169,7 +169,7 @@
 }
 
 // RanAny reports whether any back end began request.
-func (l *Ledger) RanAny(request state.RequestID) bool {
+func (l *Ledger) HasStarted(request state.RequestID) bool {
 	return l.Executions(request) > 0
 }
 
--- a/internal/standin/ledger_test.go
+++ b/internal/standin/ledger_test.go
@@ -56,7 +56,7 @@
 		_, err := c.clients[0].Step(ctx, []engine.StepRequest{c.step(a, 0, nil)})
 		Expect(err).To(HaveOccurred())
 		Expect(c.ledger.Runs(a.prompt)).To(Equal(1))
-		Expect(c.ledger.RanAny("r")).To(BeTrue())
+		Expect(c.ledger.HasStarted("r")).To(BeTrue())
 		Expect(c.ledger.Steps()).To(BeZero())
 
 		p, err := standin.StartPlain(standin.PlainConfig{Ledger: c.ledger})
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -143,7 +143,7 @@
 }
 
 // NewAfterLeave counts the calls that began later than grace after Leave.
-func (s *PlainServer) NewAfterLeave(grace time.Duration) int {
+func (s *PlainServer) StartedAfterLeave(grace time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -63,11 +63,11 @@
 		return // closed before
 	}
 	close(p.closed)
-	p.Cut()
+	p.CloseConnections()
 }
 
 // Cut closes every connection of this moment at both ends.
-func (p *Proxy) Cut() {
+func (p *Proxy) CloseConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for pair := range p.pairs {
@@ -92,7 +92,7 @@
 
 // Swallow makes all connections, also new ones, lose what goes in one
 // direction, until it is called with false. What was lost stays lost.
-func (p *Proxy) Swallow(dir Direction, on bool) {
+func (p *Proxy) Drop(dir Direction, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.swallow[dir] = on
@@ -113,7 +113,7 @@
 }
 
 // Held counts the connections with bytes that are kept back.
-func (p *Proxy) Held() int {
+func (p *Proxy) HeldConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held
@@ -121,7 +121,7 @@
 
 // SilenceConnections makes the connections of this moment carry nothing any
 // more in either direction, without closing them; new ones work.
-func (p *Proxy) SilenceConnections() {
+func (p *Proxy) BlackholeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for pair := range p.pairs {
--- a/measure/rounds.go
+++ b/measure/rounds.go
@@ -108,7 +108,7 @@
 	case FaultStageDies:
 		err = r.stageRound(ctx, round, ours, base, (*standin.Engine).Kill)
 	case FaultStageSilent:
-		err = r.stageRound(ctx, round, ours, base, (*standin.Engine).SilenceConnections)
+		err = r.stageRound(ctx, round, ours, base, (*standin.Engine).BlackholeConnections)
 	case FaultDaemonDies:
 		err = r.daemonRound(ctx, ours, base)
 	case FaultCallerSilent:
--- a/transport/peer/bench_test.go
+++ b/transport/peer/bench_test.go
@@ -85,7 +85,7 @@
 		if _, err := n.Call(context.Background(), p.Address(), testCall{N: 1}); err != nil {
 			b.Fatal(err)
 		}
-		p.SilenceConnections()
+		p.BlackholeConnections()
 		start := time.Now()
 		if _, err := n.Call(context.Background(), p.Address(), testCall{N: 2}); !errors.Is(err, peer.ErrUnresponsive) {
 			b.Fatal(err)
--- a/transport/peer/node_test.go
+++ b/transport/peer/node_test.go
@@ -272,7 +272,7 @@
 		b.locked(func() { b.release = make(chan struct{}) })
 		first := startCall(a, p.Address(), 1)
 		Eventually(b.receivedCalls, testTimeout).Should(Equal([]int{1}))
-		p.SilenceConnections()
+		p.BlackholeConnections()
 		second := startCall(a, p.Address(), 2)
 
 		for _, c := range []<-chan outcome{first, second} {
@@ -299,7 +299,7 @@
 		p := proxy(b)
 		Expect(a.Send(p.Address(), testMessage{N: 1})).To(Succeed())
 		Eventually(b.receivedMessages, testTimeout).Should(Equal([]int{1}))
-		p.SilenceConnections()
+		p.BlackholeConnections()
 		Eventually(a.lostConnections, testTimeout).Should(HaveLen(1))
 		Expect(a.Send(p.Address(), testMessage{N: 2})).To(Succeed())
 		Eventually(b.receivedMessages, testTimeout).Should(Equal([]int{1, 2}))
@@ -310,12 +310,12 @@
 	It("that never answered makes its address unreachable", func() {
 		a, b := start("a", shortTimeouts), start("b", nil)
 		p := proxy(b)
-		p.Swallow(standin.ToClient, true)
+		p.Drop(standin.ToClient, true)
 		_, err := a.Call(context.Background(), p.Address(), testCall{N: 1})
 		Expect(err).To(MatchError(peer.ErrUnresponsive))
 		Expect(err).To(MatchError(peer.ErrUnreachable))
 		Expect(peer.NotSent(err)).To(BeFalse())
-		p.Swallow(standin.ToClient, false)
+		p.Drop(standin.ToClient, false)
 		Eventually(func() error {
 			_, err := a.Call(context.Background(), p.Address(), testCall{N: 2})
 			return err
@@ -330,7 +330,7 @@
 		p := proxy(b)
 		Expect(a.Send(p.Address(), testMessage{N: 1})).To(Succeed())
 		Eventually(b.receivedMessages, testTimeout).Should(Equal([]int{1}))
-		p.SilenceConnections()
+		p.BlackholeConnections()
 		Eventually(b.inboundErrors, testTimeout).Should(HaveLen(1))
 		Expect(b.count("inbound_slow")).To(BeEquivalentTo(1))
 	})
--- a/transport/platformhttp/contract_test.go
+++ b/transport/platformhttp/contract_test.go
@@ -132,7 +132,7 @@
 		DeferCleanup(client.Close)
 		_, err := client.Commit(ctx, insertTxn("a", "one"))
 		Expect(err).NotTo(HaveOccurred())
-		p.SilenceConnections()
+		p.BlackholeConnections()
 		start := time.Now()
 		_, err = client.Commit(ctx, insertTxn("b", "one"))
 		Expect(err).To(MatchError(platformhttp.ErrUnresponsive))
