--- a/internal/catalogue/fields.go
+++ b/internal/catalogue/fields.go
@@ -138,7 +138,7 @@
 			v = strings.ReplaceAll(v, ",", ", ")
 		}
 		if rule.key == "format" {
-			v = strings.TrimPrefix(strictjson.Formats()[v].Want, "must be ")
+			v = strings.TrimPrefix(strictjson.Formats()[v].Requirement, "must be ")
 		}
 		parts = append(parts, fmt.Sprintf(rule.words, v))
 	}
--- a/internal/strictjson/formats.go
+++ b/internal/strictjson/formats.go
@@ -12,7 +12,7 @@
 	// allow more than Check does.
 	Pattern string
 	// Want says in words what the text must be.
-	Want string
+	Requirement string
 	// Check reports whether the text has the format.
 	Check func(text string) bool
 }
@@ -32,24 +32,24 @@
 
 var formats = map[string]Format{
 	FormatName: {
-		Pattern: `^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`,
-		Want:    "must be 1 to 63 letters, digits, '.', '_' or '-', beginning with a letter or digit",
-		Check:   func(text string) bool { return isName(text, 63, "._-") },
+		Pattern:     `^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`,
+		Requirement: "must be 1 to 63 letters, digits, '.', '_' or '-', beginning with a letter or digit",
+		Check:       func(text string) bool { return isName(text, 63, "._-") },
 	},
 	FormatBackend: {
-		Pattern: `^[A-Za-z0-9][A-Za-z0-9._:-]{0,126}$`,
-		Want:    "must be 1 to 127 letters, digits, '.', '_', ':' or '-', beginning with a letter or digit",
-		Check:   func(text string) bool { return isName(text, 127, "._:-") },
+		Pattern:     `^[A-Za-z0-9][A-Za-z0-9._:-]{0,126}$`,
+		Requirement: "must be 1 to 127 letters, digits, '.', '_', ':' or '-', beginning with a letter or digit",
+		Check:       func(text string) bool { return isName(text, 127, "._:-") },
 	},
 	FormatIPPort: {
-		Pattern: `^[0-9a-fA-F.:\[\]]+:[0-9]+$`,
-		Want:    `must be an IP number and a port, such as "10.0.0.7:7100"; host names are not resolved`,
-		Check:   isIPPort,
+		Pattern:     `^[0-9a-fA-F.:\[\]]+:[0-9]+$`,
+		Requirement: `must be an IP number and a port, such as "10.0.0.7:7100"; host names are not resolved`,
+		Check:       isIPPort,
 	},
 	FormatHTTPURL: {
-		Pattern: `^https?://[0-9a-fA-F.:\[\]]+(/.*)?$`,
-		Want:    `must be an http or https URL with an IP number and a port, such as "http://10.0.0.9:8080"; host names are not resolved`,
-		Check:   isHTTPURL,
+		Pattern:     `^https?://[0-9a-fA-F.:\[\]]+(/.*)?$`,
+		Requirement: `must be an http or https URL with an IP number and a port, such as "http://10.0.0.9:8080"; host names are not resolved`,
+		Check:       isHTTPURL,
 	},
 }
 
--- a/internal/strictjson/scalar.go
+++ b/internal/strictjson/scalar.go
@@ -140,7 +140,7 @@
 	case r.enum != nil && !slices.Contains(r.enum, s):
 		d.faultf("is %q, must be one of %s", shorten(s), strings.Join(r.enum, ", "))
 	case r.format != "" && !formats[r.format].Check(s):
-		d.faultf("is %q, %s", shorten(s), formats[r.format].Want)
+		d.faultf("is %q, %s", shorten(s), formats[r.format].Requirement)
 	case r.maxLength > 0 && len(s) > r.maxLength:
 		d.faultf("has %d bytes, at most %d are allowed", len(s), r.maxLength)
 	}
