--- a/ctl/apply.go
+++ b/ctl/apply.go
@@ -16,35 +16,36 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/front"
 )
 
-// Bounds of the wait between two attempts of one edit.
+// Bounds of the backoff between two attempts of one edit.
 const (
-	firstBackoff = 100 * time.Millisecond
-	mostBackoff  = 2 * time.Second
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// ApplyResult is what became of an edit.
+// ApplyResult is the outcome of an edit.
 type ApplyResult struct {
 	caller.EditResult
 
 	// Unanswered counts the attempts before the last one that may have taken
-	// effect although their answer was lost.
+	// effect although their response was lost.
 	Unanswered int
-	// Unreached: no server could be connected to, so nothing was changed.
+	// Unreachable is set when no server could be connected to, so that nothing was
+	// changed.
 	Unreachable bool
-	// Cause is why the result is EditUnknown.
+	// Cause is the error behind the result EditUnknown.
 	Cause error
 }
 
-// Apply edits the document of a service and repeats the edit, under its one
-// edit id and at each server in turn, until its outcome is known or ctx ends.
+// Apply edits the document of a service. It retries the edit under the same edit ID,
+// at each server in turn, until its outcome is known or ctx ends.
 //
-// The repeat guards against an edit whose answer is lost: the table service or
-// the daemon committed it, and the operator sees only a timeout. The edit id
-// makes a repeat safe, since the store keeps it with the version that it made.
+// The retry resolves an edit whose response is lost: the table service or the daemon
+// committed it, but the operator sees only a timeout. A retry is safe because the
+// store keeps the edit ID with the version that the edit created.
 func (c *Client) Apply(ctx context.Context, id state.ServiceID, e caller.Edit) ApplyResult {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = firstBackoff
-	wait.MaxInterval = mostBackoff
+	wait.InitialInterval = minBackoff
+	wait.MaxInterval = maxBackoff
 	unanswered := 0
 	for attempt := 0; ; attempt++ {
 		server := c.servers[attempt%len(c.servers)]
@@ -52,7 +53,7 @@
 		if r.Status != caller.EditUnknown {
 			return ApplyResult{EditResult: r, Unanswered: unanswered}
 		}
-		if !notSent(err) {
+		if !isDialError(err) {
 			unanswered++
 		}
 		if !sleep(ctx, wait.NextBackOff()) {
@@ -61,42 +62,42 @@
 	}
 }
 
-// applyAt sends the edit once. The error says why the result is EditUnknown.
+// applyAt sends the edit once. The error is the cause of a result EditUnknown.
 func (c *Client) applyAt(ctx context.Context, server string, id state.ServiceID, e caller.Edit) (caller.EditResult, error) {
 	query := url.Values{
 		"base":    {strconv.FormatUint(uint64(e.Base), 10)},
 		"edit_id": {e.EditID},
 	}
 	unknown := caller.EditResult{Status: caller.EditUnknown}
-	a, err := c.call(ctx, http.MethodPut, server+documentPath(id)+"?"+query.Encode(), e.Text)
+	resp, err := c.call(ctx, http.MethodPut, server+documentPath(id)+"?"+query.Encode(), e.Text)
 	if err != nil {
 		return unknown, err
 	}
-	p := a.problem()
+	p := resp.problem()
 	switch {
-	case a.status == http.StatusOK:
+	case resp.status == http.StatusOK:
 		var applied front.Applied
-		if err := json.Unmarshal(a.body, &applied); err != nil || applied.Version == 0 {
-			return unknown, eris.Errorf("%s: the answer has no version", server)
+		if err := json.Unmarshal(resp.body, &applied); err != nil || applied.Version == 0 {
+			return unknown, eris.Errorf("%s: the response has no version", server)
 		}
 		return caller.EditResult{Status: caller.EditAccepted, Version: applied.Version}, nil
-	case a.status == http.StatusConflict && p.Current != nil && p.Current.EditID == e.EditID:
-		// The edit lost against itself: it was committed, its answer was lost,
-		// and the daemon compared versions before edit ids.
+	case resp.status == http.StatusConflict && p.Current != nil && p.Current.EditID == e.EditID:
+		// The edit conflicts with itself: an earlier attempt committed it, the response
+		// was lost, and the daemon compared versions before edit IDs.
 		return caller.EditResult{Status: caller.EditAccepted, Version: p.Current.Version}, nil
-	case a.status == http.StatusConflict:
+	case resp.status == http.StatusConflict:
 		return caller.EditResult{Status: caller.EditConflict, Current: p.Current}, nil
-	case a.status >= http.StatusBadRequest && a.status < http.StatusInternalServerError:
+	case resp.status >= http.StatusBadRequest && resp.status < http.StatusInternalServerError:
 		if len(p.Faults) == 0 {
 			p.Faults = []string{p.Detail}
 		}
 		return caller.EditResult{Status: caller.EditInvalid, Faults: p.Faults}, nil
 	default:
-		return unknown, eris.Errorf("%s: %d %s", server, a.status, p.Detail)
+		return unknown, eris.Errorf("%s: %d %s", server, resp.status, p.Detail)
 	}
 }
 
-// sleep waits and reports whether ctx still holds after it.
+// sleep waits for d and returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/ctl/ctltest/fleet.go
+++ b/ctl/ctltest/fleet.go
@@ -1,5 +1,5 @@
-// Package ctltest is a fleet of fake daemons that answer the operators' part of
-// the HTTP interface, for tests of the operators' commands.
+// Package ctltest provides a cluster of fake daemons that serve the operators' part
+// of the HTTP interface, for tests of the operators' commands.
 package ctltest
 
 import (
@@ -14,164 +14,167 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// Fleet is some daemons that share the committed documents. Its methods may be
-// called by many goroutines at once.
+// Cluster is a set of fake daemons that share the committed documents. Its methods
+// are safe for concurrent use.
 type Cluster struct {
 	mu        sync.Mutex
 	committed map[state.ServiceID]service.Versioned
 	daemons   map[state.DaemonID]*Daemon
 }
 
-// Daemon is one fake daemon. Its fields are set through Fleet.Change.
+// Daemon is one fake daemon. Its exported fields are set through Cluster.Change.
 type Daemon struct {
 	ID  state.DaemonID
 	URL string
 
-	LoseAnswers    int  // so many edits take effect and are answered 503
-	IgnoresEditIDs bool // does not know an edit by its id
-	Lagging        bool // keeps the documents it has
-	Partitioned    bool // sees all others as dead, and keeps its documents
-	Dead           bool // is seen as dead by the others
-	NoAddress      bool // the others tell no address of it
+	LoseAnswers    int  // number of edits to apply but answer with 503
+	IgnoresEditIDs bool // does not recognize a repeated edit by its ID
+	Lagging        bool // does not receive newer documents
+	Partitioned    bool // sees all others as dead and does not receive newer documents
+	Dead           bool // seen as dead by the others
+	NoAddress      bool // the others do not report its address
 	Active         int
 
-	fleet    *Cluster
-	server   *httptest.Server
-	inForce  map[state.ServiceID]service.Versioned
-	draining bool
-	lists    atomic.Int64 // calls that listed the documents
+	cluster         *Cluster
+	server          *httptest.Server
+	activeDocuments map[state.ServiceID]service.Versioned
+	draining        bool
+	listCalls       atomic.Int64 // calls that listed the documents
 }
 
-// New starts daemons of the given names; Close stops them.
+// New starts one daemon for each ID. Close stops them.
 func New(ids ...state.DaemonID) *Cluster {
-	f := &Cluster{
+	c := &Cluster{
 		committed: map[state.ServiceID]service.Versioned{},
 		daemons:   map[state.DaemonID]*Daemon{},
 	}
 	for _, id := range ids {
-		d := &Daemon{ID: id, fleet: f, inForce: map[state.ServiceID]service.Versioned{}}
+		d := &Daemon{ID: id, cluster: c, activeDocuments: map[state.ServiceID]service.Versioned{}}
 		d.server = httptest.NewServer(d.handler())
 		d.URL = d.server.URL
-		f.daemons[id] = d
+		c.daemons[id] = d
 	}
-	return f
+	return c
 }
 
 // Close stops every daemon.
-func (f *Cluster) Close() {
-	for _, d := range f.daemons {
+func (c *Cluster) Close() {
+	for _, d := range c.daemons {
 		d.server.Close()
 	}
 }
 
-// URL is the base URL of a daemon.
-func (f *Cluster) URL(id state.DaemonID) string {
-	return f.daemons[id].URL
+// URL returns the base URL of a daemon.
+func (c *Cluster) URL(id state.DaemonID) string {
+	return c.daemons[id].URL
 }
 
-// Stop closes a daemon's address.
-func (f *Cluster) Stop(id state.DaemonID) {
-	f.daemons[id].server.CloseClientConnections()
-	f.daemons[id].server.Close()
+// Stop stops a daemon's HTTP server and closes its connections.
+func (c *Cluster) Stop(id state.DaemonID) {
+	c.daemons[id].server.CloseClientConnections()
+	c.daemons[id].server.Close()
 }
 
-// Change changes a daemon.
-func (f *Cluster) Change(id state.DaemonID, change func(*Daemon)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	change(f.daemons[id])
-	f.spread()
+// Change calls change with a daemon under the cluster's lock, then propagates the
+// committed documents.
+func (c *Cluster) Change(id state.DaemonID, change func(*Daemon)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	change(c.daemons[id])
+	c.propagate()
 }
 
-// Commit makes a document the one in force, as an edit of another operator.
-func (f *Cluster) Commit(v service.Versioned) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.committed[v.Document.Service] = v
-	f.spread()
+// Commit makes v the active version of its document, as if another operator had
+// edited it.
+func (c *Cluster) Commit(v service.Versioned) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.committed[v.Document.Service] = v
+	c.propagate()
 }
 
 // Committed returns the version committed last.
-func (f *Cluster) Committed(id state.ServiceID) service.Versioned {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.committed[id]
+func (c *Cluster) Committed(id state.ServiceID) service.Versioned {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.committed[id]
 }
 
-// spread brings the committed documents to each daemon that does not lag.
-func (f *Cluster) spread() {
-	for _, d := range f.daemons {
+// propagate copies the committed documents to each daemon that is neither lagging
+// nor partitioned.
+func (c *Cluster) propagate() {
+	for _, d := range c.daemons {
 		if d.Lagging || d.Partitioned {
 			continue
 		}
-		for id, v := range f.committed {
-			d.inForce[id] = v
+		for id, v := range c.committed {
+			d.activeDocuments[id] = v
 		}
 	}
 }
 
-// Draining reports whether a planned stop has begun.
-func (f *Cluster) Draining(id state.DaemonID) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.daemons[id].draining
+// Draining reports whether a daemon has begun to drain.
+func (c *Cluster) Draining(id state.DaemonID) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.daemons[id].draining
 }
 
-// Lists counts the calls that listed a daemon's documents.
-func (f *Cluster) ListCalls(id state.DaemonID) int64 {
-	return f.daemons[id].lists.Load()
+// ListCalls returns the number of calls that listed a daemon's documents.
+func (c *Cluster) ListCalls(id state.DaemonID) int64 {
+	return c.daemons[id].listCalls.Load()
 }
 
-// apply does what a daemon does with an edit.
+// apply handles an edit as a daemon does.
 func (d *Daemon) apply(e caller.Edit) caller.EditResult {
 	document, faults := service.Decode(e.Text)
 	if len(faults) > 0 {
 		return caller.EditResult{Status: caller.EditInvalid, Faults: service.Texts(faults)}
 	}
-	f := d.fleet
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.committed[document.Service]
-	if d.IgnoresEditIDs || now.EditID != e.EditID {
-		if now.Version != e.Base {
-			return caller.EditResult{Status: caller.EditConflict, Current: &now}
+	c := d.cluster
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	current := c.committed[document.Service]
+	if d.IgnoresEditIDs || current.EditID != e.EditID {
+		if current.Version != e.Base {
+			return caller.EditResult{Status: caller.EditConflict, Current: &current}
 		}
-		now = service.Versioned{Version: e.Base + 1, EditID: e.EditID, Document: document}
-		f.committed[document.Service] = now
-		f.spread()
+		current = service.Versioned{Version: e.Base + 1, EditID: e.EditID, Document: document}
+		c.committed[document.Service] = current
+		c.propagate()
 	}
 	if d.LoseAnswers > 0 {
 		d.LoseAnswers--
 		return caller.EditResult{Status: caller.EditUnknown}
 	}
-	return caller.EditResult{Status: caller.EditAccepted, Version: now.Version}
+	return caller.EditResult{Status: caller.EditAccepted, Version: current.Version}
 }
 
 func (d *Daemon) documents() []service.Versioned {
-	d.fleet.mu.Lock()
-	defer d.fleet.mu.Unlock()
+	d.cluster.mu.Lock()
+	defer d.cluster.mu.Unlock()
 	all := []service.Versioned{}
-	for _, v := range d.inForce {
+	for _, v := range d.activeDocuments {
 		all = append(all, v)
 	}
 	return all
 }
 
 func (d *Daemon) status() caller.DaemonStatus {
-	d.fleet.mu.Lock()
-	defer d.fleet.mu.Unlock()
+	d.cluster.mu.Lock()
+	defer d.cluster.mu.Unlock()
 	s := caller.DaemonStatus{ID: d.ID, Draining: d.draining, Isolated: d.Partitioned, Active: d.Active, Documents: d.versions()}
-	for _, other := range d.fleet.daemons {
+	for _, other := range d.cluster.daemons {
 		if other != d {
-			s.Members = append(s.Members, d.view(other))
+			s.Members = append(s.Members, d.memberStatus(other))
 		}
 	}
 	slices.SortFunc(s.Members, func(a, b caller.MemberStatus) int { return cmp.Compare(a.Member.ID, b.Member.ID) })
 	return s
 }
 
-// view is what d knows of another daemon.
-func (d *Daemon) view(other *Daemon) caller.MemberStatus {
+// memberStatus returns the status of another daemon as d sees it.
+func (d *Daemon) memberStatus(other *Daemon) caller.MemberStatus {
 	m := caller.MemberStatus{
 		Member:    state.Member{ID: other.ID, Incarnation: 1},
 		Address:   "127.0.0.1:7100",
@@ -190,7 +193,7 @@
 
 func (d *Daemon) versions() map[state.ServiceID]state.DocumentVersion {
 	versions := map[state.ServiceID]state.DocumentVersion{}
-	for id, v := range d.inForce {
+	for id, v := range d.activeDocuments {
 		versions[id] = v.Version
 	}
 	return versions
--- a/ctl/ctltest/handler.go
+++ b/ctl/ctltest/handler.go
@@ -11,11 +11,11 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/front"
 )
 
-// handler answers the operators' part of the HTTP interface.
+// handler serves the operators' part of the HTTP interface.
 func (d *Daemon) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+front.PathDocuments, func(w http.ResponseWriter, _ *http.Request) {
-		d.lists.Add(1)
+		d.listCalls.Add(1)
 		reply(w, http.StatusOK, d.documents())
 	})
 	mux.HandleFunc("GET "+front.PathDocuments+"/{service}", d.getDocument)
@@ -24,7 +24,7 @@
 		reply(w, http.StatusOK, d.status())
 	})
 	mux.HandleFunc("POST "+front.PathDaemon+"/drain", func(w http.ResponseWriter, _ *http.Request) {
-		d.fleet.Change(d.ID, func(d *Daemon) { d.draining = true })
+		d.cluster.Change(d.ID, func(d *Daemon) { d.draining = true })
 		w.WriteHeader(http.StatusAccepted)
 	})
 	return mux
@@ -67,5 +67,5 @@
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller is gone
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
--- a/ctl/diff.go
+++ b/ctl/diff.go
@@ -17,72 +17,72 @@
 	Existing  string
 }
 
-// Differences lists where now, the document in force, differs from mine, by
-// path in the order of the paths' names.
-func Differences(mine, now service.Document) []Difference {
-	return differences("", tree(mine), tree(now))
+// Differences lists the values in which the existing document differs from the
+// submitted one, sorted by path.
+func Differences(submitted, existing service.Document) []Difference {
+	return differences("", decoded(submitted), decoded(existing))
 }
 
-// tree gives a document as maps, slices and values.
-func tree(d service.Document) any {
+// decoded returns a document as generic JSON maps, slices and values.
+func decoded(d service.Document) any {
 	var v any
 	if err := json.Unmarshal(d.Encode(), &v); err != nil {
-		panic("ctl: canonical document is no JSON: " + err.Error())
+		panic("ctl: canonical document is not valid JSON: " + err.Error())
 	}
 	return v
 }
 
-func differences(path string, mine, now any) []Difference {
-	switch m := mine.(type) {
+func differences(path string, submitted, existing any) []Difference {
+	switch m := submitted.(type) {
 	case map[string]any:
-		if n, ok := now.(map[string]any); ok {
+		if n, ok := existing.(map[string]any); ok {
 			return objectDifferences(path, m, n)
 		}
 	case []any:
-		if n, ok := now.([]any); ok {
+		if n, ok := existing.([]any); ok {
 			return arrayDifferences(path, m, n)
 		}
 	}
-	a, b := text(mine), text(now)
+	a, b := jsonText(submitted), jsonText(existing)
 	if a == b {
 		return nil
 	}
 	return []Difference{{path, a, b}}
 }
 
-func objectDifferences(path string, mine, now map[string]any) []Difference {
-	names := slices.Collect(maps.Keys(mine))
-	for name := range now {
-		if _, both := mine[name]; !both {
+func objectDifferences(path string, submitted, existing map[string]any) []Difference {
+	names := slices.Collect(maps.Keys(submitted))
+	for name := range existing {
+		if _, both := submitted[name]; !both {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	var all []Difference
 	for _, name := range names {
-		all = append(all, differences(strictjson.Member(path, name), mine[name], now[name])...)
+		all = append(all, differences(strictjson.Member(path, name), submitted[name], existing[name])...)
 	}
 	return all
 }
 
-func arrayDifferences(path string, mine, now []any) []Difference {
+func arrayDifferences(path string, submitted, existing []any) []Difference {
 	var all []Difference
-	for i := range max(len(mine), len(now)) {
+	for i := range max(len(submitted), len(existing)) {
 		var a, b any
-		if i < len(mine) {
-			a = mine[i]
+		if i < len(submitted) {
+			a = submitted[i]
 		}
-		if i < len(now) {
-			b = now[i]
+		if i < len(existing) {
+			b = existing[i]
 		}
 		all = append(all, differences(strictjson.Item(path, i), a, b)...)
 	}
 	return all
 }
 
-// text gives a value as JSON, and nothing for one that is absent; documents
-// hold no null.
-func text(v any) string {
+// jsonText returns a value as JSON, and "" for an absent one, which is nil because
+// documents hold no null.
+func jsonText(v any) string {
 	if v == nil {
 		return ""
 	}
@@ -90,7 +90,7 @@
 	e := json.NewEncoder(&b)
 	e.SetEscapeHTML(false)
 	if err := e.Encode(v); err != nil {
-		panic("ctl: value of a document is no JSON: " + err.Error())
+		panic("ctl: encode value of a document: " + err.Error())
 	}
 	return string(bytes.TrimSpace(b.Bytes()))
 }
--- a/ctl/doc.go
+++ b/ctl/doc.go
@@ -1,7 +1,7 @@
-// Package ctl is what operators do from the command line: check, apply, read
-// and watch service documents, see the daemons' state and stop one as planned.
-// Command hibiscusctl is a thin front of it.
+// Package ctl implements the operators' commands: apply, read and watch service
+// documents, show the daemons' status and drain a daemon. Command hibiscusctl is a
+// thin front end to it.
 //
-// A Client talks to any of several daemons, one after the other; it holds no
-// state of the site.
+// A Client calls any of several daemons, one after the other. It holds no state of
+// the site.
 package ctl
--- a/ctl/drain.go
+++ b/ctl/drain.go
@@ -10,39 +10,39 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/front"
 )
 
-// drainPoll is how often a daemon that drains is asked whether it still runs.
-const drainPoll = 200 * time.Millisecond
+// drainPollInterval is the interval at which a draining daemon's status is polled.
+const drainPollInterval = 200 * time.Millisecond
 
-// Drain starts the planned stop of the one daemon that the client knows.
+// Drain starts the drain of the daemon, for a client with exactly one server.
 func (c *Client) Drain(ctx context.Context) error {
 	if len(c.servers) != 1 {
-		return eris.Errorf("a planned stop is of one daemon; %d servers are given", len(c.servers))
+		return eris.Errorf("drain takes exactly one server, got %d", len(c.servers))
 	}
-	a, err := c.call(ctx, http.MethodPost, c.servers[0]+front.PathDaemon+"/drain", nil)
+	resp, err := c.call(ctx, http.MethodPost, c.servers[0]+front.PathDaemon+"/drain", nil)
 	if err != nil {
 		return err
 	}
-	if a.status >= http.StatusMultipleChoices {
-		return eris.Errorf("%s: %d %s", c.servers[0], a.status, a.problem().Detail)
+	if resp.status >= http.StatusMultipleChoices {
+		return eris.Errorf("%s: %d %s", c.servers[0], resp.status, resp.problem().Detail)
 	}
 	return nil
 }
 
-// WaitStopped waits until the one daemon that the client knows takes no more
-// connections. report gets the number of its active requests when it changes.
-// The error is that of ctx.
+// WaitStopped waits until the client's first server accepts no more connections.
+// report is called with the number of active requests whenever it changes. The error
+// is that of ctx.
 func (c *Client) WaitStopped(ctx context.Context, report func(active int)) error {
 	last := -1
 	for {
 		s, err := c.statusOf(ctx, c.servers[0])
-		if err != nil && notSent(err) && ctx.Err() == nil {
+		if err != nil && isDialError(err) && ctx.Err() == nil {
 			return nil
 		}
 		if err == nil && s.Active != last {
 			last = s.Active
 			report(last)
 		}
-		if !sleep(ctx, drainPoll) {
+		if !sleep(ctx, drainPollInterval) {
 			return ctx.Err()
 		}
 	}
--- a/ctl/watch.go
+++ b/ctl/watch.go
@@ -10,20 +10,20 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// Watch reports each document that comes into force, those in force at the
-// start first, until ctx ends. With ids it reports only these services. It asks
-// every interval; a failure to read is reported once until a read succeeds.
+// Watch polls the active documents every interval until ctx ends and reports each new
+// version, beginning with the versions active at the start. With ids it reports only
+// these services. A failure to read is reported once until a read succeeds.
 func (c *Client) Watch(ctx context.Context, ids []state.ServiceID, interval time.Duration,
 	changed func(service.Versioned), failed func(error),
 ) {
 	seen := map[state.ServiceID]state.DocumentVersion{}
-	down := false
+	failing := false
 	for {
 		all, err := c.Documents(ctx)
-		if err != nil && !down && ctx.Err() == nil {
+		if err != nil && !failing && ctx.Err() == nil {
 			failed(err)
 		}
-		down = err != nil
+		failing = err != nil
 		slices.SortFunc(all, func(a, b service.Versioned) int {
 			return strings.Compare(string(a.Document.Service), string(b.Document.Service))
 		})
@@ -32,8 +32,8 @@
 			if len(ids) > 0 && !slices.Contains(ids, id) {
 				continue
 			}
-			// A server that lags behind the one asked before shows an older
-			// version, which is no change.
+			// A server that lags behind the one queried before returns an older
+			// version, which is not a change.
 			if v.Version > seen[id] {
 				seen[id] = v.Version
 				changed(v)
