--- a/cmd/hibiscusctl/apply.go
+++ b/cmd/hibiscusctl/apply.go
@@ -17,8 +17,8 @@
 	flagBase   = "base"
 	flagEditID = "edit-id"
 
-	// maxEditID is the longest edit id that the daemons take.
-	maxEditID = 256
+	// maxEditIDBytes is the longest edit ID that the daemons accept.
+	maxEditIDBytes = 256
 )
 
 func applyCommand() *cli.Command {
@@ -34,9 +34,9 @@
 			},
 			&cli.StringFlag{
 				Name:  flagEditID,
-				Usage: "name of this edit, to repeat one whose outcome is not known; made up where left out",
+				Usage: "`ID` of this edit, to repeat one whose outcome is unknown; generated if omitted",
 			},
-			&cli.BoolFlag{Name: flagWait, Usage: "wait until every live daemon has the version in force"},
+			&cli.BoolFlag{Name: flagWait, Usage: "wait until the version is active at every live daemon"},
 			timeoutFlag(30*time.Second),
 		),
 		Action: apply,
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	c, err := client(cmd)
+	c, err := newClient(cmd)
 	if err != nil {
 		return err
 	}
@@ -60,8 +60,8 @@
 	if edit.EditID == "" {
 		edit.EditID = rand.Text()
 	}
-	if len(edit.EditID) > maxEditID {
-		return fail(exitBadInput, "--%s has %d bytes, at most %d are allowed", flagEditID, len(edit.EditID), maxEditID)
+	if len(edit.EditID) > maxEditIDBytes {
+		return exitErrorf(exitBadInput, "--%s has %d bytes, at most %d are allowed", flagEditID, len(edit.EditID), maxEditIDBytes)
 	}
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration(flagTimeout))
 	defer cancel()
@@ -72,42 +72,42 @@
 	if !cmd.Bool(flagWait) {
 		return nil
 	}
-	return waitInForce(ctx, cmd, c, d.Service, r.Version)
+	return waitActive(ctx, cmd, c, d.Service, r.Version)
 }
 
-// reportEdit prints what became of the edit; an edit that was not accepted is
-// an error with its exit code.
+// reportEdit prints the outcome of the edit. An edit that was not accepted is
+// returned as an error with its exit code.
 func reportEdit(cmd *cli.Command, d service.Document, e caller.Edit, r ctl.ApplyResult) error {
 	switch r.Status {
 	case caller.EditAccepted:
 		printf(cmd.Writer, "%s version %d accepted, edit id %s\n", d.Service, r.Version, e.EditID)
 		return nil
 	case caller.EditConflict:
-		return conflict(cmd, d, e, r)
+		return reportConflict(cmd, d, e, r)
 	case caller.EditInvalid:
-		return refused(cmd, r.Faults)
+		return reportFaults(cmd, r.Faults)
 	default:
 		if r.Unreachable {
-			return fail(exitFailed, "no server could be reached; nothing was changed: %v", r.Cause)
+			return exitErrorf(exitFailed, "no server could be reached; nothing was changed: %v", r.Cause)
 		}
-		return fail(exitFailed, "whether the edit was accepted is not known: %v\nrepeat it with --base %d --edit-id %s",
+		return exitErrorf(exitFailed, "whether the edit was accepted is not known: %v\nrepeat it with --base %d --edit-id %s",
 			r.Cause, e.Base, e.EditID)
 	}
 }
 
-// conflict prints the version that the edit lost against and where it differs.
-func conflict(cmd *cli.Command, d service.Document, e caller.Edit, r ctl.ApplyResult) error {
+// reportConflict prints the version that the edit conflicts with and the differences.
+func reportConflict(cmd *cli.Command, d service.Document, e caller.Edit, r ctl.ApplyResult) error {
 	if r.Unanswered > 0 {
-		printf(cmd.ErrWriter, "an answer was lost before: the edit may have been in force until another followed it\n")
+		printf(cmd.ErrWriter, "an earlier response was lost: the edit may have been active until another edit replaced it\n")
 	}
 	if r.Current == nil {
-		return fail(exitConflict, "the edit is based on version %d, which is not in force", e.Base)
+		return exitErrorf(exitConflict, "the edit is based on version %d, which is not the active version", e.Base)
 	}
 	for _, diff := range ctl.Differences(d, r.Current.Document) {
 		printf(cmd.ErrWriter, "%s: this edit has %s, version %d has %s\n",
 			diff.Path, orNothing(diff.Submitted), r.Current.Version, orNothing(diff.Existing))
 	}
-	return fail(exitConflict, "the edit is based on version %d, but version %d by edit %s came first",
+	return exitErrorf(exitConflict, "the edit is based on version %d, but version %d by edit %s came first",
 		e.Base, r.Current.Version, r.Current.EditID)
 }
 
@@ -118,14 +118,14 @@
 	return text
 }
 
-func waitInForce(ctx context.Context, cmd *cli.Command, c *ctl.Client, id state.ServiceID, v state.DocumentVersion) error {
-	lags := c.WaitActive(ctx, id, v)
-	if len(lags) == 0 {
+func waitActive(ctx context.Context, cmd *cli.Command, c *ctl.Client, id state.ServiceID, v state.DocumentVersion) error {
+	lagging := c.WaitActive(ctx, id, v)
+	if len(lagging) == 0 {
 		printf(cmd.Writer, "%s version %d in force everywhere\n", id, v)
 		return nil
 	}
-	for _, l := range lags {
+	for _, l := range lagging {
 		printf(cmd.ErrWriter, "%s\n", l)
 	}
-	return fail(exitFailed, "version %d is accepted; %d daemons lag", v, len(lags))
+	return exitErrorf(exitFailed, "version %d is accepted; %d daemons lag", v, len(lagging))
 }
--- a/cmd/hibiscusctl/daemon_script_test.go
+++ b/cmd/hibiscusctl/daemon_script_test.go
@@ -11,8 +11,8 @@
 	scenario "github.com/hibiscuswick/hibiscuswick/scenario/daemon"
 )
 
-// TestDaemonStories runs the stories of whole daemons, each against a site of its
-// own; see docs/SCENARIOS.md.
+// TestDaemonStories runs the scenarios of complete daemons, each against its own
+// site; see docs/SCENARIOS.md.
 func TestDaemonStories(t *testing.T) {
 	cmds := scenario.Commands()
 	cmds["exit"] = exit
@@ -23,7 +23,7 @@
 	})
 }
 
-func TestPageListsStoryCommands(t *testing.T) {
+func TestScenarioPageListsCommands(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "SCENARIOS.md"))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/hibiscusctl/drain.go
+++ b/cmd/hibiscusctl/drain.go
@@ -10,7 +10,7 @@
 func drainCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "drain",
-		Usage: "start the planned stop of one daemon, which ends every stream first",
+		Usage: "drain one daemon: it finishes its streams, then stops",
 		Flags: serverFlags(
 			&cli.BoolFlag{Name: flagWait, Usage: "wait until the daemon has stopped"},
 			timeoutFlag(15*time.Minute),
@@ -20,20 +20,20 @@
 }
 
 func drain(ctx context.Context, cmd *cli.Command) error {
-	if err := noMore(cmd); err != nil {
+	if err := rejectExtraArgs(cmd); err != nil {
 		return err
 	}
-	c, err := client(cmd)
+	c, err := newClient(cmd)
 	if err != nil {
 		return err
 	}
 	if servers := cmd.StringSlice(flagServer); len(servers) != 1 {
-		return fail(exitBadInput, "give one --%s, the daemon to stop; %d are given", flagServer, len(servers))
+		return exitErrorf(exitBadInput, "drain takes exactly one --%s, got %d", flagServer, len(servers))
 	}
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration(flagTimeout))
 	defer cancel()
 	if err := c.Drain(ctx); err != nil {
-		return fail(exitFailed, "%v", err)
+		return exitErrorf(exitFailed, "%v", err)
 	}
 	printf(cmd.Writer, "the planned stop has begun\n")
 	if !cmd.Bool(flagWait) {
@@ -43,7 +43,7 @@
 		printf(cmd.Writer, "%d active requests\n", active)
 	})
 	if err != nil {
-		return fail(exitFailed, "the daemon has not stopped: %v", err)
+		return exitErrorf(exitFailed, "the daemon has not stopped: %v", err)
 	}
 	printf(cmd.Writer, "the daemon has stopped\n")
 	return nil
--- a/cmd/hibiscusctl/explain.go
+++ b/cmd/hibiscusctl/explain.go
@@ -15,12 +15,12 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "tell one request's story from the logs of several daemons, and its cause",
+		Usage:     "show one request's timeline and cause from the logs of several daemons",
 		ArgsUsage: "LOG... (- for standard input)",
 		Arguments: []cli.Argument{&cli.StringArgs{Name: argLogs, Min: 0, Max: -1}},
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "request", Usage: "`ID` of the caller's attempt", Required: true},
-			&cli.BoolFlag{Name: "json", Usage: "write the story as JSON"},
+			&cli.BoolFlag{Name: "json", Usage: "print the timeline as JSON"},
 		},
 		Action: explainRequest,
 	}
@@ -29,22 +29,22 @@
 func explainRequest(_ context.Context, cmd *cli.Command) error {
 	paths := cmd.StringArgs(argLogs)
 	if len(paths) == 0 {
-		return fail(exitBadInput, "which logs? - is standard input")
+		return exitErrorf(exitBadInput, "no log files given; use - for standard input")
 	}
 	var log explain.Log
 	for _, path := range paths {
 		if err := readLog(&log, path); err != nil {
-			return fail(exitBadInput, "%s: %v", path, err)
+			return exitErrorf(exitBadInput, "%s: %v", path, err)
 		}
 	}
-	story, err := log.Find(cmd.String("request"))
+	timeline, err := log.Find(cmd.String("request"))
 	if err != nil {
-		return fail(exitFailed, "%v; %d lines were of no daemon", err, log.Skipped)
+		return exitErrorf(exitFailed, "%v; skipped %d lines that no daemon wrote", err, log.Skipped)
 	}
 	if cmd.Bool("json") {
-		return printJSON(cmd.Writer, story)
+		return printJSON(cmd.Writer, timeline)
 	}
-	return story.WriteText(cmd.Writer)
+	return timeline.WriteText(cmd.Writer)
 }
 
 func readLog(log *explain.Log, path string) error {
--- a/cmd/hibiscusctl/flags.go
+++ b/cmd/hibiscusctl/flags.go
@@ -22,7 +22,7 @@
 	argService = "SERVICE"
 )
 
-// serverFlags are those of every command that talks to daemons.
+// serverFlags returns more and the flags of every command that calls daemons.
 func serverFlags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringSliceFlag{
@@ -32,61 +32,61 @@
 			Sources:  cli.EnvVars("HIBISCUS_SERVER"),
 			Required: true,
 		},
-		&cli.DurationFlag{Name: flagCallTimeout, Usage: "bound of one call", Value: 3 * time.Second},
+		&cli.DurationFlag{Name: flagCallTimeout, Usage: "timeout of one call", Value: 3 * time.Second},
 	}, more...)
 }
 
 func timeoutFlag(value time.Duration) cli.Flag {
-	return &cli.DurationFlag{Name: flagTimeout, Usage: "bound of the whole command", Value: value}
+	return &cli.DurationFlag{Name: flagTimeout, Usage: "timeout of the whole command", Value: value}
 }
 
-func client(cmd *cli.Command) (*ctl.Client, error) {
+func newClient(cmd *cli.Command) (*ctl.Client, error) {
 	c, err := ctl.NewClient(cmd.StringSlice(flagServer), cmd.Duration(flagCallTimeout))
 	if err != nil {
-		return nil, fail(exitBadInput, "%v", err)
+		return nil, exitErrorf(exitBadInput, "%v", err)
 	}
 	return c, nil
 }
 
-// noMore refuses arguments that the command does not take.
-func noMore(cmd *cli.Command) error {
+// rejectExtraArgs returns an error for arguments that the command does not take.
+func rejectExtraArgs(cmd *cli.Command) error {
 	if rest := cmd.Args().Slice(); len(rest) > 0 {
-		return fail(exitBadInput, "unexpected argument %q", rest[0])
+		return exitErrorf(exitBadInput, "unexpected argument %q", rest[0])
 	}
 	return nil
 }
 
-// readDocument reads and checks the document in the file that the command
-// names, and prints each fault on its own line, its path first.
+// readDocument reads and checks the document in the file argument of the command. It
+// prints each fault on a line of its own that begins with the path.
 func readDocument(cmd *cli.Command) (service.Document, error) {
 	var none service.Document
 	path := cmd.StringArg(argFile)
 	if path == "" {
-		return none, fail(exitBadInput, "%s is missing", argFile)
+		return none, exitErrorf(exitBadInput, "%s is missing", argFile)
 	}
-	if err := noMore(cmd); err != nil {
+	if err := rejectExtraArgs(cmd); err != nil {
 		return none, err
 	}
 	f, err := os.Open(path)
 	if err != nil {
-		return none, fail(exitBadInput, "%v", err)
+		return none, exitErrorf(exitBadInput, "%v", err)
 	}
 	defer func() { _ = f.Close() }()
 	text, err := io.ReadAll(io.LimitReader(f, service.MaxBytes+1))
 	if err != nil {
-		return none, fail(exitBadInput, "%v", err)
+		return none, exitErrorf(exitBadInput, "%v", err)
 	}
 	d, faults := service.Decode(text)
 	if len(faults) > 0 {
-		return none, refused(cmd, service.Texts(faults))
+		return none, reportFaults(cmd, service.Texts(faults))
 	}
 	return d, nil
 }
 
-// refused prints the faults of a document.
-func refused(cmd *cli.Command, faults []string) error {
+// reportFaults prints the faults of a document and returns the error to exit with.
+func reportFaults(cmd *cli.Command, faults []string) error {
 	for _, f := range faults {
 		printf(cmd.ErrWriter, "%s\n", f)
 	}
-	return fail(exitBadInput, "the document has %d faults", len(faults))
+	return exitErrorf(exitBadInput, "the document has %d faults", len(faults))
 }
--- a/cmd/hibiscusctl/get.go
+++ b/cmd/hibiscusctl/get.go
@@ -13,7 +13,7 @@
 func getCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "get",
-		Usage:     "print the service document in force; its version goes to standard error",
+		Usage:     "print the active service document, and its version on standard error",
 		Arguments: []cli.Argument{&cli.StringArg{Name: argService}},
 		Flags:     serverFlags(),
 		Action:    get,
@@ -23,21 +23,21 @@
 func get(ctx context.Context, cmd *cli.Command) error {
 	id := state.ServiceID(cmd.StringArg(argService))
 	if id == "" {
-		return fail(exitBadInput, "%s is missing", argService)
+		return exitErrorf(exitBadInput, "%s is missing", argService)
 	}
-	if err := noMore(cmd); err != nil {
+	if err := rejectExtraArgs(cmd); err != nil {
 		return err
 	}
-	c, err := client(cmd)
+	c, err := newClient(cmd)
 	if err != nil {
 		return err
 	}
 	v, err := c.Document(ctx, id)
 	if errors.Is(err, ctl.ErrNotFound) {
-		return fail(exitFailed, "no document of service %s is in force", id)
+		return exitErrorf(exitFailed, "service %s has no active document", id)
 	}
 	if err != nil {
-		return fail(exitFailed, "%v", err)
+		return exitErrorf(exitFailed, "%v", err)
 	}
 	printf(cmd.Writer, "%s", v.Document.Pretty())
 	printf(cmd.ErrWriter, "%s version %d, edit id %s\n", id, v.Version, v.EditID)
--- a/cmd/hibiscusctl/inspect.go
+++ b/cmd/hibiscusctl/inspect.go
@@ -18,35 +18,36 @@
 )
 
 const (
-	argOperators = "address"
-	// inspectTimeout bounds the question: a gateway answers within milliseconds.
+	argAddress = "address"
+	// inspectTimeout limits the status request, which a gateway answers within
+	// milliseconds.
 	inspectTimeout = 5 * time.Second
-	// mostStatus bounds the answer, in bytes: 12,000 servers of some 200.
-	mostStatus = 16 << 20
+	// maxStatusBytes limits the response: 12,000 servers of some 200 bytes each fit.
+	maxStatusBytes = 16 << 20
 )
 
 func inspectCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "inspect",
-		Usage:     "show what a gateway goes by: layout and cover, configuration, lease, members",
-		ArgsUsage: "HOST:PORT (where its counters are)",
-		Arguments: []cli.Argument{&cli.StringArg{Name: argOperators}},
-		Flags:     []cli.Flag{&cli.BoolFlag{Name: flagJSON, Usage: "print the answer as JSON"}},
+		Usage:     "show the state that a gateway uses: layers and their coverage, configuration, lease, members",
+		ArgsUsage: "HOST:PORT (of its metrics)",
+		Arguments: []cli.Argument{&cli.StringArg{Name: argAddress}},
+		Flags:     []cli.Flag{&cli.BoolFlag{Name: flagJSON, Usage: "print the response as JSON"}},
 		Action:    inspect,
 	}
 }
 
 func inspect(ctx context.Context, cmd *cli.Command) error {
-	address := cmd.StringArg(argOperators)
+	address := cmd.StringArg(argAddress)
 	if address == "" {
-		return fail(exitBadInput, "which gateway?")
+		return exitErrorf(exitBadInput, "no gateway address given")
 	}
-	if err := noMore(cmd); err != nil {
+	if err := rejectExtraArgs(cmd); err != nil {
 		return err
 	}
-	s, err := askStatus(ctx, address)
+	s, err := fetchStatus(ctx, address)
 	if err != nil {
-		return fail(exitFailed, "%v", err)
+		return exitErrorf(exitFailed, "%v", err)
 	}
 	if cmd.Bool(flagJSON) {
 		return printJSON(cmd.Writer, s)
@@ -55,7 +56,7 @@
 	return nil
 }
 
-func askStatus(ctx context.Context, address string) (*gateway.Status, error) {
+func fetchStatus(ctx context.Context, address string) (*gateway.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, inspectTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/status", nil)
@@ -71,7 +72,7 @@
 		return nil, fmt.Errorf("%s: %s", address, resp.Status)
 	}
 	var s gateway.Status
-	if err := json.NewDecoder(io.LimitReader(resp.Body, mostStatus)).Decode(&s); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&s); err != nil {
 		return nil, fmt.Errorf("%s: %w", address, err)
 	}
 	return &s, nil
@@ -82,7 +83,7 @@
 	printf(out, "configuration version %d, current %.1f s ago, %s\n", s.Config.Version, s.Config.AgeSeconds, s.Config.Source)
 	printf(out, "servers current %.1f s ago, %s\n", s.Servers.AgeSeconds, s.Servers.Source)
 	if s.Lease.Held {
-		printf(out, "orders layers, fencing number %d, %d orders under way\n", s.Lease.Fence, s.Lease.PendingOrders)
+		printf(out, "holds the lease, fencing number %d, %d orders in flight\n", s.Lease.Fence, s.Lease.PendingOrders)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	printf(w, "\nMEMBER\tSTATE\tDRAINING\tDOMAIN\tADDRESS\n")
@@ -98,10 +99,10 @@
 func printService(out io.Writer, s *gateway.ServiceStatus) {
 	printf(out, "\nservice %s, %d retries left\n", s.ID, s.RetriesLeft)
 	if s.Layers > 0 {
-		printf(out, "%d layers, %d held by none; whole in %v; copies %s\n", s.Layers, s.UncoveredLayers, s.CompleteDomains, copies(s.LayerCopies))
+		printf(out, "%d layers, %d uncovered; complete in %v; copies %s\n", s.Layers, s.UncoveredLayers, s.CompleteDomains, formatCopies(s.LayerCopies))
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	printf(w, "SERVER\tADDRESS\tDOMAIN\tKIND\tLAYERS\tSTATE\tREQUESTS\tTOKENS\tROOM\n")
+	printf(w, "SERVER\tADDRESS\tDOMAIN\tKIND\tLAYERS\tSTATE\tREQUESTS\tTOKENS\tCAPACITY\n")
 	for i := range s.Servers {
 		r := &s.Servers[i]
 		printf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%.0f\t%.0f\t%d\n", r.ID, r.Address, r.Domain, r.Kind, r.Layers, serverState(r), r.Requests, r.ReservedTokens, r.CapacityTokens)
@@ -124,8 +125,8 @@
 	}
 }
 
-// copies gives "0-15:2 15-30:3".
-func copies(runs map[string]int) string {
+// formatCopies returns text such as "0-15:2 15-30:3".
+func formatCopies(runs map[string]int) string {
 	parts := make([]string, 0, len(runs))
 	for _, run := range slices.SortedFunc(maps.Keys(runs), byFirstLayer) {
 		parts = append(parts, fmt.Sprintf("%s:%d", run, runs[run]))
@@ -135,7 +136,7 @@
 
 func byFirstLayer(a, b string) int {
 	var x, y int
-	_, _ = fmt.Sscanf(a, "%d", &x) // a gateway's own ranges
+	_, _ = fmt.Sscanf(a, "%d", &x) // the gateway formats these ranges
 	_, _ = fmt.Sscanf(b, "%d", &y)
 	return x - y
 }
--- a/cmd/hibiscusctl/inspect_test.go
+++ b/cmd/hibiscusctl/inspect_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-const answer = `{"daemon":"g1","ready":true,"streams":3,"config":{"version":7,"age_seconds":0.4,"source":"by_peers"},
+const statusResponse = `{"daemon":"g1","ready":true,"streams":3,"config":{"version":7,"age_seconds":0.4,"source":"by_peers"},
 "lease":{"held":true,"fence":5,"orders_under_way":1},"members":[{"id":"g1","state":"alive"}],
 "services":[{"id":"llm","layers":8,"uncovered":4,"whole":["a"],"retries_left":9,"copies":{"4-8":0,"0-4":2},
 "servers":[{"id":"e1","address":"e:1","layers":"0-4","dead":true},{"id":"e2","address":"e:2","draining":true}]}]}`
@@ -20,13 +20,13 @@
 			http.NotFound(w, r)
 			return
 		}
-		_, _ = w.Write([]byte(answer))
+		_, _ = w.Write([]byte(statusResponse))
 	}))
 	defer srv.Close()
 	var out, errOut bytes.Buffer
 	address := strings.TrimPrefix(srv.URL, "http://")
 	if code := run(context.Background(), []string{"hibiscusctl", "inspect", address}, &out, &errOut); code != 0 {
-		t.Fatalf("%d: %s", code, errOut.String())
+		t.Fatalf("exit code %d: %s", code, errOut.String())
 	}
 	for _, want := range []string{"version 7", "fencing number 5", "copies 0-4:2 4-8:0", "dead", "leaving", "9 retries left"} {
 		if !strings.Contains(out.String(), want) {
@@ -34,9 +34,9 @@
 		}
 	}
 	if code := run(context.Background(), []string{"hibiscusctl", "inspect", "127.0.0.1:1"}, &out, &errOut); code != exitFailed {
-		t.Errorf("a gateway that is not there: %d", code)
+		t.Errorf("unreachable gateway: exit code %d", code)
 	}
 	if code := run(context.Background(), []string{"hibiscusctl", "inspect"}, &out, &errOut); code != exitBadInput {
-		t.Errorf("no gateway: %d", code)
+		t.Errorf("missing gateway address: exit code %d", code)
 	}
 }
--- a/cmd/hibiscusctl/main.go
+++ b/cmd/hibiscusctl/main.go
@@ -1,7 +1,7 @@
-// Command hibiscusctl is the operators' command line.
+// Command hibiscusctl is the operators' command-line tool.
 //
-// Its exit codes are 0 for done, 1 for failed, not known or not everywhere in
-// time, 2 for bad input and 3 for an edit that lost against another.
+// It exits with 0 on success, 1 on failure, on an unknown outcome or if a version is
+// not active at all daemons in time, 2 on bad input and 3 on an edit conflict.
 package main
 
 import (
@@ -35,7 +35,7 @@
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	root := &cli.Command{
 		Name:      "hibiscusctl",
-		Usage:     "operate hibiscuswick by its service documents",
+		Usage:     "manage hibiscuswick and its service documents",
 		Writer:    out,
 		ErrWriter: errOut,
 		Commands: []*cli.Command{
@@ -50,7 +50,7 @@
 			inspectCommand(),
 			measureCommand(),
 		},
-		// The code comes from the error, below.
+		// The exit code is taken from the returned error below.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
 	err := root.Run(ctx, args)
@@ -64,26 +64,26 @@
 	if errors.As(err, &coded) {
 		return coded.code
 	}
-	// What is left are mistakes in the command line itself.
+	// Any other error is a mistake in the command line itself.
 	return exitBadInput
 }
 
-// exitError ends the program with a code. It is not a cli.ExitCoder, since the
-// library gives codes of its own to those, 3 among them.
+// exitError is an error with an exit code. It does not implement cli.ExitCoder, since
+// the library uses exit codes of its own for those, including 3.
 type exitError struct {
-	code int
-	text string
+	code    int
+	message string
 }
 
 func (e *exitError) Error() string {
-	return e.text
+	return e.message
 }
 
-func fail(code int, format string, args ...any) error {
+func exitErrorf(code int, format string, args ...any) error {
 	return &exitError{code, fmt.Sprintf(format, args...)}
 }
 
-// printJSON writes a value as indented JSON.
+// printJSON prints a value as indented JSON.
 func printJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/cmd/hibiscusctl/measure.go
+++ b/cmd/hibiscusctl/measure.go
@@ -24,7 +24,7 @@
 func measureCommand() *cli.Command {
 	return &cli.Command{
 		Name:     "measure",
-		Usage:    "measure whole daemons against stand-ins in this process, on loopback",
+		Usage:    "measure complete daemons against stand-ins in this process, on loopback",
 		Commands: []*cli.Command{measureThroughputCommand(), measureRecoveryCommand()},
 	}
 }
@@ -33,20 +33,20 @@
 	def := measure.DefaultThroughput()
 	return &cli.Command{
 		Name:  "throughput",
-		Usage: "tokens and requests a second as a share of the engines' theoretical bound",
+		Usage: "measure tokens and requests per second as a share of the engines' theoretical maximum",
 		Flags: []cli.Flag{
 			&cli.BoolFlag{Name: flagJSON, Usage: "print the result as JSON"},
-			&cli.IntFlag{Name: flagSeconds, Usage: "length of each load's window", Value: int(def.Window / time.Second)},
+			&cli.IntFlag{Name: flagSeconds, Usage: "length of each load's measurement window, in seconds", Value: int(def.Window / time.Second)},
 			&cli.IntFlag{Name: flagDaemons, Usage: "daemons to run", Value: def.Daemons},
-			&cli.FloatSliceFlag{Name: flagOffered, Usage: "loads to offer, as shares of the bound", Value: def.Offered},
-			&cli.Uint64Flag{Name: flagSeed, Usage: "seed of the arrivals", Value: def.Seed},
+			&cli.FloatSliceFlag{Name: flagOffered, Usage: "loads to offer, as shares of the maximum", Value: def.Offered},
+			&cli.Uint64Flag{Name: flagSeed, Usage: "random seed of the arrivals", Value: def.Seed},
 		},
 		Action: measureThroughput,
 	}
 }
 
 func measureThroughput(ctx context.Context, cmd *cli.Command) error {
-	if err := noMore(cmd); err != nil {
+	if err := rejectExtraArgs(cmd); err != nil {
 		return err
 	}
 	cfg := measure.DefaultThroughput()
@@ -55,11 +55,11 @@
 	cfg.Offered = cmd.FloatSlice(flagOffered)
 	cfg.Seed = cmd.Uint64(flagSeed)
 	if cfg.Window <= 0 || cfg.Daemons <= 0 {
-		return fail(exitBadInput, "--%s and --%s must be above 0", flagSeconds, flagDaemons)
+		return exitErrorf(exitBadInput, "--%s and --%s must be above 0", flagSeconds, flagDaemons)
 	}
 	res, err := measure.RunThroughput(ctx, cfg, progress(cmd))
 	if err != nil {
-		return fail(exitFailed, "%v", err)
+		return exitErrorf(exitFailed, "%v", err)
 	}
 	return printMeasure(cmd, res, res.Goals)
 }
@@ -68,19 +68,19 @@
 	def := measure.DefaultRecovery()
 	return &cli.Command{
 		Name:  "recovery",
-		Usage: "time from a failure to a caller's next token or accepted request",
+		Usage: "measure the time from a failure to a caller's next token or accepted request",
 		Flags: []cli.Flag{
 			&cli.BoolFlag{Name: flagJSON, Usage: "print the result as JSON"},
-			&cli.IntFlag{Name: flagRounds, Usage: "rounds of each failure", Value: def.Rounds},
-			&cli.StringSliceFlag{Name: flagFault, Usage: "failures to bring about", Value: lo.Map(def.Faults, func(f measure.Fault, _ int) string { return string(f) })},
-			&cli.BoolFlag{Name: flagQuick, Usage: "take the short timeouts of the tests in place of the defaults"},
+			&cli.IntFlag{Name: flagRounds, Usage: "rounds per failure", Value: def.Rounds},
+			&cli.StringSliceFlag{Name: flagFault, Usage: "failures to inject", Value: lo.Map(def.Faults, func(f measure.Fault, _ int) string { return string(f) })},
+			&cli.BoolFlag{Name: flagQuick, Usage: "use the tests' short timeouts instead of the defaults"},
 		},
 		Action: measureRecovery,
 	}
 }
 
 func measureRecovery(ctx context.Context, cmd *cli.Command) error {
-	if err := noMore(cmd); err != nil {
+	if err := rejectExtraArgs(cmd); err != nil {
 		return err
 	}
 	cfg := measure.DefaultRecovery()
@@ -89,27 +89,27 @@
 	cfg.Faults = nil
 	for _, name := range cmd.StringSlice(flagFault) {
 		if !slices.Contains(measure.Faults(), measure.Fault(name)) {
-			return fail(exitBadInput, "no failure %q; there are %v", name, measure.Faults())
+			return exitErrorf(exitBadInput, "unknown failure %q; known failures are %v", name, measure.Faults())
 		}
 		cfg.Faults = append(cfg.Faults, measure.Fault(name))
 	}
 	if cfg.Rounds <= 0 {
-		return fail(exitBadInput, "--%s must be above 0", flagRounds)
+		return exitErrorf(exitBadInput, "--%s must be above 0", flagRounds)
 	}
 	res, err := measure.RunRecovery(ctx, cfg, progress(cmd))
 	if err != nil {
-		return fail(exitFailed, "%v", err)
+		return exitErrorf(exitFailed, "%v", err)
 	}
 	return printMeasure(cmd, res, res.Goals)
 }
 
-// progress prints each step, on standard error.
+// progress returns a function that prints each step on standard error.
 func progress(cmd *cli.Command) func(string) {
 	return func(line string) { printf(cmd.ErrWriter, "%s\n", line) }
 }
 
-// printMeasure prints a result. A goal that is not met does not fail the command:
-// it is a figure, and depends on the machine.
+// printMeasure prints a result. A missed goal does not fail the command, since the
+// measured values depend on the machine.
 func printMeasure(cmd *cli.Command, res any, goals []measure.Goal) error {
 	if cmd.Bool(flagJSON) {
 		return printJSON(cmd.Writer, res)
--- a/cmd/hibiscusctl/replay.go
+++ b/cmd/hibiscusctl/replay.go
@@ -15,7 +15,7 @@
 func replayCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "replay",
-		Usage:     "run a recorded trace through the core and report the first difference",
+		Usage:     "replay a recorded trace and report the first decision that differs",
 		ArgsUsage: "TRACE",
 		Arguments: []cli.Argument{&cli.StringArg{Name: argTrace}},
 		Action:    replay,
@@ -25,26 +25,26 @@
 func replay(_ context.Context, cmd *cli.Command) error {
 	path := cmd.StringArg(argTrace)
 	if path == "" {
-		return fail(exitBadInput, "which trace?")
+		return exitErrorf(exitBadInput, "no trace file given")
 	}
-	if err := noMore(cmd); err != nil {
+	if err := rejectExtraArgs(cmd); err != nil {
 		return err
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		return fail(exitBadInput, "%v", err)
+		return exitErrorf(exitBadInput, "%v", err)
 	}
 	defer func() { _ = file.Close() }()
 	res, err := trace.Replay(file)
-	var broken *trace.InputError
+	var inputErr *trace.InputError
 	switch {
-	case errors.As(err, &broken):
-		return fail(exitBadInput, "%s: %v", path, broken)
+	case errors.As(err, &inputErr):
+		return exitErrorf(exitBadInput, "%s: %v", path, inputErr)
 	case err != nil:
-		return fail(exitFailed, "%s: %v", path, err)
+		return exitErrorf(exitFailed, "%s: %v", path, err)
 	case res.Difference != nil:
 		printf(cmd.Writer, "%s\n", res.Difference)
-		return fail(exitFailed, "%s: replay differs", path)
+		return exitErrorf(exitFailed, "%s: replay differs", path)
 	}
 	printf(cmd.Writer, "same decisions: %d requests, %d events, %d unfinished; %d stated outcomes hold\n",
 		res.Runs, res.Events, res.Unfinished, res.Expects)
--- a/cmd/hibiscusctl/script_test.go
+++ b/cmd/hibiscusctl/script_test.go
@@ -19,30 +19,30 @@
 	testscript.Main(m, map[string]func(){"hibiscusctl": main})
 }
 
-type fleetKey struct{}
+type clusterKey struct{}
 
-// TestScripts runs the scripts below testdata/script, each against its own fleet
-// of fake daemons a, b and c at $A, $B and $C. Commands besides testscript's:
+// TestScripts runs the scripts below testdata/script, each against its own cluster
+// of fake daemons a, b and c at $A, $B and $C. Commands in addition to testscript's:
 //
-//	exit CODE COMMAND...   run a command that must end with CODE
-//	commit VERSION EDIT FILE   put a document in force
-//	fleet NAME CHANGE      change a daemon: lag, follow, lose (answers), stop
-//	polled NAME            wait until a daemon's documents were listed twice more
-//	draining NAME          check that a planned stop has begun
+//	exit CODE COMMAND...       run a command and require the exit code CODE
+//	commit VERSION EDIT FILE   make a document the active version
+//	daemon NAME CHANGE         change a daemon: lag, catch-up, lose (responses), stop
+//	polled NAME                wait until a daemon's documents were listed twice more
+//	draining NAME              check that a daemon is draining
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: filepath.Join("testdata", "script"),
 		Setup: func(env *testscript.Env) error {
-			fleet := ctltest.New("a", "b", "c")
-			env.Defer(fleet.Close)
-			env.Values[fleetKey{}] = fleet
+			cluster := ctltest.New("a", "b", "c")
+			env.Defer(cluster.Close)
+			env.Values[clusterKey{}] = cluster
 			for _, id := range []state.DaemonID{"a", "b", "c"} {
-				env.Setenv(strings.ToUpper(string(id)), fleet.URL(id))
+				env.Setenv(strings.ToUpper(string(id)), cluster.URL(id))
 			}
 			return copyExamples(env.WorkDir)
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			"exit": exit, "commit": commit, "fleet": change, "draining": draining, "polled": polled,
+			"exit": exit, "commit": commit, "daemon": changeDaemon, "draining": draining, "polled": polled,
 		},
 	})
 }
@@ -60,8 +60,8 @@
 	return nil
 }
 
-func fleetOf(ts *testscript.TestScript) *ctltest.Cluster {
-	return ts.Value(fleetKey{}).(*ctltest.Cluster)
+func clusterOf(ts *testscript.TestScript) *ctltest.Cluster {
+	return ts.Value(clusterKey{}).(*ctltest.Cluster)
 }
 
 func exit(ts *testscript.TestScript, _ bool, args []string) {
@@ -71,7 +71,7 @@
 		code = strings.TrimPrefix(err.Error(), "exit status ")
 	}
 	if code != args[0] {
-		ts.Fatalf("ended with %s, want %s", code, args[0])
+		ts.Fatalf("exit code %s, want %s", code, args[0])
 	}
 }
 
@@ -82,41 +82,42 @@
 	if len(faults) > 0 {
 		ts.Fatalf("%v", faults)
 	}
-	fleetOf(ts).Commit(service.Versioned{Version: state.DocumentVersion(version), EditID: args[1], Document: d})
+	clusterOf(ts).Commit(service.Versioned{Version: state.DocumentVersion(version), EditID: args[1], Document: d})
 }
 
-func change(ts *testscript.TestScript, _ bool, args []string) {
+func changeDaemon(ts *testscript.TestScript, _ bool, args []string) {
 	id := state.DaemonID(args[0])
 	switch args[1] {
 	case "lag":
-		fleetOf(ts).Change(id, func(d *ctltest.Daemon) { d.Lagging = true })
-	case "follow":
-		fleetOf(ts).Change(id, func(d *ctltest.Daemon) { d.Lagging = false })
+		clusterOf(ts).Change(id, func(d *ctltest.Daemon) { d.Lagging = true })
+	case "catch-up":
+		clusterOf(ts).Change(id, func(d *ctltest.Daemon) { d.Lagging = false })
 	case "lose":
-		fleetOf(ts).Change(id, func(d *ctltest.Daemon) { d.LoseAnswers = 1 << 30 })
+		clusterOf(ts).Change(id, func(d *ctltest.Daemon) { d.LoseAnswers = 1 << 30 })
 	case "stop":
-		fleetOf(ts).Stop(id)
+		clusterOf(ts).Stop(id)
 	default:
 		ts.Fatalf("unknown change %s", args[1])
 	}
 }
 
 func draining(ts *testscript.TestScript, neg bool, args []string) {
-	if fleetOf(ts).Draining(state.DaemonID(args[0])) == neg {
+	if clusterOf(ts).Draining(state.DaemonID(args[0])) == neg {
 		ts.Fatalf("draining is %v", neg)
 	}
 }
 
-// polled waits until a command that lists documents again and again has printed
-// what it saw before: it prints one list before it asks for the next.
+// polled waits until a command that polls the documents has printed what it read
+// before. It prints each list before it requests the next one, so two more requests
+// suffice.
 func polled(ts *testscript.TestScript, _ bool, args []string) {
 	id := state.DaemonID(args[0])
-	before := fleetOf(ts).ListCalls(id)
+	before := clusterOf(ts).ListCalls(id)
 	for range 1000 {
-		if fleetOf(ts).ListCalls(id) >= before+2 {
+		if clusterOf(ts).ListCalls(id) >= before+2 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	ts.Fatalf("daemon %s was not asked", id)
+	ts.Fatalf("daemon %s was not polled", id)
 }
--- a/cmd/hibiscusctl/watch.go
+++ b/cmd/hibiscusctl/watch.go
@@ -16,23 +16,23 @@
 func watchCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "watch",
-		Usage:     "print a line for each document that comes into force, until interrupted",
+		Usage:     "print a line for each newly active document version, until interrupted",
 		ArgsUsage: "[SERVICE...]",
 		Flags: serverFlags(
-			&cli.DurationFlag{Name: flagInterval, Usage: "how often to ask", Value: time.Second},
+			&cli.DurationFlag{Name: flagInterval, Usage: "polling interval", Value: time.Second},
 		),
 		Action: watch,
 	}
 }
 
 func watch(ctx context.Context, cmd *cli.Command) error {
-	c, err := client(cmd)
+	c, err := newClient(cmd)
 	if err != nil {
 		return err
 	}
 	interval := cmd.Duration(flagInterval)
 	if interval <= 0 {
-		return fail(exitBadInput, "--%s must be above 0", flagInterval)
+		return exitErrorf(exitBadInput, "--%s must be above 0", flagInterval)
 	}
 	ids := lo.Map(cmd.Args().Slice(), func(s string, _ int) state.ServiceID { return state.ServiceID(s) })
 	c.Watch(ctx, ids, interval,
