--- a/cmd/hibiscusd/checkdeploy.go
+++ b/cmd/hibiscusd/checkdeploy.go
@@ -14,7 +14,7 @@
 func checkDeployCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "check-deploy",
-		Usage: "check a platform's settings file and the deploy file, and end",
+		Usage: "check a platform's settings file and the deploy file, and exit",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Usage: "`FILE` as the platform renders it; by default the one that " + platform.SettingsEnv + " names, if any"},
 			&cli.StringFlag{Name: "deploy", Usage: "deploy `FILE`; the paths in it are relative to the working directory", Value: "deploy/system.toml"},
--- a/cmd/hibiscusd/gateway.go
+++ b/cmd/hibiscusd/gateway.go
@@ -17,8 +17,9 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// memoryShare is the part of a process's memory that the heap may take before the
-// collector works harder; the rest is for stacks, buffers of the kernel and code.
+// memoryShare is the share of the instance's memory set as the soft limit of the Go
+// runtime, beyond which the garbage collector runs more often. The rest is left for
+// kernel buffers and code.
 const memoryShare = 0.6
 
 func gatewayCommand() *cli.Command {
@@ -26,14 +27,14 @@
 		Name:  "gateway",
 		Usage: "run as a gateway on the platform whose settings file " + platform.SettingsEnv + " names",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "metrics-port", Usage: "serve counters at /metrics on `PORT`; 0 for not"},
-			&cli.BoolFlag{Name: "check", Usage: "check the settings and end"},
+			&cli.IntFlag{Name: "metrics-port", Usage: "serve metrics at /metrics on `PORT`; 0 disables them"},
+			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
 		},
 		Action: runGateway,
 	}
 }
 
-// loadGateway reads the settings that the platform has written.
+// loadGateway reads the settings file rendered by the platform.
 func loadGateway(cmd *cli.Command) (gateway.Settings, error) {
 	set, err := platform.LoadSettings(os.Getenv(platform.SettingsEnv))
 	if err != nil {
@@ -50,7 +51,8 @@
 }
 
 func runGateway(_ context.Context, cmd *cli.Command) error {
-	// An instance has a part of one core; more threads only take turns.
+	// An instance has a fraction of one core, so that more threads would only compete
+	// for it.
 	runtime.GOMAXPROCS(1)
 	set, err := loadGateway(cmd)
 	if err != nil {
--- a/cmd/hibiscusd/main.go
+++ b/cmd/hibiscusd/main.go
@@ -35,10 +35,10 @@
 	file := &cli.StringFlag{Name: "settings", Usage: "settings `FILE`", Required: true}
 	return &cli.Command{
 		Name:  "hibiscusd",
-		Usage: "one daemon of the router",
+		Usage: "run a daemon of the router",
 		Commands: []*cli.Command{
 			{Name: "run", Usage: "run until drained", Flags: []cli.Flag{file, recordFlag()}, Action: run},
-			{Name: "check", Usage: "check the settings and say every fault", Flags: []cli.Flag{file}, Action: check},
+			{Name: "check", Usage: "check the settings and list every fault", Flags: []cli.Flag{file}, Action: check},
 			{Name: "demo", Usage: "run three daemons on embedded stand-ins", Action: runDemo},
 			standinCommand(),
 			gatewayCommand(),
@@ -48,10 +48,10 @@
 }
 
 func recordFlag() cli.Flag {
-	return &cli.StringFlag{Name: "record", Usage: "append a trace for replay to `FILE`, in place of the settings' record_file"}
+	return &cli.StringFlag{Name: "record", Usage: "append a trace for replay to `FILE`, overriding record_file of the settings"}
 }
 
-// load reads settings; its error names every fault, a line each.
+// load reads the settings and prints every fault on a line of its own.
 func load(cmd *cli.Command) (settings.Settings, error) {
 	set, faults, err := settings.Load(cmd.String("settings"))
 	if err != nil {
--- a/cmd/hibiscusd/standin.go
+++ b/cmd/hibiscusd/standin.go
@@ -19,15 +19,15 @@
 	maxDaemons = 9
 )
 
-// standinCommand runs stand-ins of everything around the daemons, so that daemons
-// can be tried as processes of their own.
+// standinCommand runs stand-ins of all systems around the daemons, so that daemons
+// can be tried out as separate processes.
 func standinCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "standin",
 		Usage: "run a platform, engines and plain servers on loopback ports until interrupted",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: flagOut, Usage: "`FOLDER` for the daemons' settings and the services' documents", Required: true},
-			&cli.IntFlag{Name: flagDaemons, Usage: "how many daemons to list and write settings for", Value: 3},
+			&cli.IntFlag{Name: flagDaemons, Usage: "number of daemons to list and write settings for", Value: 3},
 		},
 		Action: runStandins,
 	}
