--- a/internal/docscheck/alarms_test.go
+++ b/internal/docscheck/alarms_test.go
@@ -15,26 +15,26 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-const operations = "docs/OPERATIONS.md"
+const operationsPage = "docs/OPERATIONS.md"
 
-// alarmRow is the beginning of a row of the tables of alarms.
-var alarmRow = regexp.MustCompile(`(?m)^\| (\d{4}) \| `)
+// alarmRowPattern matches the beginning of a row of the alarm tables.
+var alarmRowPattern = regexp.MustCompile(`(?m)^\| (\d{4}) \| `)
 
 var _ = Describe("The page for operators", func() {
-	It("has no row for an event that is not in the catalogue", func() {
-		text, err := os.ReadFile(filepath.Join(root, operations))
+	It("lists no event that is missing from the catalogue", func() {
+		text, err := os.ReadFile(filepath.Join(moduleRoot, operationsPage))
 		Expect(err).NotTo(HaveOccurred())
 		known := make(map[string]bool)
 		for _, info := range telemetry.Events() {
 			known[fmt.Sprint(uint16(info.Event))] = true
 		}
-		for _, m := range alarmRow.FindAllStringSubmatch(string(text), -1) {
+		for _, m := range alarmRowPattern.FindAllStringSubmatch(string(text), -1) {
 			Expect(known[m[1]]).To(BeTrue(), "row of %s", m[1])
 		}
 	})
 
-	It("says what to do at each event of level warning and above", func() {
-		text, err := os.ReadFile(filepath.Join(root, operations))
+	It("lists each event of level warning or above, and no other", func() {
+		text, err := os.ReadFile(filepath.Join(moduleRoot, operationsPage))
 		Expect(err).NotTo(HaveOccurred())
 		for _, info := range telemetry.Events() {
 			row := fmt.Sprintf("\n| %d | %s | ", uint16(info.Event), info.Name)
--- a/internal/docscheck/doc.go
+++ b/internal/docscheck/doc.go
@@ -1,4 +1,5 @@
-// Package docscheck holds pages that are written by hand to the code: the table of
-// failures in docs/FAILURES.md to the labels of the tests and the scenarios, and
-// the links between pages to the files that they name. All of it is in tests.
+// Package docscheck checks hand-written pages against the code: the failures listed
+// in docs/FAILURES.md against the labels of the tests and scenarios, the alarms in
+// docs/OPERATIONS.md against the log events, and the links between pages against the
+// files that exist. It consists of tests only.
 package docscheck
