--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,4 +1,4 @@
-// Package freeport finds loopback addresses for tests that listen on them later.
+// Package freeport finds free loopback addresses for tests that listen on them later.
 package freeport
 
 import (
@@ -9,26 +9,26 @@
 	"sync"
 )
 
-// Ports that the system gives to outgoing connections begin at 32768. A port that
-// it picked itself may be taken by any connection before it is listened on; one
-// below is only taken by whoever asks for it by number.
+// The system assigns ports from 32768 up to outgoing connections, so that any
+// connection may take such a port before a test listens on it. A lower port is taken
+// only by a process that requests it by number.
 const (
-	firstPort = 12000
-	lastPort  = 32000
-	tries     = 100
+	firstPort   = 12000
+	lastPort    = 32000
+	maxAttempts = 100
 )
 
 var errNoPort = errors.New("no free port found")
 
 var (
-	mu    sync.Mutex
-	given = make(map[int]bool)
+	mu   sync.Mutex
+	used = make(map[int]bool)
 )
 
-// Address returns a loopback address, host:port, that nothing listens on, and not
-// the same twice in one process.
+// Address returns a loopback address, host:port, on which no process listens. It does
+// not return the same address twice within a process.
 func Address() (string, error) {
-	for range tries {
+	for range maxAttempts {
 		port := firstPort + rand.IntN(lastPort-firstPort)
 		address := net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
 		if !claim(port) {
@@ -36,20 +36,20 @@
 		}
 		l, err := net.Listen("tcp", address)
 		if err != nil {
-			continue // another process has it
+			continue // in use by another process
 		}
 		return address, l.Close()
 	}
 	return "", errNoPort
 }
 
-// claim reports whether a port is given out for the first time.
+// claim marks a port as used and reports whether it was unused before.
 func claim(port int) bool {
 	mu.Lock()
 	defer mu.Unlock()
-	if given[port] {
+	if used[port] {
 		return false
 	}
-	given[port] = true
+	used[port] = true
 	return true
 }
--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -8,8 +8,8 @@
 	"github.com/hibiscuswick/hibiscuswick/internal/freeport"
 )
 
-// A daemon under test can't open its port. Cause: the port was picked by the system
-// from those of outgoing connections, and one took it before the daemon started.
+// A daemon under test fails to listen on its port when the port comes from the
+// system's range for outgoing connections and such a connection takes it first.
 func TestAddressIsNotOneOfOutgoingConnections(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 200 {
@@ -22,10 +22,10 @@
 			t.Fatal(err)
 		}
 		if n, err := strconv.Atoi(port); err != nil || n >= 32768 {
-			t.Fatalf("port %s is one of outgoing connections", port)
+			t.Fatalf("port %s is in the range for outgoing connections", port)
 		}
 		if seen[address] {
-			t.Fatalf("%s was given twice", address)
+			t.Fatalf("%s was returned twice", address)
 		}
 		seen[address] = true
 	}
