--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,6 +1,5 @@
-// Package site puts daemons and stand-ins of everything around them together on
-// loopback ports, in one process, for the demo, the measurements and the tests
-// of whole daemons.
+// Package site runs daemons and stand-ins of all systems around them in one process,
+// on loopback ports, for the demo, the measurements and the tests of complete daemons.
 package site
 
 import (
@@ -20,10 +19,10 @@
 // Region is the region of every instance of a site.
 const Region state.Region = "kerala-south"
 
-// Domains are the failure domains of a site, in turn.
+// Domains are the failure domains of a site, assigned to its instances round-robin.
 var Domains = []state.FailureDomain{"ernakulam", "kottayam", "alappuzha"}
 
-// Site is a running set of daemons and stand-ins. It belongs to one goroutine.
+// Site is a running set of daemons and stand-ins. It is not safe for concurrent use.
 type Site struct {
 	Platform     *standin.Platform
 	Ledger       *standin.Ledger
@@ -31,11 +30,11 @@
 	PlainServers map[state.BackendID]*standin.PlainServer
 	Daemons      []*daemon.Daemon
 
-	log     *telemetry.Log
-	started int // daemons so far, which names the next
+	log            *telemetry.Log
+	daemonsStarted int // number of daemons started, from which the next ID is derived
 }
 
-// New starts the platform's stand-in; the rest is added.
+// New starts the stand-in of the platform. The Add methods start everything else.
 func New(log *telemetry.Log) (*Site, error) {
 	p, err := standin.StartPlatform()
 	if err != nil {
@@ -50,7 +49,7 @@
 	}, nil
 }
 
-// Close ends everything that still runs.
+// Close kills the daemons and stops all stand-ins.
 func (s *Site) Close() {
 	for _, d := range s.Daemons {
 		d.Kill()
@@ -65,7 +64,7 @@
 	s.Platform.Close()
 }
 
-// Live lists the daemons that have not stopped.
+// Live returns the daemons that have not stopped.
 func (s *Site) Live() []*daemon.Daemon {
 	var live []*daemon.Daemon
 	for _, d := range s.Daemons {
@@ -78,12 +77,12 @@
 	return live
 }
 
-// domain returns the failure domain of the n-th of a kind of instances.
-func domain(n int) state.FailureDomain {
+// domainOf returns the failure domain of the n-th instance of a kind.
+func domainOf(n int) state.FailureDomain {
 	return Domains[n%len(Domains)]
 }
 
-// AddEngine starts an engine and lists it.
+// AddEngine starts an engine and adds it to the instance list.
 func (s *Site) AddEngine(cfg standin.EngineConfig, in state.FailureDomain) error {
 	cfg.Ledger = s.Ledger
 	e, err := standin.StartEngine(cfg)
@@ -102,7 +101,7 @@
 	return nil
 }
 
-// AddPlain starts a plain service's server and lists it.
+// AddPlain starts the server of a plain service and adds it to the instance list.
 func (s *Site) AddPlain(cfg standin.PlainConfig, in state.FailureDomain) error {
 	cfg.Ledger = s.Ledger
 	p, err := standin.StartPlain(cfg)
@@ -120,14 +119,14 @@
 	return nil
 }
 
-// AddDaemon starts one daemon with the site's usual settings, changed by change
-// where that is not nil, and lists its instance.
+// AddDaemon starts one daemon and adds it to the instance list. If change is not nil,
+// it modifies the site's default settings before the start.
 func (s *Site) AddDaemon(change func(*settings.Settings)) (*daemon.Daemon, error) {
-	set, err := s.settings(s.started)
+	set, err := s.settings(s.daemonsStarted)
 	if err != nil {
 		return nil, err
 	}
-	s.started++
+	s.daemonsStarted++
 	if change != nil {
 		change(&set)
 	}
@@ -147,12 +146,12 @@
 	return d, nil
 }
 
-// settings are those of the n-th daemon, as its file would have them.
+// settings returns the default settings of the n-th daemon, decoded as from a file.
 func (s *Site) settings(n int) (settings.Settings, error) {
 	text, err := json.Marshal(map[string]any{
 		"id":             fmt.Sprintf("entry-%d", n+1),
 		"instance":       fmt.Sprintf("entry-%d", n+1),
-		"failure_domain": domain(n),
+		"failure_domain": domainOf(n),
 		"region":         Region,
 		"peer_address":   "127.0.0.1:0",
 		"caller_address": "127.0.0.1:0",
@@ -187,7 +186,7 @@
 	return set, nil
 }
 
-// Chains describes replicas of equal stages over engines named
+// Chains describes replicas with stages of equal size, whose engines are named
 // "<prefix>-<replica>-<stage>".
 type Chains struct {
 	Prefix   string
@@ -196,12 +195,12 @@
 	Layers   int
 }
 
-// Engine names the engine of one stage, both counted from 1.
+// Engine returns the name of the engine of one stage. Both arguments count from 1.
 func (c Chains) Engine(replica, stage int) state.BackendID {
 	return state.BackendID(fmt.Sprintf("%s-%d-%d", c.Prefix, replica, stage))
 }
 
-// Replica names one replica, counted from 1.
+// Replica returns the name of one replica, counted from 1.
 func (c Chains) Replica(replica int) state.ReplicaID {
 	return state.ReplicaID(fmt.Sprintf("%s-%d", c.Prefix, replica))
 }
@@ -211,7 +210,7 @@
 	return state.LayerRange{First: (stage - 1) * c.Layers / c.Stages, End: stage * c.Layers / c.Stages}
 }
 
-// Placement writes the chains out as a document does.
+// Placement returns the chains as the placement of a service document.
 func (c Chains) Placement() service.Placement {
 	p := service.Placement{Mode: service.PlacementFixed}
 	for r := 1; r <= c.Replicas; r++ {
@@ -225,7 +224,8 @@
 	return p
 }
 
-// AddChains starts the engines of chains with cfg for each.
+// AddChains starts the engines of all chains. cfg applies to each engine, except for
+// its ID and layers.
 func (s *Site) AddChains(c Chains, cfg standin.EngineConfig) error {
 	for r := 1; r <= c.Replicas; r++ {
 		for st := 1; st <= c.Stages; st++ {
@@ -233,7 +233,7 @@
 			e.ID = c.Engine(r, st)
 			e.Layers = c.Range(st)
 			e.ModelLayers = c.Layers
-			if err := s.AddEngine(e, domain(r-1)); err != nil {
+			if err := s.AddEngine(e, domainOf(r-1)); err != nil {
 				return err
 			}
 		}
@@ -241,23 +241,24 @@
 	return nil
 }
 
-// Spares describes engines that hold nothing, named "<prefix>-<n>" from 1, for
-// layers that are placed by hibiscuswick.
+// Spares describes engines without layers, named "<prefix>-<n>" from 1, for services
+// whose layers hibiscuswick places.
 type Spares struct {
 	Prefix        string
 	Count         int
 	Kind          string
 	ChecksFencing bool
-	ModelLayers   int // of the model that they will hold
+	ModelLayers   int // of the model that will be loaded
 	Domain        state.FailureDomain
 }
 
-// Engine names the n-th engine, counted from 1.
+// Engine returns the name of the n-th engine, counted from 1.
 func (sp Spares) Engine(n int) state.BackendID {
 	return state.BackendID(fmt.Sprintf("%s-%d", sp.Prefix, n))
 }
 
-// AddSpares starts engines that hold nothing, with cfg for all else.
+// AddSpares starts engines without layers. cfg applies to everything that sp does not
+// describe.
 func (s *Site) AddSpares(sp Spares, cfg standin.EngineConfig) error {
 	for n := 1; n <= sp.Count; n++ {
 		e := cfg
