--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -9,8 +9,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// work is one request of the demo.
-type work struct {
+// request is one request of the demo.
+type request struct {
 	service  state.ServiceID
 	customer state.CustomerID
 	class    state.ClassID
@@ -18,31 +18,30 @@
 	key      state.IdempotencyKey
 }
 
-// result is what a caller got: tokens in the order in which they came, and how
-// the answer ended.
+// result is what a caller received: the tokens in order of arrival and the end event.
 type result struct {
 	tokens []caller.TokenEvent
 	end    caller.EndEvent
 }
 
 const (
-	callTimeout = 15 * time.Second
-	silentAfter = 5 * time.Second // without a sign of life a connection is given up
+	callTimeout     = 15 * time.Second
+	progressTimeout = 5 * time.Second // after which a connection without data is closed
 )
 
-// call sends one request and reads its answer to the end, through the loss of
-// connections and daemons. seeds are the addresses that the caller begins with.
-func call(ctx context.Context, seeds []string, w work) (result, error) {
+// call sends one request and reads its answer to the end, across failures of
+// connections and daemons. seeds are the addresses of the first daemons to query.
+func call(ctx context.Context, seeds []string, req request) (result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	c := client.New(client.Config{
 		Seeds:           seeds,
-		Service:         w.service,
-		Customer:        w.customer,
-		ProgressTimeout: silentAfter,
+		Service:         req.service,
+		Customer:        req.customer,
+		ProgressTimeout: progressTimeout,
 	})
 	var got result
-	res, err := c.Do(ctx, client.Request{Class: w.class, Key: w.key, Prompt: w.prompt}, func(t caller.TokenEvent) {
+	res, err := c.Do(ctx, client.Request{Class: req.class, Key: req.key, Prompt: req.prompt}, func(t caller.TokenEvent) {
 		got.tokens = append(got.tokens, t)
 	})
 	got.end = res.End
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs the main job on embedded stand-ins: three daemons, a model
+// Package demo runs the router on embedded stand-ins: three daemons, a model service
 // over chains of engines, a plain service, and callers that check their answers
-// against what the stand-ins truly ran. After a calm round it kills a stage and a
-// daemon mid-stream and drains another daemon under load.
+// against the executions recorded by the stand-ins. After a round without failures it
+// kills a stage and a daemon mid-stream and drains another daemon under load.
 package demo
 
 import (
@@ -18,37 +18,37 @@
 )
 
 const (
-	daemons   = 3
-	documents = 2
-	perRound  = 90
+	numDaemons       = 3
+	numDocuments     = 2
+	requestsPerRound = 90
 
 	startTimeout = 10 * time.Second
 	drainTimeout = 10 * time.Second
-	midStream    = 150 * time.Millisecond // from the first request to the failure
+	failureDelay = 150 * time.Millisecond // from the first request to the failure
 )
 
 // demo is one run.
 type demo struct {
-	site *site.Site
-	say  func(string)
+	site    *site.Site
+	logStep func(string)
 
 	mu     sync.Mutex
 	report Report
 	sent   int
 }
 
-// Run runs the demo and tells each step through say.
-func Run(ctx context.Context, log *telemetry.Log, say func(string)) (Report, error) {
+// Run runs the demo and reports each step through logStep.
+func Run(ctx context.Context, log *telemetry.Log, logStep func(string)) (Report, error) {
 	s, err := site.New(log)
 	if err != nil {
 		return Report{}, err
 	}
 	defer s.Close()
-	d := &demo{site: s, say: say}
+	d := &demo{site: s, logStep: logStep}
 	if err := d.start(ctx); err != nil {
 		return Report{}, err
 	}
-	d.round(ctx, "calm", func() {})
+	d.round(ctx, "no failure", func() {})
 	d.round(ctx, "a stage dies mid-stream", func() { s.Engines[chains.Engine(1, 2)].Kill() })
 	d.round(ctx, "a daemon dies mid-stream", func() { s.Daemons[1].Kill() })
 	if err := d.replace(ctx); err != nil {
@@ -61,22 +61,22 @@
 	return d.finish(), nil
 }
 
-// finish adds what the stand-ins saw.
+// finish adds the violations recorded by the stand-ins to the report.
 func (d *demo) finish() Report {
 	violations := d.site.Ledger.Violations()
 	for _, v := range violations {
-		d.say("violation: " + v)
+		d.logStep("violation: " + v)
 	}
 	d.report.LayerOrderViolations = len(violations)
 	return d.report
 }
 
-// start brings the site up and waits until every daemon has both documents.
+// start starts the site and waits until every daemon has both documents.
 func (d *demo) start(ctx context.Context) error {
 	if err := startBackends(d.site); err != nil {
 		return err
 	}
-	for range daemons {
+	for range numDaemons {
 		if _, err := d.site.AddDaemon(nil); err != nil {
 			return err
 		}
@@ -86,12 +86,12 @@
 			return err
 		}
 	}
-	d.say(fmt.Sprintf("%d daemons before %d engines and %d plain servers",
+	d.logStep(fmt.Sprintf("%d daemons in front of %d engines and %d plain servers",
 		len(d.site.Daemons), len(d.site.Engines), len(d.site.PlainServers)))
 	return d.awaitServing(ctx)
 }
 
-// replace starts a daemon in place of the one that died, and the stage anew.
+// replace starts a daemon in place of the killed one, and restarts the killed engine.
 func (d *demo) replace(ctx context.Context) error {
 	if _, err := d.site.AddDaemon(nil); err != nil {
 		return err
@@ -116,21 +116,21 @@
 func (d *demo) awaitServing(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	for _, one := range d.site.Live() {
+	for _, live := range d.site.Live() {
 		for {
-			s := one.DaemonStatus(ctx)
-			if len(s.Documents) == documents && !s.Isolated && len(s.Members) >= len(d.site.Live()) {
+			s := live.DaemonStatus(ctx)
+			if len(s.Documents) == numDocuments && !s.Isolated && len(s.Members) >= len(d.site.Live()) {
 				break
 			}
 			if !sleep(ctx, 10*time.Millisecond) {
-				return fmt.Errorf("a daemon does not serve: %w", ctx.Err())
+				return fmt.Errorf("a daemon is not serving: %w", ctx.Err())
 			}
 		}
 	}
 	return nil
 }
 
-// awaitDrained waits for the planned stop of the drained daemon.
+// awaitDrained waits until the drained daemon has stopped.
 func (d *demo) awaitDrained(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
@@ -138,46 +138,44 @@
 	case <-d.site.Daemons[2].Done():
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("the drained daemon does not stop: %w", ctx.Err())
+		return fmt.Errorf("the drained daemon did not stop: %w", ctx.Err())
 	}
 }
 
-// sleep reports false if ctx ends first.
-func sleep(ctx context.Context, t time.Duration) bool {
+// sleep waits for d and returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(t):
+	case <-time.After(d):
 		return true
 	}
 }
 
-// round sends requests, brings the failure about mid-stream, and checks what came
-// back.
+// round sends requests, injects the failure mid-stream and checks the answers.
 func (d *demo) round(ctx context.Context, name string, fail func()) {
 	before := d.report
 	addresses := d.addresses(ctx)
 	var wg sync.WaitGroup
-	for range perRound {
-		w := workOf(d.sent)
+	for range requestsPerRound {
+		req := requestOf(d.sent)
 		at := d.sent % len(addresses)
 		seeds := append(slices.Clone(addresses[at:]), addresses[:at]...)
 		d.sent++
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			res, err := call(ctx, seeds, w)
-			d.check(w, res, err)
+			res, err := call(ctx, seeds, req)
+			d.check(req, res, err)
 		}()
 	}
-	sleep(ctx, midStream)
+	sleep(ctx, failureDelay)
 	fail()
 	wg.Wait()
-	d.say(fmt.Sprintf("%-26s %d of %d complete", name+":", d.report.Complete-before.Complete, perRound))
+	d.logStep(fmt.Sprintf("%-26s %d of %d complete", name+":", d.report.Complete-before.Complete, requestsPerRound))
 }
 
-// addresses asks the first daemon which to use, as a caller would, and adds those
-// that it leaves out: a caller may have kept an older answer.
+// addresses returns the daemons that the first daemon lists for callers.
 func (d *demo) addresses(ctx context.Context) []string {
 	return d.site.Daemons[0].Addresses(ctx, caller.AddressQuery{Service: drafts}).Addresses
 }
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -8,7 +8,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Report is the last line of the demo, counted by the callers and the stand-ins.
+// Report is the result of the demo, counted by the callers and the stand-ins. It is
+// printed as the last line.
 type Report struct {
 	Requests             int `json:"requests"`
 	Complete             int `json:"complete"`
@@ -25,44 +26,44 @@
 	return r.Lost == 0 && r.Duplicated == 0 && r.LayerOrderViolations == 0
 }
 
-// workOf returns the i-th request: notes and alerts are never to be repeated,
-// checks may be.
-func workOf(i int) work {
+// requestOf returns the i-th request. Notes and alerts must run at most once;
+// summaries may be repeated.
+func requestOf(i int) request {
 	prompt := fmt.Sprintf("consignment %d", i)
 	key := state.IdempotencyKey(fmt.Sprintf("key-%d", i))
 	switch i % 3 {
 	case 0:
-		return work{drafts, advocates, classNote, prompt, key}
+		return request{drafts, advocates, classNote, prompt, key}
 	case 1:
-		return work{drafts, bank, classSummary, prompt, key}
+		return request{drafts, bank, classSummary, prompt, key}
 	default:
-		return work{alerts, dairy, classAlert, prompt, key}
+		return request{alerts, dairy, classAlert, prompt, key}
 	}
 }
 
-// check counts one answer against what the stand-ins ran.
-func (d *demo) check(w work, res result, err error) {
-	runs := d.site.Ledger.Runs(w.prompt)
+// check compares one answer with the executions on the stand-ins and counts it.
+func (d *demo) check(req request, res result, err error) {
+	runs := d.site.Ledger.Runs(req.prompt)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r := &d.report
 	r.Requests++
-	if runs > 1 && w.class != classSummary {
-		d.say(fmt.Sprintf("%s (%s) ran %d times", w.prompt, w.class, runs))
+	if runs > 1 && req.class != classSummary {
+		d.logStep(fmt.Sprintf("%s (%s) ran %d times", req.prompt, req.class, runs))
 		r.Duplicated++
 	}
 	if err != nil {
-		d.say(fmt.Sprintf("%s (%s): %v", w.prompt, w.class, err))
+		d.logStep(fmt.Sprintf("%s (%s): %v", req.prompt, req.class, err))
 		r.Lost++
 		return
 	}
 	switch res.end.Outcome {
 	case caller.EndCompleted:
-		r.checkWhole(d, w, res)
+		r.recordCompleted(d, req, res)
 	case caller.EndRefused:
 		r.RefusedNotRun++
 		if runs > 0 {
-			d.say(fmt.Sprintf("%s (%s) was refused as not run (%s), but ran", w.prompt, w.class, res.end.Reason))
+			d.logStep(fmt.Sprintf("%s (%s) was refused as not run (%s), but did run", req.prompt, req.class, res.end.Reason))
 			r.Duplicated++
 		}
 	case caller.EndFailed:
@@ -72,21 +73,22 @@
 	}
 }
 
-func (r *Report) checkWhole(d *demo, w work, res result) {
-	if whole(w, res) {
+func (r *Report) recordCompleted(d *demo, req request, res result) {
+	if isComplete(req, res) {
 		r.Complete++
 		return
 	}
-	d.say(fmt.Sprintf("%s (%s): answer of %d tokens is not whole", w.prompt, w.class, len(res.tokens)))
+	d.logStep(fmt.Sprintf("%s (%s): incomplete answer of %d tokens", req.prompt, req.class, len(res.tokens)))
 	r.Lost++
 }
 
-// whole reports whether the answer has every token, once, in order.
-func whole(w work, res result) bool {
-	if w.service == alerts {
-		return len(res.tokens) == 1 && res.tokens[0].Text == standin.PlainAnswer(w.prompt)
+// isComplete reports whether the answer has every expected token exactly once, in
+// order.
+func isComplete(req request, res result) bool {
+	if req.service == alerts {
+		return len(res.tokens) == 1 && res.tokens[0].Text == standin.PlainAnswer(req.prompt)
 	}
-	want := standin.ExpectedTokens(w.prompt, noteTokens)
+	want := standin.ExpectedTokens(req.prompt, noteTokens)
 	if len(want) != len(res.tokens) {
 		return false
 	}
--- a/internal/demo/standins.go
+++ b/internal/demo/standins.go
@@ -13,29 +13,30 @@
 	"github.com/hibiscuswick/hibiscuswick/telemetry"
 )
 
-// Ports of the daemons that Standins writes settings for: the n-th, counted from
-// 1, listens on the base and n.
+// Base ports of the daemons that StartStandins writes settings for. The n-th daemon,
+// counted from 1, listens on base+n.
 const (
-	callerPorts = 7080
-	peerPorts   = 7100
+	callerPortBase = 7080
+	peerPortBase   = 7100
 )
 
-// Standins starts the platform, engines and plain servers of the demo on loopback
-// ports, lists n daemons that are to be run beside them, and writes to dir what
-// those need: entry-<n>.json, the settings of each, and a document for each service.
+// StartStandins starts the platform, engines and plain servers of the demo on
+// loopback ports and adds n daemons, which are run separately, to the instance list.
+// It writes to dir the settings of each daemon, entry-<n>.json, and a document for
+// each service.
 func StartStandins(dir string, n int) (*site.Site, error) {
 	s, err := site.New(telemetry.Discard())
 	if err != nil {
 		return nil, err
 	}
-	if err := prepare(s, dir, n); err != nil {
+	if err := setUp(s, dir, n); err != nil {
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-func prepare(s *site.Site, dir string, n int) error {
+func setUp(s *site.Site, dir string, n int) error {
 	if err := startBackends(s); err != nil {
 		return err
 	}
@@ -43,22 +44,22 @@
 		return err
 	}
 	for _, doc := range []service.Document{draftsDocument(), alertsDocument()} {
-		if err := write(dir, string(doc.Service), doc); err != nil {
+		if err := writeJSON(dir, string(doc.Service), doc); err != nil {
 			return err
 		}
 	}
 	var ids []string
 	for i := range n {
-		ids = append(ids, entryID(i))
+		ids = append(ids, daemonID(i))
 	}
 	for i := range n {
-		if err := write(dir, ids[i], entrySettings(s, i, ids)); err != nil {
+		if err := writeJSON(dir, ids[i], settingsOf(s, i, ids)); err != nil {
 			return err
 		}
 		s.Platform.PutInstance(platform.Instance{
 			ID:      state.InstanceID(ids[i]),
 			Role:    platform.RoleEntry,
-			Address: loopback(peerPorts, i),
+			Address: loopback(peerPortBase, i),
 			Domain:  site.Domains[i%len(site.Domains)],
 			Region:  site.Region,
 		})
@@ -66,7 +67,7 @@
 	return nil
 }
 
-func entryID(i int) string {
+func daemonID(i int) string {
 	return fmt.Sprintf("entry-%d", i+1)
 }
 
@@ -74,9 +75,9 @@
 	return fmt.Sprintf("127.0.0.1:%d", base+i+1)
 }
 
-// entryFile is the part of a daemon's settings that has no default, and the seats
-// of the limits.
-type entryFile struct {
+// daemonSettings holds the settings of a daemon that have no default, and the seats of
+// the customer limits.
+type daemonSettings struct {
 	ID            string              `json:"id"`
 	Instance      string              `json:"instance"`
 	Domain        state.FailureDomain `json:"failure_domain"`
@@ -84,7 +85,7 @@
 	PeerAddress   string              `json:"peer_address"`
 	CallerAddress string              `json:"caller_address"`
 	Platform      platformURLs        `json:"platform"`
-	Limits        limitSeats          `json:"limits"`
+	Limits        limitSettings       `json:"limits"`
 }
 
 type platformURLs struct {
@@ -93,25 +94,25 @@
 	Instances string `json:"instances_url"`
 }
 
-type limitSeats struct {
+type limitSettings struct {
 	Seats []string `json:"seats"`
 }
 
-func entrySettings(s *site.Site, i int, seats []string) entryFile {
+func settingsOf(s *site.Site, i int, seats []string) daemonSettings {
 	url := s.Platform.URL()
-	return entryFile{
-		ID:            entryID(i),
-		Instance:      entryID(i),
+	return daemonSettings{
+		ID:            daemonID(i),
+		Instance:      daemonID(i),
 		Domain:        site.Domains[i%len(site.Domains)],
 		Region:        site.Region,
-		PeerAddress:   loopback(peerPorts, i),
-		CallerAddress: loopback(callerPorts, i),
+		PeerAddress:   loopback(peerPortBase, i),
+		CallerAddress: loopback(callerPortBase, i),
 		Platform:      platformURLs{Table: url, Objects: url, Instances: url},
-		Limits:        limitSeats{Seats: seats},
+		Limits:        limitSettings{Seats: seats},
 	}
 }
 
-func write(dir, name string, value any) error {
+func writeJSON(dir, name string, value any) error {
 	text, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
 		return err
--- a/internal/demo/standins_test.go
+++ b/internal/demo/standins_test.go
@@ -16,8 +16,8 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/platformhttp"
 )
 
-var _ = Describe("stand-ins for daemons that run by themselves", func() {
-	It("write settings and documents that are taken, and list each daemon where it will listen", func() {
+var _ = Describe("stand-ins for separately run daemons", func() {
+	It("write valid settings and documents, and list each daemon under its peer address", func() {
 		dir := filepath.Join(GinkgoT().TempDir(), "site")
 		s, err := demo.StartStandins(dir, 3)
 		Expect(err).NotTo(HaveOccurred())
