--- a/internal/strictjson/decode.go
+++ b/internal/strictjson/decode.go
@@ -9,22 +9,22 @@
 	"unicode/utf8"
 )
 
-// Decode reads text, of at most limit bytes, into out, a pointer to a struct,
-// and returns every fault found. With faults, out holds what could be read.
+// Decode decodes text, of at most limit bytes, into out, a pointer to a struct,
+// and returns all faults found. With faults, out holds the values that were valid.
 //
-// A text that is not JSON has one fault, since nothing after a syntax error can
-// be told apart.
+// An input that is not valid JSON yields a single fault, since nothing after a syntax
+// error can be interpreted reliably.
 func Decode(text []byte, limit int, out any) []Fault {
 	if f := checkSyntax(text, limit); f != nil {
 		return []Fault{*f}
 	}
 	d := decoder{tokens: scanner{text: text}}
 	d.value(reflect.ValueOf(out).Elem(), &rules{})
-	return d.report.all()
+	return d.faults.all()
 }
 
-// checkSyntax returns the fault of a text that is too long, not UTF-8 or not
-// exactly one JSON value.
+// checkSyntax returns the fault of an input that is too long, not UTF-8 or not
+// exactly one JSON value, or nil.
 func checkSyntax(text []byte, limit int) *Fault {
 	if len(text) > limit {
 		f := Faultf(Root, "has %d bytes, at most %d are allowed", len(text), limit)
@@ -38,12 +38,12 @@
 		return nil
 	}
 	var raw json.RawMessage
-	err := json.Unmarshal(text, &raw) // says what is wrong, and where
+	err := json.Unmarshal(text, &raw) // for the error message and position
 	f := Faultf(Root, "is not JSON: %v%s", err, position(text, err))
 	return &f
 }
 
-// position gives the line and column of a syntax error, counted from 1.
+// position returns the line and column of a syntax error, both counted from 1.
 func position(text []byte, err error) string {
 	var syntax *json.SyntaxError
 	if !errors.As(err, &syntax) {
@@ -55,18 +55,18 @@
 	return fmt.Sprintf(" (line %d, column %d)", line, column)
 }
 
-// decoder walks the tokens of a text whose syntax was checked before.
+// decoder decodes the tokens of an input whose syntax has been checked.
 type decoder struct {
 	tokens scanner
-	path   path // of the value that is being read
-	report report
+	path   path // of the current value
+	faults faultList
 }
 
 func (d *decoder) faultf(format string, args ...any) {
-	d.report.add(d.path.String(), format, args...)
+	d.faults.add(d.path.String(), format, args...)
 }
 
-// value reads the next value into v.
+// value decodes the next value into v.
 func (d *decoder) value(v reflect.Value, r *rules) {
 	t := d.tokens.next()
 	switch {
@@ -96,10 +96,10 @@
 	}
 }
 
-// object reads the fields of an object whose '{' was read.
+// object decodes the fields of an object after its '{'.
 func (d *decoder) object(v reflect.Value) {
-	p := planOf(v.Type())
-	var seen uint64 // bit i stands for p.fields[i]
+	p := structPlanOf(v.Type())
+	var seen uint64 // bit i is set for p.fields[i]
 	var unknown map[string]bool
 	for d.tokens.more() {
 		name := d.tokens.next().text
@@ -125,13 +125,13 @@
 	d.tokens.next() // '}'
 	for i, f := range p.fields {
 		if seen&(1<<i) == 0 {
-			d.absent(v.Field(f.index), f)
+			d.missingField(v.Field(f.index), f)
 		}
 	}
 }
 
 func (d *decoder) unknownField(name string, again bool) {
-	d.path.push(step{name: name, foreign: true})
+	d.path.push(step{name: name, unknown: true})
 	if again {
 		d.faultf("stands twice")
 	} else {
@@ -141,25 +141,26 @@
 	d.skip(d.tokens.next())
 }
 
-// absent gives a field that the text leaves out its default, or reports it.
-func (d *decoder) absent(v reflect.Value, f field) {
+// missingField sets a field that is absent from the input to its default, or reports
+// it as missing.
+func (d *decoder) missingField(v reflect.Value, f field) {
 	d.path.push(step{name: f.name})
 	defer d.path.pop()
 	switch {
-	case f.def != nil:
-		setDefault(v, *f.def)
+	case f.defaultText != nil:
+		setDefault(v, *f.defaultText)
 	case !f.optional:
 		d.faultf("is missing")
 	case v.Kind() == reflect.Struct && !f.rules.readsText:
-		// An optional object that is left out has its fields' defaults.
-		for _, inner := range planOf(v.Type()).fields {
-			d.absent(v.Field(inner.index), inner)
+		// An absent optional object takes the defaults of its fields.
+		for _, inner := range structPlanOf(v.Type()).fields {
+			d.missingField(v.Field(inner.index), inner)
 		}
 	}
 }
 
-// array reads the elements of an array whose '[' was read. An empty array
-// reads as nil. Elements past maxItems are counted, not kept.
+// array decodes the elements of an array after its '['. An empty array yields nil.
+// Elements beyond maxItems are counted but not stored.
 func (d *decoder) array(v reflect.Value, r *rules) {
 	n := 0
 	for ; d.tokens.more(); n++ {
@@ -184,7 +185,7 @@
 	}
 }
 
-// skip reads on to the end of the value that begins with t.
+// skip consumes the rest of the value that begins with t.
 func (d *decoder) skip(t token) {
 	depth := 0
 	for {
@@ -202,7 +203,7 @@
 	}
 }
 
-// wrongType reports a value of another JSON type than wanted and skips it.
+// wrongType reports a value of an unexpected JSON type and skips it.
 func (d *decoder) wrongType(t token, want string) {
 	d.faultf("is %s, must be %s", typeName(t), want)
 	d.skip(t)
@@ -216,7 +217,7 @@
 		return "a boolean"
 	case numberToken:
 		return "a number"
-	case textToken:
+	case stringToken:
 		return "a text"
 	case arrayToken:
 		return "an array"
--- a/internal/strictjson/fault.go
+++ b/internal/strictjson/fault.go
@@ -2,33 +2,33 @@
 
 import "fmt"
 
-// Root is the path of a fault that concerns the whole text.
+// Root is the path of a fault that concerns the complete input.
 const Root = "$"
 
-// maxFaults bounds the report of one text, so that a hostile one costs bounded
-// memory; the last fault says how many were left out.
+// maxFaults limits the faults reported for one input, which bounds the memory that a
+// malicious input can use. One more fault then reports how many were omitted.
 const maxFaults = 500
 
-// Fault is one thing that is wrong with a text.
+// Fault is one validation error of an input.
 type Fault struct {
-	// Path names the value, such as "classes[1].deadline"; Root names the
-	// whole text.
+	// Path locates the value, such as "classes[1].deadline". Root stands for the
+	// complete input.
 	Path string `json:"path"`
-	// Problem says what is wrong and what is wanted.
+	// Problem describes the error and what is expected.
 	Problem string `json:"problem"`
 }
 
-// String gives "path: problem".
+// String returns "path: problem".
 func (f Fault) String() string {
 	return f.Path + ": " + f.Problem
 }
 
-// Faultf builds the fault of the value at path.
+// Faultf returns a fault of the value at path.
 func Faultf(path, format string, args ...any) Fault {
 	return Fault{Path: path, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Member gives the path of the field called name within the object at path.
+// Member returns the path of the field called name within the object at path.
 func Member(path, name string) string {
 	if path == "" || path == Root {
 		return name
@@ -36,28 +36,28 @@
 	return path + "." + name
 }
 
-// Item gives the path of the element at index i within the array at path.
+// Item returns the path of the element at index i within the array at path.
 func Item(path string, i int) string {
 	return fmt.Sprintf("%s[%d]", path, i)
 }
 
-// report collects faults up to maxFaults and counts the rest.
-type report struct {
+// faultList collects up to maxFaults faults and counts the rest.
+type faultList struct {
 	faults  []Fault
 	omitted int
 }
 
-func (r *report) add(path, format string, args ...any) {
-	if len(r.faults) >= maxFaults {
-		r.omitted++
+func (l *faultList) add(path, format string, args ...any) {
+	if len(l.faults) >= maxFaults {
+		l.omitted++
 		return
 	}
-	r.faults = append(r.faults, Faultf(path, format, args...))
+	l.faults = append(l.faults, Faultf(path, format, args...))
 }
 
-func (r *report) all() []Fault {
-	if r.omitted == 0 {
-		return r.faults
+func (l *faultList) all() []Fault {
+	if l.omitted == 0 {
+		return l.faults
 	}
-	return append(r.faults, Faultf(Root, "%d more faults", r.omitted))
+	return append(l.faults, Faultf(Root, "%d more faults", l.omitted))
 }
--- a/internal/strictjson/formats.go
+++ b/internal/strictjson/formats.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// Format is a named shape of a text, for the tag "format".
+// Format is a named string format, for the tag "format".
 type Format struct {
-	// Pattern is the regular expression that a JSON Schema states; it may
-	// allow more than Check does.
+	// Pattern is the regular expression for the JSON Schema. It may accept more than
+	// Check does.
 	Pattern string
-	// Want says in words what the text must be.
+	// Requirement is the part of a fault that says what the string must be.
 	Requirement string
-	// Check reports whether the text has the format.
+	// Check reports whether the string has the format.
 	Check func(text string) bool
 }
 
 // The names of Formats.
 const (
-	FormatName    = "name"     // identifiers that also stand in URLs and row keys
-	FormatBackend = "backend"  // names of backend servers, which may hold a port
+	FormatName    = "name"     // identifiers that are also used in URLs and row keys
+	FormatBackend = "backend"  // names of backend servers, which may contain a port
 	FormatIPPort  = "ip-port"  // an IP number and a port
 	FormatHTTPURL = "http-url" // an http or https URL whose host is an IP number
 )
@@ -53,10 +53,10 @@
 	},
 }
 
-// isName reports whether text has 1 to most letters and digits and, but for the
-// first, bytes of marks.
-func isName(text string, most int, marks string) bool {
-	if text == "" || len(text) > most || strings.IndexByte(marks, text[0]) >= 0 {
+// isName reports whether text has 1 to maxLength bytes, each a letter, a digit or,
+// except for the first one, a byte of marks.
+func isName(text string, maxLength int, marks string) bool {
+	if text == "" || len(text) > maxLength || strings.IndexByte(marks, text[0]) >= 0 {
 		return false
 	}
 	for i := range len(text) {
--- a/internal/strictjson/path.go
+++ b/internal/strictjson/path.go
@@ -7,17 +7,17 @@
 	"unicode"
 )
 
-// path is where the decoder stands. It becomes text only for a fault, so that
-// a text without faults costs nothing for it.
+// path is the decoder's position in the input. It is formatted only for a fault, so
+// that an input without faults does not pay for it.
 type path struct {
 	steps []step
 }
 
-// step leads into a field, or, without a name, into an array's element.
+// step is one element of a path: a field, or an array element if it has no name.
 type step struct {
 	name    string
 	index   int
-	foreign bool // the text named the field, not the struct
+	unknown bool // the field is in the input but not in the struct
 }
 
 func (p *path) push(s step) {
@@ -28,7 +28,7 @@
 	p.steps = p.steps[:len(p.steps)-1]
 }
 
-// String gives text such as "classes[1].deadline", or Root.
+// String returns a path such as "classes[1].deadline", or Root.
 func (p *path) String() string {
 	if len(p.steps) == 0 {
 		return Root
@@ -36,10 +36,10 @@
 	var b strings.Builder
 	for i, s := range p.steps {
 		switch {
-		case s.foreign && !isPlain(s.name):
-			// Quoted, so that a report stays one line a fault.
-			fmt.Fprintf(&b, "[%q]", shorten(s.name))
-		case s.foreign || s.name != "":
+		case s.unknown && !isPlainName(s.name):
+			// Quoted, so that each fault stays on one line.
+			fmt.Fprintf(&b, "[%q]", truncate(s.name))
+		case s.unknown || s.name != "":
 			if i > 0 {
 				b.WriteByte('.')
 			}
@@ -53,9 +53,9 @@
 	return b.String()
 }
 
-// isPlain reports whether a name can stand in a path without quotes.
-func isPlain(name string) bool {
-	if name == "" || len(name) > maxQuoted {
+// isPlainName reports whether a name needs no quotes in a path.
+func isPlainName(name string) bool {
+	if name == "" || len(name) > maxQuotedBytes {
 		return false
 	}
 	for _, r := range name {
--- a/internal/strictjson/plan.go
+++ b/internal/strictjson/plan.go
@@ -10,59 +10,60 @@
 	"time"
 )
 
-// plan is what the tags of one struct type say, worked out once a type.
-type plan struct {
+// structPlan holds the parsed tags of one struct type. It is built once per type.
+type structPlan struct {
 	fields []field
 	byName map[string]int // index into fields
 }
 
-// maxFields is how many fields of one object decoder.object can mark as seen.
+// maxFields is the number of fields that decoder.object can mark as seen in a uint64.
 const maxFields = 64
 
 type field struct {
-	index    int // within the struct
-	name     string
-	optional bool
-	def      *string
-	rules    rules
+	index       int // within the struct
+	name        string
+	optional    bool
+	defaultText *string
+	rules       rules
 }
 
-// rules bound one value; a nil pointer or zero leaves it unbounded.
+// rules are the constraints of one value. A nil pointer or a zero value means no
+// constraint.
 type rules struct {
-	enum        []string
-	format      string
-	maxLength   int
-	minimum     *float64
-	above       *float64
-	maximum     *float64
-	minDuration *time.Duration
-	maxDuration *time.Duration
-	minItems    int
-	maxItems    int
-	readsText   bool   // the type has UnmarshalText
-	element     *rules // of an array's elements: enum, format, maxLength
+	enum             []string
+	format           string
+	maxLength        int
+	minimum          *float64
+	exclusiveMinimum *float64
+	maximum          *float64
+	minDuration      *time.Duration
+	maxDuration      *time.Duration
+	minItems         int
+	maxItems         int
+	readsText        bool   // the type has UnmarshalText
+	element          *rules // constraints of an array's elements: enum, format, maxLength
 }
 
 var plans sync.Map // reflect.Type to *plan
 
-// textType is what types that read their own text implement.
+// textType is the interface of types that decode their own text.
 var textType = reflect.TypeFor[encoding.TextUnmarshaler]()
 
 func readsText(t reflect.Type) bool {
 	return reflect.PointerTo(t).Implements(textType)
 }
 
-func planOf(t reflect.Type) *plan {
+func structPlanOf(t reflect.Type) *structPlan {
 	if p, ok := plans.Load(t); ok {
-		return p.(*plan)
+		return p.(*structPlan)
 	}
 	p := newPlan(t)
 	plans.Store(t, p)
 	return p
 }
 
-func newPlan(t reflect.Type) *plan {
-	p := &plan{byName: make(map[string]int, t.NumField())}
+func newPlan(t reflect.Type) *structPlan {
+	p := &structPlan{byName: make(map[string]int, t.NumField())}
 	for i := range t.NumField() {
 		sf := t.Field(i)
 		name, options, _ := strings.Cut(sf.Tag.Get("json"), ",")
@@ -72,7 +73,7 @@
 		f := field{index: i, name: name, rules: newRules(sf)}
 		f.optional = strings.Contains(options, "omitempty") || sf.Tag.Get("required") == "false"
 		if def, ok := Default(sf.Tag); ok {
-			f.def = &def
+			f.defaultText = &def
 			f.optional = true
 		}
 		if len(p.fields) == maxFields {
@@ -84,7 +85,7 @@
 	return p
 }
 
-// Default returns the value, as text, of a field that is left out.
+// Default returns the default value in a field's tag, as text, and whether there is one.
 func Default(tag reflect.StructTag) (string, bool) {
 	if def, ok := tag.Lookup("default"); ok {
 		return def, true
@@ -94,22 +95,22 @@
 
 func newRules(sf reflect.StructField) rules {
 	r := rules{
-		format:      sf.Tag.Get("format"),
-		maxLength:   intTag(sf, "maxLength"),
-		minimum:     floatTag(sf, "minimum"),
-		above:       floatTag(sf, "exclusiveMinimum"),
-		maximum:     floatTag(sf, "maximum"),
-		minDuration: durationTag(sf, "minDuration"),
-		maxDuration: durationTag(sf, "maxDuration"),
-		minItems:    intTag(sf, "minItems"),
-		maxItems:    intTag(sf, "maxItems"),
-		readsText:   readsText(sf.Type),
+		format:           sf.Tag.Get("format"),
+		maxLength:        intTag(sf, "maxLength"),
+		minimum:          floatTag(sf, "minimum"),
+		exclusiveMinimum: floatTag(sf, "exclusiveMinimum"),
+		maximum:          floatTag(sf, "maximum"),
+		minDuration:      durationTag(sf, "minDuration"),
+		maxDuration:      durationTag(sf, "maxDuration"),
+		minItems:         intTag(sf, "minItems"),
+		maxItems:         intTag(sf, "maxItems"),
+		readsText:        readsText(sf.Type),
 	}
 	if enum := sf.Tag.Get("enum"); enum != "" {
 		r.enum = strings.Split(enum, ",")
 	}
 	if _, known := formats[r.format]; r.format != "" && !known {
-		badTag(sf, "format", fmt.Errorf("unknown format %q", r.format))
+		panicBadTag(sf, "format", fmt.Errorf("unknown format %q", r.format))
 	}
 	if sf.Type.Kind() == reflect.Slice {
 		r.element = &rules{
@@ -129,7 +130,7 @@
 	}
 	v, err := strconv.Atoi(text)
 	if err != nil {
-		badTag(sf, key, err)
+		panicBadTag(sf, key, err)
 	}
 	return v
 }
@@ -141,7 +142,7 @@
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		badTag(sf, key, err)
+		panicBadTag(sf, key, err)
 	}
 	return &v
 }
@@ -153,13 +154,13 @@
 	}
 	v, err := time.ParseDuration(text)
 	if err != nil {
-		badTag(sf, key, err)
+		panicBadTag(sf, key, err)
 	}
 	return &v
 }
 
-// badTag stops the process: a wrong tag is a defect of the program, which the
-// first decoding of the type shows.
-func badTag(sf reflect.StructField, key string, err error) {
+// panicBadTag panics, since an invalid tag is a programming error. It shows with the
+// first decoding of the type.
+func panicBadTag(sf reflect.StructField, key string, err error) {
 	panic(fmt.Sprintf("strictjson: field %s: tag %s: %v", sf.Name, key, err))
 }
--- a/internal/strictjson/scalar.go
+++ b/internal/strictjson/scalar.go
@@ -11,10 +11,11 @@
 	"time"
 )
 
-// text reads a value whose type reads its own text, such as a duration.
+// text decodes a value whose type implements encoding.TextUnmarshaler, such as a
+// duration.
 func (d *decoder) text(t token, v reflect.Value, r *rules) {
-	if t.kind != textToken {
-		d.wrongType(t, textWanted(v))
+	if t.kind != stringToken {
+		d.wrongType(t, expectedText(v))
 		return
 	}
 	if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText(t.text); err != nil {
@@ -33,7 +34,7 @@
 	}
 }
 
-func textWanted(v reflect.Value) string {
+func expectedText(v reflect.Value) string {
 	if v.Kind() == reflect.Int64 {
 		return `a text with a unit, such as "250ms"`
 	}
@@ -42,7 +43,7 @@
 
 func (d *decoder) scalar(t token, v reflect.Value, r *rules) {
 	switch {
-	case v.Kind() == reflect.String && t.kind == textToken:
+	case v.Kind() == reflect.String && t.kind == stringToken:
 		s := string(t.text)
 		v.SetString(s)
 		d.checkText(s, r)
@@ -55,24 +56,24 @@
 	case t.kind == numberToken:
 		d.number(string(t.text), v, r)
 	default:
-		d.wrongType(t, numberWanted(v))
+		d.wrongType(t, expectedNumber(v))
 	}
 }
 
 func (d *decoder) number(text string, v reflect.Value, r *rules) {
 	if err := setNumber(v, text); err != nil {
-		want := numberWanted(v)
+		want := expectedNumber(v)
 		if errors.Is(err, strconv.ErrRange) {
-			want += rangeOf(v)
+			want += numberRange(v)
 		}
-		d.faultf("is %s, must be %s", shorten(text), want)
+		d.faultf("is %s, must be %s", truncate(text), want)
 		return
 	}
 	d.checkNumber(text, asFloat(v), r)
 }
 
-// asFloat gives a number for the comparison with its bounds, which are far
-// below where a float64 leaves out whole numbers.
+// asFloat converts a number for the comparison with its bounds. The bounds are far
+// below the range in which a float64 can't represent every integer.
 func asFloat(v reflect.Value) float64 {
 	switch {
 	case v.CanInt():
@@ -84,7 +85,7 @@
 	}
 }
 
-func numberWanted(v reflect.Value) string {
+func expectedNumber(v reflect.Value) string {
 	switch {
 	case v.CanFloat():
 		return "a number"
@@ -95,13 +96,13 @@
 	}
 }
 
-// rangeOf says what a number's type can hold.
-func rangeOf(v reflect.Value) string {
+// numberRange returns the text for the range of a number's type.
+func numberRange(v reflect.Value) string {
 	bits := v.Type().Bits()
 	switch {
 	case v.CanInt():
-		most := int64(1)<<(bits-1) - 1
-		return fmt.Sprintf(" from %d to %d", -most-1, most)
+		maxInt := int64(1)<<(bits-1) - 1
+		return fmt.Sprintf(" from %d to %d", -maxInt-1, maxInt)
 	case v.CanUint():
 		return fmt.Sprintf(", at most %d", ^uint64(0)>>(64-bits))
 	default:
@@ -138,9 +139,9 @@
 func (d *decoder) checkText(s string, r *rules) {
 	switch {
 	case r.enum != nil && !slices.Contains(r.enum, s):
-		d.faultf("is %q, must be one of %s", shorten(s), strings.Join(r.enum, ", "))
+		d.faultf("is %q, must be one of %s", truncate(s), strings.Join(r.enum, ", "))
 	case r.format != "" && !formats[r.format].Check(s):
-		d.faultf("is %q, %s", shorten(s), formats[r.format].Requirement)
+		d.faultf("is %q, %s", truncate(s), formats[r.format].Requirement)
 	case r.maxLength > 0 && len(s) > r.maxLength:
 		d.faultf("has %d bytes, at most %d are allowed", len(s), r.maxLength)
 	}
@@ -149,15 +150,15 @@
 func (d *decoder) checkNumber(text string, f float64, r *rules) {
 	switch {
 	case r.minimum != nil && f < *r.minimum:
-		d.faultf("is %s, must be at least %v", shorten(text), *r.minimum)
-	case r.above != nil && f <= *r.above:
-		d.faultf("is %s, must be above %v", shorten(text), *r.above)
+		d.faultf("is %s, must be at least %v", truncate(text), *r.minimum)
+	case r.exclusiveMinimum != nil && f <= *r.exclusiveMinimum:
+		d.faultf("is %s, must be above %v", truncate(text), *r.exclusiveMinimum)
 	case r.maximum != nil && f > *r.maximum:
-		d.faultf("is %s, must be at most %v", shorten(text), *r.maximum)
+		d.faultf("is %s, must be at most %v", truncate(text), *r.maximum)
 	}
 }
 
-// setDefault sets v to the text of its tag.
+// setDefault sets v to the default value in text, which is that of its tag.
 func setDefault(v reflect.Value, text string) {
 	var err error
 	switch {
@@ -177,13 +178,13 @@
 	}
 }
 
-// maxQuoted is how many bytes of a value a fault quotes.
-const maxQuoted = 64
+// maxQuotedBytes limits how many bytes of a value are quoted in a fault.
+const maxQuotedBytes = 64
 
-// shorten keeps a quoted value from filling the report.
-func shorten(s string) string {
-	if len(s) <= maxQuoted {
+// truncate limits s to maxQuotedBytes, for quoting in a fault.
+func truncate(s string) string {
+	if len(s) <= maxQuotedBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:maxQuoted], "") + "..."
+	return strings.ToValidUTF8(s[:maxQuotedBytes], "") + "..."
 }
--- a/internal/strictjson/scan.go
+++ b/internal/strictjson/scan.go
@@ -9,44 +9,44 @@
 // token is one token: a delimiter, '{', '}', '[' or ']', or a value.
 type token struct {
 	kind tokenKind
-	text []byte // of texts, unescaped, and of numbers, as written
+	text []byte // of strings, unescaped, and of numbers, as written
 }
 
-// tokenKind is a token's first byte; all numbers have numberToken.
+// tokenKind is the first byte of a token, except that all numbers are numberToken.
 type tokenKind byte
 
 const (
 	objectToken tokenKind = '{'
 	arrayToken  tokenKind = '['
-	textToken   tokenKind = '"'
+	stringToken tokenKind = '"'
 	trueToken   tokenKind = 't'
 	falseToken  tokenKind = 'f'
 	nullToken   tokenKind = 'n'
 	numberToken tokenKind = '0'
 )
 
-// scanner gives the tokens of a text that is one valid JSON value. It skips
-// the commas and colons, whose places were checked with the syntax; so it does
-// not repeat the check, and runs several times faster than json.Decoder.Token.
+// scanner returns the tokens of an input that is one valid JSON value. It skips
+// commas and colons, since their places have been checked with the syntax. Without
+// repeating that check it runs several times faster than json.Decoder.Token.
 type scanner struct {
 	text []byte
 	pos  int
 }
 
-// more reports whether the object or array that is being read goes on.
+// more reports whether the current object or array has another element.
 func (s *scanner) more() bool {
-	s.skipFiller()
+	s.skipSeparators()
 	return s.text[s.pos] != '}' && s.text[s.pos] != ']'
 }
 
 func (s *scanner) next() token {
-	s.skipFiller()
+	s.skipSeparators()
 	switch c := s.text[s.pos]; c {
 	case '{', '}', '[', ']':
 		s.pos++
 		return token{kind: tokenKind(c)}
 	case '"':
-		return token{textToken, s.quoted()}
+		return token{stringToken, s.stringValue()}
 	case 't', 'n':
 		s.pos += len("true")
 		return token{kind: tokenKind(c)}
@@ -58,7 +58,7 @@
 	}
 }
 
-func (s *scanner) skipFiller() {
+func (s *scanner) skipSeparators() {
 	for {
 		switch s.text[s.pos] {
 		case ' ', '\t', '\r', '\n', ',', ':':
@@ -69,7 +69,7 @@
 	}
 }
 
-func (s *scanner) quoted() []byte {
+func (s *scanner) stringValue() []byte {
 	start := s.pos
 	escaped := false
 	for s.pos++; s.text[s.pos] != '"'; s.pos++ {
@@ -85,7 +85,7 @@
 	}
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
-		panic(fmt.Sprintf("strictjson: text of checked syntax: %v", err))
+		panic(fmt.Sprintf("strictjson: invalid string in input of checked syntax: %v", err))
 	}
 	return []byte(text)
 }
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -71,7 +71,7 @@
 		})
 	})
 
-	It("keeps each fault on one line", func() {
+	It("reports each fault on one line", func() {
 		var got sample
 		faults := strictjson.Decode([]byte(`{"a\nb":1,"TEXT":"","text":"","small":128,"whole":-1,"number":1,"inner":{"flag":0}}`), limit, &got)
 		Expect(faults).To(ConsistOf(
@@ -84,8 +84,8 @@
 	})
 })
 
-// FuzzDecode compares with encoding/json, which takes more: what Decode takes,
-// it takes too, with the same values.
+// FuzzDecode compares Decode with encoding/json, which accepts more: every input that
+// Decode accepts must decode to the same values with encoding/json.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"text":"\u00e9\\\"","small":-1,"whole":1,"number":-1.5e-3,"items":[{"flag":true,"texts":["a"]}]}`))
 	f.Add([]byte(`{"text":"` + strings.Repeat(`\\`, 9) + `","small":0,"whole":0,"number":0,"inner":{"flag":false}}`))
@@ -96,7 +96,7 @@
 			return
 		}
 		if err := json.Unmarshal(text, &want); err != nil {
-			t.Fatalf("encoding/json refuses it: %v", err)
+			t.Fatalf("encoding/json rejects the input: %v", err)
 		}
 		a, _ := json.Marshal(got)
 		b, _ := json.Marshal(want)
