--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -62,7 +62,8 @@
 	return found
 }
 
-// sources joins the program's own text, without the catalogue and the tests.
+// sources returns the source of the packages that emit events and metrics, without
+// tests.
 func sources() string {
 	var all strings.Builder
 	for _, dir := range []string{"client", "cmd", "daemon", "gateway", "trace", "transport"} {
@@ -84,7 +85,7 @@
 }
 
 var _ = Describe("the generated pages", func() {
-	It("are those that the code gives", func() {
+	It("are up to date with the code", func() {
 		pages, err := catalogue.Pages(root)
 		Expect(err).NotTo(HaveOccurred())
 		for _, p := range pages {
@@ -94,7 +95,7 @@
 		}
 	})
 
-	It("list every constant of the code, and nothing else", func() {
+	It("list exactly the constants of the code", func() {
 		events := lo.Map(telemetry.Events(), func(e telemetry.EventInfo, _ int) string { return strconv.Itoa(int(e.Event)) })
 		Expect(events).To(ConsistOf(constants("telemetry/events.go", "Event")))
 		names := lo.Map(telemetry.Catalogue(), func(m telemetry.Metric, _ int) telemetry.Name { return m.Name })
@@ -104,9 +105,9 @@
 		Expect(quoted(state.RetryReasons())).To(ConsistOf(constants("state/retry_reason.go", "RetryReason")))
 	})
 
-	// An operator who waits for a line that no daemon writes is worse off than
-	// without it.
-	It("list nothing that no daemon gives", func() {
+	// A documented event or metric that no daemon emits misleads operators, who would
+	// wait for it in vain.
+	It("list only events and metrics that a daemon emits", func() {
 		text := sources()
 		used := func(name string) bool { return regexp.MustCompile(`telemetry\.` + name + `\b`).MatchString(text) }
 		log, err := os.ReadFile(filepath.Join(root, "telemetry", "log.go"))
@@ -122,7 +123,7 @@
 		}
 	})
 
-	It("place every event in its area, in order", func() {
+	It("list documented events with ascending numbers below 1800", func() {
 		last := telemetry.Event(1000)
 		for _, e := range telemetry.Events() {
 			Expect(e.Event).To(BeNumerically(">", last))
@@ -133,8 +134,8 @@
 	})
 })
 
-var _ = Describe("the counters of a daemon", func() {
-	It("are all in the catalogue, each of its kind", func() {
+var _ = Describe("the metrics of a daemon", func() {
+	It("are all in the catalogue with their kind", func() {
 		m := telemetry.NewMetrics()
 		defer m.Close()
 		front.New(nil, front.Options{Scope: m.Scope()})
@@ -171,13 +172,13 @@
 	}
 	same := func(map[string]any) {}
 
-	It("pass the examples", func() {
+	It("accept the examples", func() {
 		Expect(validate("service.schema.json", "drafts.json", same)).To(Succeed())
 		Expect(validate("service.schema.json", "alerts.json", same)).To(Succeed())
 		Expect(validate("settings.schema.json", "settings.json", same)).To(Succeed())
 	})
 
-	DescribeTable("refuse what decoding refuses", func(change func(map[string]any)) {
+	DescribeTable("reject what decoding rejects", func(change func(map[string]any)) {
 		Expect(validate("service.schema.json", "drafts.json", change)).NotTo(Succeed())
 	},
 		Entry("an unknown field", func(d map[string]any) { d["colour"] = "red" }),
--- a/internal/catalogue/comments.go
+++ b/internal/catalogue/comments.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// comments holds the doc comments of struct types by "Type", of their fields
-// by "Type.Field", and the comments of typed constants by "Type:value", each as
+// comments holds the doc comments of struct types under "Type", those of their fields
+// under "Type.Field", and the comments of typed constants under "Type:value", each as
 // one line.
 type comments map[string]string
 
--- a/internal/catalogue/doc.go
+++ b/internal/catalogue/doc.go
@@ -1,10 +1,8 @@
-// Package catalogue writes the pages and schemas that list what stands in the
-// code: log events, counters, the fields of service documents and of settings.
-// The pages are committed; a test reports one that differs from the code, and
+// Package catalogue generates the reference pages and schemas from the code: log
+// events, metrics, and the fields of service documents and settings. The pages are
+// committed, and a test fails if one of them is out of date. To update them, run
 //
 //	go generate ./internal/catalogue
-//
-// writes them anew.
 package catalogue
 
 //go:generate go run ./write ../..
--- a/internal/catalogue/pages.go
+++ b/internal/catalogue/pages.go
@@ -11,12 +11,12 @@
 
 // Page is one generated file.
 type Page struct {
-	Path string // below the root of the module, with slashes
+	Path string // relative to the module root, with slashes
 	Text []byte
 }
 
-// Pages returns every generated file. root is the root of the module, whose
-// sources hold the comments that the pages quote.
+// Pages returns all generated files. root is the module root, whose sources hold the
+// comments that the pages quote.
 func Pages(root string) ([]Page, error) {
 	comments, err := readComments(
 		filepath.Join(root, "state"),
@@ -33,12 +33,12 @@
 		{"docs/COUNTERS.md", countersPage(comments)},
 		{"docs/SERVICE.md", fieldsPage(serviceIntro, document, comments)},
 		{"docs/SETTINGS.md", fieldsPage(settingsIntro, daemon, comments)},
-		{"docs/schema/service.schema.json", schemaOf(document, "Service document", comments)},
-		{"docs/schema/settings.schema.json", schemaOf(daemon, "Settings of one daemon", comments)},
+		{"docs/schema/service.schema.json", schemaJSON(document, "Service document", comments)},
+		{"docs/schema/settings.schema.json", schemaJSON(daemon, "Settings of one daemon", comments)},
 	}, nil
 }
 
-// Write writes the pages below root.
+// Write writes all pages below root.
 func Write(root string) error {
 	pages, err := Pages(root)
 	if err != nil {
--- a/internal/catalogue/schema.go
+++ b/internal/catalogue/schema.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	dialect = "https://json-schema.org/draft/2020-12/schema"
-	defs    = "#/$defs/"
+	schemaDialect = "https://json-schema.org/draft/2020-12/schema"
+	defsPrefix    = "#/$defs/"
 
 	durationPattern = `^\+?(([0-9]+(\.[0-9]*)?|\.[0-9]+)(ns|us|µs|μs|ms|s|m|h))+$|^\+?0$`
 )
@@ -29,27 +29,27 @@
 	Defs    map[string]*huma.Schema `json:"$defs"`
 }
 
-// schemaOf writes the JSON Schema of the struct type t. huma reads the tags
-// that it shares with strictjson; comments and formats are added to its result.
-func schemaOf(t reflect.Type, title string, c comments) []byte {
-	huma.DefaultArrayNullable = false // strictjson refuses null
-	registry := huma.NewMapRegistry(defs, huma.DefaultSchemaNamer)
+// schemaJSON returns the JSON Schema of the struct type t. huma reads the tags that it
+// shares with strictjson; annotate adds comments and formats.
+func schemaJSON(t reflect.Type, title string, c comments) []byte {
+	huma.DefaultArrayNullable = false // strictjson rejects null
+	registry := huma.NewMapRegistry(defsPrefix, huma.DefaultSchemaNamer)
 	top := huma.SchemaFromType(registry, t)
 	ref := registry.Schema(t, true, t.Name())
 	if top.Ref == "" && ref.Ref == "" {
 		panic(fmt.Sprintf("catalogue: %s has no schema of its own", t))
 	}
 	for name, s := range registry.Map() {
-		annotate(registry.TypeFromRef(defs+name), s, c)
+		annotate(registry.TypeFromRef(defsPrefix+name), s, c)
 	}
-	text, err := json.MarshalIndent(schemaFile{dialect, title, ref.Ref, registry.Map()}, "", "  ")
+	text, err := json.MarshalIndent(schemaFile{schemaDialect, title, ref.Ref, registry.Map()}, "", "  ")
 	if err != nil {
 		panic(fmt.Sprintf("catalogue: schema of %s: %v", t, err))
 	}
 	return append(text, '\n')
 }
 
-// annotate adds to the schema of t what huma can't read.
+// annotate adds to the schema of t what huma does not read from the tags.
 func annotate(t reflect.Type, s *huma.Schema, c comments) {
 	s.Description = c[t.Name()]
 	for i := range t.NumField() {
@@ -61,11 +61,11 @@
 		property.Description = c[t.Name()+"."+f.Name]
 		if format := f.Tag.Get("format"); format != "" {
 			property.Format = ""
-			shaped := property
+			target := property
 			if property.Items != nil {
-				shaped = property.Items
+				target = property.Items
 			}
-			shaped.Pattern = strictjson.Formats()[format].Pattern
+			target.Pattern = strictjson.Formats()[format].Pattern
 		}
 		if f.Type == durationType {
 			property.Pattern = durationPattern
--- a/internal/catalogue/telemetry.go
+++ b/internal/catalogue/telemetry.go
@@ -12,23 +12,23 @@
 )
 
 const eventsIntro = `# Log events
-` + generated + `
-A daemon writes one JSON object a line to standard error. Each has ` + "`number`" + `, ` + "`event`" + `,
-` + "`level`" + `, ` + "`time`" + ` (RFC 3339, UTC) and ` + "`msg`" + `; besides, those of these fields that fit the event:
+` + generatedNote + `
+A daemon writes one JSON object per line to standard error. Each has ` + "`number`" + `, ` + "`event`" + `,
+` + "`level`" + `, ` + "`time`" + ` (RFC 3339, UTC) and ` + "`msg`" + `, and those of the following fields that apply to the event:
 %s.
 
-A number keeps its meaning for good and is not used again.
+The meaning of a number never changes, and a number is never reused.
 `
 
 const countersIntro = `# Counters
-` + generated + `
-A daemon serves its metrics in the format of Prometheus at ` + "`/metrics`" + ` of its caller address;
-they are at most half a second old. Counters only grow, from 0 at the start of the process.
+` + generatedNote + `
+A daemon serves its metrics in the Prometheus format at ` + "`/metrics`" + ` of its caller address;
+they are at most half a second old. Counters start at 0 with the process and only increase.
 Histograms are in seconds.
 `
 
-// areas are the parts of the numbers of events.
-var areas = []struct {
+// eventAreas are the ranges of event numbers, each with its first number.
+var eventAreas = []struct {
 	first telemetry.Event
 	title string
 }{
@@ -46,7 +46,7 @@
 	var b bytes.Buffer
 	keys := lo.Map(telemetry.Keys(), func(k telemetry.Key, _ int) string { return "`" + string(k) + "`" })
 	fmt.Fprintf(&b, eventsIntro, strings.Join(keys, ", "))
-	for _, area := range areas {
+	for _, area := range eventAreas {
 		fmt.Fprintf(&b, "\n## %s\n\n| number | event | level | meaning |\n|---|---|---|---|\n", area.title)
 		for _, e := range telemetry.Events() {
 			if e.Event-e.Event%100 == area.first {
@@ -66,7 +66,7 @@
 		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", m.Name, m.Kind, strings.Join(labels, ", "), m.Doc)
 	}
 	b.WriteString("\n## Reasons of `refused_total`, `failed_total` and `unknown_total`\n\n")
-	b.WriteString("Each is shown from the start, at 0.\n\n| reason | meaning |\n|---|---|\n")
+	b.WriteString("Each is exported from the start of the process, at 0.\n\n| reason | meaning |\n|---|---|\n")
 	for _, r := range state.Reasons() {
 		fmt.Fprintf(&b, "| `%s` | %s |\n", r, c["Reason:"+string(r)])
 	}
--- a/internal/catalogue/write/main.go
+++ b/internal/catalogue/write/main.go
@@ -1,5 +1,5 @@
-// Command write writes the generated pages below the directory that it is
-// given.
+// Command write writes the generated pages below the module root given as its
+// argument.
 package main
 
 import (
