--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	loopback    = "127.0.0.1:0"
-	maxBody     = 32 << 20
-	relistenFor = 5 * time.Second
+	loopbackAddress = "127.0.0.1:0"
+	maxBodyBytes    = 32 << 20
+	relistenTimeout = 5 * time.Second
 )
 
-// errAborted ends a call without an answer: its connection is closed.
+// errAborted ends a call without a response by closing its connection.
 var errAborted = errors.New("connection is dropped")
 
-// statusError is an answer other than 200.
+// statusError is a response with a status other than 200.
 type statusError struct {
 	status int
 	text   string
@@ -28,56 +28,57 @@
 
 func (e *statusError) Error() string { return e.text }
 
-// endpoint is one listening server with the failures of a remote system.
+// endpoint is one HTTP server that can simulate the failures of a remote system.
 type endpoint struct {
 	mux     *http.ServeMux
 	address string
 
-	mu     sync.Mutex
-	server *http.Server
-	conns  map[*faultConn]struct{}
-	dead   chan struct{} // closed by Kill
-	thaw   chan struct{} // nil when not frozen; closed by Freeze(false)
-	lose   int           // answers still to be lost
-	onKill []func()
+	mu            sync.Mutex
+	server        *http.Server
+	conns         map[*faultConn]struct{}
+	dead          chan struct{} // closed by Kill
+	thaw          chan struct{} // closed by Freeze(false); nil when not frozen
+	answersToLose int           // number of responses still to be lost
+	onKill        []func()
 }
 
 func newEndpoint() *endpoint {
 	return &endpoint{mux: http.NewServeMux(), conns: make(map[*faultConn]struct{})}
 }
 
-// listen starts or restarts the server, on the same address once it has one.
+// listen starts or restarts the server. A restart uses the same address, and retries
+// for up to relistenTimeout until the address is free.
 func (e *endpoint) listen() error {
 	address := e.address
 	if address == "" {
-		address = loopback
+		address = loopbackAddress
 	}
 	ln, err := net.Listen("tcp", address)
-	for begin := time.Now(); err != nil && e.address != "" && time.Since(begin) < relistenFor; {
+	for start := time.Now(); err != nil && e.address != "" && time.Since(start) < relistenTimeout; {
 		time.Sleep(10 * time.Millisecond)
 		ln, err = net.Listen("tcp", address)
 	}
 	if err != nil {
-		return fmt.Errorf("stand-in can't listen: %w", err)
+		return fmt.Errorf("start stand-in: %w", err)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.address = ln.Addr().String()
 	e.dead = make(chan struct{})
 	e.server = &http.Server{Handler: e.mux, ReadHeaderTimeout: time.Minute}
-	go func(s *http.Server) { _ = s.Serve(&faultListener{Listener: ln, owner: e}) }(e.server)
+	go func(s *http.Server) { _ = s.Serve(&faultListener{Listener: ln, parent: e}) }(e.server)
 	return nil
 }
 
-// Address is where the server listens, as host:port. It stays the same through
-// Kill and Restart.
+// Address returns the server's address as host:port. It stays the same across Kill
+// and Restart.
 func (e *endpoint) Address() string { return e.address }
 
-// URL is the server's base URL.
+// URL returns the server's base URL.
 func (e *endpoint) URL() string { return "http://" + e.address }
 
-// Kill ends the server at once: the listener and all connections are closed,
-// calls under way get no answer.
+// Kill stops the server at once: it closes the listener and all connections, so that
+// calls in flight get no response.
 func (e *endpoint) Kill() {
 	e.mu.Lock()
 	select {
@@ -96,28 +97,28 @@
 	_ = server.Close()
 }
 
-// Close ends the server, as Kill does.
+// Close stops the server, as Kill does.
 func (e *endpoint) Close() { e.Kill() }
 
-// Alive reports whether the server runs.
+// Alive reports whether the server is running.
 func (e *endpoint) Alive() bool {
 	select {
-	case <-e.died():
+	case <-e.deadChan():
 		return false
 	default:
 		return true
 	}
 }
 
-func (e *endpoint) died() <-chan struct{} {
+func (e *endpoint) deadChan() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.dead
 }
 
-// Freeze pauses the whole process, as a stopped virtual machine: connections
-// are still taken by the kernel, nothing is answered. Calls that came in the
-// meantime go on when it ends.
+// Freeze pauses the server like a paused virtual machine: the kernel still accepts
+// connections, but no call is answered. Calls received meanwhile continue when the
+// freeze ends.
 func (e *endpoint) Freeze(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -132,7 +133,8 @@
 	e.thaw = nil
 }
 
-// awaitThaw waits while the server is frozen; false means that it died.
+// awaitThaw waits while the server is frozen. It returns false if the server was
+// killed.
 func (e *endpoint) awaitThaw() bool {
 	for {
 		e.mu.Lock()
@@ -154,53 +156,54 @@
 	}
 }
 
-// LoseAnswers carries out the next n changing calls and closes their
-// connections without an answer.
+// LoseAnswers makes the next n write calls take effect without a response: their
+// connections are closed.
 func (e *endpoint) LoseAnswers(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lose = n
+	e.answersToLose = n
 }
 
 func (e *endpoint) loseAnswer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.lose == 0 {
+	if e.answersToLose == 0 {
 		return false
 	}
-	e.lose--
+	e.answersToLose--
 	return true
 }
 
-// SilenceConnections makes the connections of this moment carry nothing any
-// more, without closing them; new ones work.
+// BlackholeConnections makes the open connections drop all further data in both
+// directions without closing them. New connections work.
 func (e *endpoint) BlackholeConnections() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for c := range e.conns {
-		c.silent.Store(true)
+		c.blackholed.Store(true)
 	}
 }
 
-// Connections counts the open connections.
+// Connections returns the number of open connections.
 func (e *endpoint) Connections() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.conns)
 }
 
-// callKind says whether a call changes anything.
+// callKind says whether a call changes state.
 type callKind bool
 
 const (
-	reading  callKind = false
-	changing callKind = true
+	readCall  callKind = false
+	writeCall callKind = true
 )
 
-// serve runs one call and answers it with out as JSON, or as octets when it is
-// a []byte. The call goes on when its caller goes away, as a late one would.
+// serve runs one call and writes its result as JSON, or as it is when it is a []byte.
+// The call continues when its caller disconnects, like a call that takes effect late
+// on a real system.
 func (e *endpoint) serve(w http.ResponseWriter, r *http.Request, kind callKind, run func(body []byte) (any, error)) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -211,16 +214,16 @@
 	if !e.awaitThaw() || errors.Is(err, errAborted) {
 		panic(http.ErrAbortHandler)
 	}
-	if kind == changing && e.loseAnswer() {
+	if kind == writeCall && e.loseAnswer() {
 		panic(http.ErrAbortHandler)
 	}
 	status := http.StatusOK
 	var s *statusError
 	switch {
 	case errors.As(err, &s):
-		status, out = s.status, fault{Error: s.text}
+		status, out = s.status, errorBody{Error: s.text}
 	case err != nil:
-		status, out = http.StatusBadRequest, fault{Error: err.Error()}
+		status, out = http.StatusBadRequest, errorBody{Error: err.Error()}
 	}
 	if octets, ok := out.([]byte); ok {
 		_, _ = w.Write(octets)
@@ -228,19 +231,19 @@
 	}
 	encoded, err := json.Marshal(out)
 	if err != nil {
-		panic(fmt.Sprintf("standin: answer can't be encoded: %v", err))
+		panic(fmt.Sprintf("standin: encode response: %v", err))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_, _ = w.Write(encoded)
 }
 
-// fault is the body of an answer that is not 200.
-type fault struct {
+// errorBody is the body of a response with a status other than 200.
+type errorBody struct {
 	Error string `json:"error"`
 }
 
-// handle routes pattern to run with a decoded JSON body.
+// handle registers run for pattern. It decodes the request's JSON body into In.
 func handle[In, Out any](e *endpoint, pattern string, kind callKind, run func(In) (Out, error)) {
 	e.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		e.serve(w, r, kind, func(body []byte) (any, error) {
--- a/internal/standin/engine_admit.go
+++ b/internal/standin/engine_admit.go
@@ -7,24 +7,24 @@
 	"github.com/hibiscuswick/hibiscuswick/protocol/engine"
 )
 
-// admit says whether p may run, and sets up its input. A step that may not is
-// answered with the refusal.
-func (e *Engine) admit(l *life, p *pendingStep) (engine.StepResult, bool) {
+// admit decides whether p may run and sets up its input. If p may not run, it returns
+// the refusal and true.
+func (e *Engine) admit(inc *incarnation, p *pendingStep) (engine.StepResult, bool) {
 	s := p.step
-	notRun := func(why string) (engine.StepResult, bool) {
-		return engine.StepResult{Status: engine.StepNotRun, Detail: why}, true
+	notRun := func(detail string) (engine.StepResult, bool) {
+		return engine.StepResult{Status: engine.StepNotRun, Detail: detail}, true
 	}
 	switch {
-	case s.BootID != "" && s.BootID != l.name:
+	case s.BootID != "" && s.BootID != inc.bootID:
 		return notRun("meant for another life")
-	case l.loading(time.Now()):
+	case inc.loading(time.Now()):
 		return notRun("loading")
-	case s.Layers != l.held.Layers || s.Layers.Len() == 0:
-		return notRun("holds layers " + l.held.Layers.String())
-	case s.Adapter != "" && !slices.Contains(l.held.Adapters, s.Adapter):
+	case s.Layers != inc.loaded.Layers || s.Layers.Len() == 0:
+		return notRun("holds layers " + inc.loaded.Layers.String())
+	case s.Adapter != "" && !slices.Contains(inc.loaded.Adapters, s.Adapter):
 		return notRun("adapter is not loaded")
 	}
-	a := l.attempts[p.id()]
+	a := inc.attempts[p.id()]
 	if a != nil {
 		switch {
 		case a.canceled:
@@ -40,16 +40,16 @@
 		}
 	}
 	if a == nil || !a.started {
-		return e.admitFirst(l, p, a)
+		return e.admitFirst(inc, p, a)
 	}
 	return e.admitNext(p, a)
 }
 
 // admitFirst admits the first step of an attempt that has no cache here.
-func (e *Engine) admitFirst(l *life, p *pendingStep, a *attempt) (engine.StepResult, bool) {
+func (e *Engine) admitFirst(inc *incarnation, p *pendingStep, a *attempt) (engine.StepResult, bool) {
 	s := p.step
-	notRun := func(why string) (engine.StepResult, bool) {
-		return engine.StepResult{Status: engine.StepNotRun, Detail: why}, true
+	notRun := func(detail string) (engine.StepResult, bool) {
+		return engine.StepResult{Status: engine.StepNotRun, Detail: detail}, true
 	}
 	if s.Layers.First == 0 {
 		if s.Prompt == "" || len(s.PriorTokens) != s.Token {
@@ -59,53 +59,53 @@
 		for _, t := range s.PriorTokens {
 			seed = nextSeed(seed, t)
 		}
-		p.act = startActivation(seed, 0, s.Token, answerLength(s.Prompt))
+		p.input = startActivation(seed, 0, s.Token, answerLength(s.Prompt))
 	} else {
 		act, ok := decodeActivation(s.Input)
-		if !ok || act.from != 0 || int(act.token) != s.Token {
+		if !ok || act.firstToken != 0 || int(act.token) != s.Token {
 			return notRun("no cache for the attempt")
 		}
-		p.act = act
+		p.input = act
 	}
 	if a == nil {
 		a = &attempt{}
 	}
-	if !l.admitKV(p.id(), a, e.cfg.KVSlots) {
+	if !inc.admitKV(p.id(), a, e.cfg.KVSlots) {
 		return notRun("no memory")
 	}
 	a.started = true
-	a.next = s.Token
+	a.nextToken = s.Token
 	a.prompt = s.Prompt
-	p.known = a
+	p.record = a
 	if s.Layers.First == 0 {
-		e.cfg.Ledger.begin(p.id(), s.Prompt)
-		if !e.left.IsZero() {
-			e.late = append(e.late, time.Now())
+		e.cfg.Ledger.recordStart(p.id(), s.Prompt)
+		if !e.leavingSince.IsZero() {
+			e.startsAfterLeave = append(e.startsAfterLeave, time.Now())
 		}
 	}
 	return engine.StepResult{}, false
 }
 
-// admitNext admits a later step: it must be the one that the cache waits for.
+// admitNext admits a later step, which must be for the attempt's next token.
 func (e *Engine) admitNext(p *pendingStep, a *attempt) (engine.StepResult, bool) {
 	s := p.step
-	failed := func(why string) (engine.StepResult, bool) {
+	failed := func(detail string) (engine.StepResult, bool) {
 		a.broken = true
-		return engine.StepResult{Status: engine.StepFailed, Detail: why}, true
+		return engine.StepResult{Status: engine.StepFailed, Detail: detail}, true
 	}
-	if s.Token != a.next {
+	if s.Token != a.nextToken {
 		return failed("token is out of order")
 	}
 	if s.Layers.First == 0 {
-		last := a.act
-		p.act = startActivation(nextSeed(last.seed, s.LastToken), s.Token, s.Token, int(last.length))
+		last := a.lastOutput
+		p.input = startActivation(nextSeed(last.seed, s.LastToken), s.Token, s.Token, int(last.length))
 	} else {
 		act, ok := decodeActivation(s.Input)
 		if !ok || int(act.token) != s.Token {
 			return failed("input does not fit the token")
 		}
-		p.act = act
+		p.input = act
 	}
-	p.known = a
+	p.record = a
 	return engine.StepResult{}, false
 }
--- a/internal/standin/engine_kv.go
+++ b/internal/standin/engine_kv.go
@@ -9,45 +9,46 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// maxDone bounds the ended attempts that an engine remembers, so that late
-// calls about them are answered rightly.
-const maxDone = 1 << 16
+// maxEndedAttempts limits the ended attempts that an engine retains so that delayed
+// calls about them are answered correctly.
+const maxEndedAttempts = 1 << 16
 
-// attempt is what an engine knows of one attempt. A record that never started
-// holds only a bar: a cancel or an epoch that came before the first step.
+// attempt is an engine's record of one attempt. A record that has not started only
+// fences the attempt, after a cancel or a higher epoch that came before the first step.
 type attempt struct {
-	started  bool
-	running  bool // a step of it is in the batch under way
-	canceled bool
-	broken   bool // a step failed: its cache is not to be used again
-	final    bool
-	holdsKV  bool
-	epoch    state.Epoch
-	next     int
-	prompt   string
-	act      activation // of token next-1
-	tokens   []int64    // last stage only
-	used     time.Time
+	started    bool
+	running    bool // a step of it is in the current batch
+	canceled   bool
+	broken     bool // a step failed, so that its cache is unusable
+	final      bool
+	holdsKV    bool
+	epoch      state.Epoch
+	nextToken  int
+	prompt     string
+	lastOutput activation // of token nextToken-1
+	tokens     []int64    // last stage only
+	lastUsed   time.Time
 }
 
-// admitKV gives a its share of the cache memory. When that is full, the cache
-// that was idle longest is dropped if its owner seems gone.
-func (l *life) admitKV(id attemptID, a *attempt, slots int) bool {
-	if l.live >= slots && !l.evictIdle() {
+// admitKV assigns a KV-cache slot to a. If none is free, it evicts the cache that has
+// been idle longest, provided that it was idle for more than kvIdleTimeout, after which
+// its owner is assumed to be gone.
+func (inc *incarnation) admitKV(id attemptID, a *attempt, slots int) bool {
+	if inc.kvSlotsInUse >= slots && !inc.evictIdle() {
 		return false
 	}
-	l.attempts[id] = a
+	inc.attempts[id] = a
 	a.holdsKV = true
-	l.live++
+	inc.kvSlotsInUse++
 	return true
 }
 
-func (l *life) evictIdle() bool {
+func (inc *incarnation) evictIdle() bool {
 	var oldest attemptID
 	var found *attempt
-	for id, a := range l.attempts {
-		idle := a.holdsKV && !a.running && time.Since(a.used) > defaultKVIdle
-		if idle && (found == nil || a.used.Before(found.used)) {
+	for id, a := range inc.attempts {
+		idle := a.holdsKV && !a.running && time.Since(a.lastUsed) > kvIdleTimeout
+		if idle && (found == nil || a.lastUsed.Before(found.lastUsed)) {
 			oldest, found = id, a
 		}
 	}
@@ -55,152 +56,152 @@
 		return false
 	}
 	found.broken = true
-	l.release(oldest, found)
+	inc.release(oldest, found)
 	return true
 }
 
-// release frees an attempt's cache memory and keeps its record for a while.
-func (l *life) release(id attemptID, a *attempt) {
+// release frees an attempt's KV-cache slot and retains its record for a while.
+func (inc *incarnation) release(id attemptID, a *attempt) {
 	if a.holdsKV {
 		a.holdsKV = false
-		l.live--
+		inc.kvSlotsInUse--
 	}
-	l.remember(id)
+	inc.retainEnded(id)
 }
 
-func (l *life) remember(id attemptID) {
-	l.done = append(l.done, id)
-	if len(l.done) <= maxDone {
+func (inc *incarnation) retainEnded(id attemptID) {
+	inc.endedAttempts = append(inc.endedAttempts, id)
+	if len(inc.endedAttempts) <= maxEndedAttempts {
 		return
 	}
-	if old := l.attempts[l.done[0]]; old != nil && !old.holdsKV {
-		delete(l.attempts, l.done[0])
+	if old := inc.attempts[inc.endedAttempts[0]]; old != nil && !old.holdsKV {
+		delete(inc.attempts, inc.endedAttempts[0])
 	}
-	l.done = l.done[1:]
+	inc.endedAttempts = inc.endedAttempts[1:]
 }
 
-// known returns the record of an attempt, making one that only bars.
-func (l *life) known(id attemptID) *attempt {
-	a := l.attempts[id]
+// recordFor returns the record of an attempt. If there is none, it creates one that
+// only fences the attempt.
+func (inc *incarnation) recordFor(id attemptID) *attempt {
+	a := inc.attempts[id]
 	if a == nil {
 		a = &attempt{}
-		l.attempts[id] = a
-		l.remember(id)
+		inc.attempts[id] = a
+		inc.retainEnded(id)
 	}
 	return a
 }
 
-// held is the answer about a.
-func (a *attempt) held(l *life) engine.AttemptState {
-	h := engine.AttemptState{BootID: l.name, Known: a.started && !a.broken, Canceled: a.canceled}
-	if !h.Known {
-		return h
+// state returns the attempt's state for a response.
+func (a *attempt) state(inc *incarnation) engine.AttemptState {
+	out := engine.AttemptState{BootID: inc.bootID, Known: a.started && !a.broken, Canceled: a.canceled}
+	if !out.Known {
+		return out
 	}
-	h.NextToken = a.next
-	h.Final = a.final
-	h.Tokens = append([]int64(nil), a.tokens...)
-	if a.act != (activation{}) {
-		h.LastOutput = a.act.encode()
+	out.NextToken = a.nextToken
+	out.Final = a.final
+	out.Tokens = append([]int64(nil), a.tokens...)
+	if a.lastOutput != (activation{}) {
+		out.LastOutput = a.lastOutput.encode()
 	}
-	return h
+	return out
 }
 
-// settled waits until no step of a is in the batch under way, so that what is
-// answered about it stays true. It reports false when the engine died. The
-// caller holds mu.
-func (e *Engine) settled(l *life, a *attempt) bool {
-	for a.running && !l.dead {
+// awaitStepEnd waits until no step of a is in the current batch, so that the reported
+// state stays valid. It returns false if the engine was killed. The caller holds mu.
+func (e *Engine) awaitStepEnd(inc *incarnation, a *attempt) bool {
+	for a.running && !inc.dead {
 		e.changed.Wait()
 	}
-	return !l.dead
+	return !inc.dead
 }
 
 func (e *Engine) resume(c engine.ResumeCall) (engine.AttemptState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.life
-	a := l.known(attemptID{c.Request, c.Attempt})
+	inc := e.incarnation
+	a := inc.recordFor(attemptID{c.Request, c.Attempt})
 	if c.Epoch < a.epoch {
 		return engine.AttemptState{}, &statusError{http.StatusConflict, "epoch was overtaken"}
 	}
 	a.epoch = c.Epoch
-	if !e.settled(l, a) {
+	if !e.awaitStepEnd(inc, a) {
 		return engine.AttemptState{}, errAborted
 	}
 	if c.Epoch < a.epoch {
 		return engine.AttemptState{}, &statusError{http.StatusConflict, "epoch was overtaken"}
 	}
-	return a.held(l), nil
+	return a.state(inc), nil
 }
 
 func (e *Engine) cancel(c engine.AttemptCall) (engine.AttemptState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.life
+	inc := e.incarnation
 	id := attemptID{c.Request, c.Attempt}
-	a := l.known(id)
+	a := inc.recordFor(id)
 	a.canceled = true
-	if !e.settled(l, a) {
+	if !e.awaitStepEnd(inc, a) {
 		return engine.AttemptState{}, errAborted
 	}
-	l.release(id, a)
-	l.report(!e.left.IsZero())
-	return a.held(l), nil
+	inc.release(id, a)
+	inc.reportLoad(!e.leavingSince.IsZero())
+	return a.state(inc), nil
 }
 
-// exported is an attempt's cache on its way.
-type exported struct {
-	Layers state.LayerRange `json:"layers"`
-	Epoch  state.Epoch      `json:"epoch"`
-	Next   int              `json:"next"`
-	Prompt string           `json:"prompt"`
-	Act    []byte           `json:"act"`
-	Tokens []int64          `json:"tokens"`
+// kvExport is the transfer format of an attempt's cache.
+type kvExport struct {
+	Layers     state.LayerRange `json:"layers"`
+	Epoch      state.Epoch      `json:"epoch"`
+	NextToken  int              `json:"next"`
+	Prompt     string           `json:"prompt"`
+	Activation []byte           `json:"act"`
+	Tokens     []int64          `json:"tokens"`
 }
 
 func (e *Engine) exportKV(c engine.AttemptCall) (engine.KV, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.life
-	a := l.attempts[attemptID{c.Request, c.Attempt}]
-	if a != nil && !e.settled(l, a) {
+	inc := e.incarnation
+	a := inc.attempts[attemptID{c.Request, c.Attempt}]
+	if a != nil && !e.awaitStepEnd(inc, a) {
 		return engine.KV{}, errAborted
 	}
 	if a == nil || !a.holdsKV || a.broken || a.canceled {
 		return engine.KV{}, &statusError{http.StatusConflict, "no cache for the attempt"}
 	}
-	kv, err := json.Marshal(exported{
-		Layers: l.held.Layers, Epoch: a.epoch, Next: a.next,
-		Prompt: a.prompt, Act: a.act.encode(), Tokens: a.tokens,
+	kv, err := json.Marshal(kvExport{
+		Layers: inc.loaded.Layers, Epoch: a.epoch, NextToken: a.nextToken,
+		Prompt: a.prompt, Activation: a.lastOutput.encode(), Tokens: a.tokens,
 	})
 	return engine.KV{Request: c.Request, Attempt: c.Attempt, KV: kv}, err
 }
 
 func (e *Engine) importKV(kv engine.KV) (struct{}, error) {
-	var in exported
+	var in kvExport
 	if err := json.Unmarshal(kv.KV, &in); err != nil {
 		return struct{}{}, err
 	}
-	act, ok := decodeActivation(in.Act)
+	act, ok := decodeActivation(in.Activation)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.life
+	inc := e.incarnation
 	id := attemptID{kv.Request, kv.Attempt}
-	a := l.known(id)
+	a := inc.recordFor(id)
 	switch {
-	case !ok || in.Layers != l.held.Layers:
+	case !ok || in.Layers != inc.loaded.Layers:
 		return struct{}{}, &statusError{http.StatusConflict, "cache of other layers"}
 	case a.started || a.canceled || in.Epoch < a.epoch:
 		return struct{}{}, &statusError{http.StatusConflict, "attempt is known here"}
-	case !l.admitKV(id, a, e.cfg.KVSlots):
+	case !inc.admitKV(id, a, e.cfg.KVSlots):
 		return struct{}{}, &statusError{http.StatusConflict, "no memory"}
 	}
 	a.started = true
 	a.epoch = in.Epoch
-	a.next = in.Next
+	a.nextToken = in.NextToken
 	a.prompt = in.Prompt
-	a.act = act
+	a.lastOutput = act
 	a.tokens = in.Tokens
-	a.used = time.Now()
+	a.lastUsed = time.Now()
 	return struct{}{}, nil
 }
--- a/internal/standin/engine_reports.go
+++ b/internal/standin/engine_reports.go
@@ -8,36 +8,37 @@
 	"github.com/hibiscuswick/hibiscuswick/protocol/engine"
 )
 
-// maxCacheEvents bounds the events that an engine keeps to publish.
+// maxCacheEvents limits the cache events that an engine retains.
 const maxCacheEvents = 4096
 
-// prefixCache holds the prompt blocks that were used last.
+// prefixCache holds the most recently used prompt blocks.
 type prefixCache struct {
 	blocks *lru.Cache[uint64, struct{}]
 	lag    time.Duration
 	gap    int
 	seq    uint64
 	events []cacheEvent
-	now    time.Time // of the use under way
+	now    time.Time // time of the current lookup, for the eviction callback
 }
 
 type cacheEvent struct {
 	engine.CacheEvent
-	at time.Time // when it is published
+	publishAt time.Time // time of publication
 }
 
 func newPrefixCache(blocks int, lag time.Duration, gap int) *prefixCache {
 	c := &prefixCache{lag: lag, gap: gap}
 	cache, err := lru.NewWithEvict(blocks, func(prefix uint64, _ struct{}) { c.emit(prefix, true) })
 	if err != nil {
-		panic(err) // only a size below 1
+		panic(err) // only for a size below 1
 	}
 	c.blocks = cache
 	return c
 }
 
-// use looks a prompt's blocks up, adds those that are missing and counts them.
-func (c *prefixCache) use(prefixes []uint64, now time.Time) int {
+// lookUp looks up the blocks of a prompt, adds the missing ones and returns their
+// number.
+func (c *prefixCache) lookUp(prefixes []uint64, now time.Time) int {
 	c.now = now
 	missing := 0
 	for _, p := range prefixes {
@@ -63,21 +64,22 @@
 	}
 }
 
-// published lists the events after seq whose lag is over.
+// published returns the events after seq that have been published by now.
 func (c *prefixCache) published(seq uint64, now time.Time) []engine.CacheEvent {
 	var out []engine.CacheEvent
 	for _, ev := range c.events {
-		if ev.Seq > seq && !ev.at.After(now) {
+		if ev.Seq > seq && !ev.publishAt.After(now) {
 			out = append(out, ev.CacheEvent)
 		}
 	}
 	return out
 }
 
-// samplesPerLag is how finely a lagging load report follows the true load.
+// samplesPerLag is the number of load samples per lag, which sets the resolution of a
+// lagging load report.
 const samplesPerLag = 16
 
-// loadReport shows the load as it was a lag ago.
+// loadReport reports the load as it was one lag ago.
 type loadReport struct {
 	lag     time.Duration
 	samples []loadSample // oldest first
@@ -92,7 +94,7 @@
 	return &loadReport{lag: lag, samples: []loadSample{{}}}
 }
 
-func (r *loadReport) note(now time.Time, load engine.Load) {
+func (r *loadReport) record(now time.Time, load engine.Load) {
 	last := &r.samples[len(r.samples)-1]
 	if now.Sub(last.at) < r.lag/samplesPerLag || r.lag == 0 {
 		last.load = load
@@ -104,7 +106,7 @@
 	}
 }
 
-func (r *loadReport) at(now time.Time) engine.Load {
+func (r *loadReport) reported(now time.Time) engine.Load {
 	load := r.samples[0].load
 	for _, s := range r.samples {
 		if now.Sub(s.at) < r.lag {
--- a/internal/standin/engine_steps.go
+++ b/internal/standin/engine_steps.go
@@ -9,16 +9,16 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// maxBacklog is how much of its timers' lateness an engine makes up for. The
-// runtime's timers wake up to a millisecond late in an idle process; made up for
-// in the batches after, the engine's mean rate is the nominal one.
-const maxBacklog = 2 * time.Millisecond
+// maxTimerLateness limits how much timer lateness an engine compensates for. The
+// runtime's timers fire up to a millisecond late in an idle process; shortening the
+// following batches by as much keeps the engine's mean rate at the nominal one.
+const maxTimerLateness = 2 * time.Millisecond
 
 // pendingStep is a step between its arrival and its answer.
 type pendingStep struct {
 	step   engine.StepRequest
-	act    activation
-	known  *attempt
+	input  activation
+	record *attempt
 	result *engine.StepResult // nil while running or when the engine died
 	done   chan struct{}
 }
@@ -32,22 +32,22 @@
 	close(p.done)
 }
 
-// steps answers a batch once all its steps are done. They join the steps of
-// other calls in the batches that the engine forms itself.
+// steps returns once all steps of the call are done. The engine runs them together
+// with steps of other calls, in batches that it forms itself.
 func (e *Engine) steps(b engine.StepBatch) (engine.StepResults, error) {
 	pending := make([]*pendingStep, len(b.Steps))
 	e.mu.Lock()
-	l := e.life
+	inc := e.incarnation
 	for i, s := range b.Steps {
 		pending[i] = &pendingStep{step: s, done: make(chan struct{})}
-		if l.dead {
+		if inc.dead {
 			close(pending[i].done)
 			continue
 		}
-		l.enqueue(pending[i])
+		inc.enqueue(pending[i])
 	}
-	l.report(!e.left.IsZero())
-	l.signal()
+	inc.reportLoad(!e.leavingSince.IsZero())
+	inc.signal()
 	e.mu.Unlock()
 
 	out := engine.StepResults{Results: make([]engine.StepResult, len(pending))}
@@ -61,147 +61,147 @@
 	return out, nil
 }
 
-// enqueue keeps the queue sorted by priority, then arrival.
-func (l *life) enqueue(p *pendingStep) {
-	at := sort.Search(len(l.queue), func(i int) bool {
-		return l.queue[i].step.Priority > p.step.Priority
+// enqueue inserts p into the queue, which is sorted by priority and then by arrival.
+func (inc *incarnation) enqueue(p *pendingStep) {
+	at := sort.Search(len(inc.queue), func(i int) bool {
+		return inc.queue[i].step.Priority > p.step.Priority
 	})
-	l.queue = slices.Insert(l.queue, at, p)
+	inc.queue = slices.Insert(inc.queue, at, p)
 }
 
-// loop runs batches, one after another, until the life ends.
-func (e *Engine) loop(l *life) {
-	for range l.wake {
-		if !e.drain(l) {
+// loop runs batches, one after the other, until the incarnation ends.
+func (e *Engine) loop(inc *incarnation) {
+	for range inc.wake {
+		if !e.runQueue(inc) {
 			return
 		}
 	}
 }
 
-// drain runs batches until the queue is empty. It reports false when the life
-// is over.
-func (e *Engine) drain(l *life) bool {
-	free := time.Now().Add(-l.lateness)
+// runQueue runs batches until the queue is empty. It returns false if the incarnation
+// has ended.
+func (e *Engine) runQueue(inc *incarnation) bool {
+	freeAt := time.Now().Add(-inc.lateness)
 	for {
 		e.awaitThaw()
-		batch, took, ok := e.begin(l)
+		batch, duration, ok := e.startBatch(inc)
 		if !ok || len(batch) == 0 {
 			return ok
 		}
-		if earliest := time.Now().Add(-maxBacklog); free.Before(earliest) {
-			free = earliest
+		if earliest := time.Now().Add(-maxTimerLateness); freeAt.Before(earliest) {
+			freeAt = earliest
 		}
-		free = free.Add(took)
-		time.Sleep(time.Until(free))
-		l.lateness = min(max(time.Since(free), 0), maxBacklog)
+		freeAt = freeAt.Add(duration)
+		time.Sleep(time.Until(freeAt))
+		inc.lateness = min(max(time.Since(freeAt), 0), maxTimerLateness)
 		e.awaitThaw()
-		e.finish(l, batch)
+		e.finishBatch(inc, batch)
 	}
 }
 
-// begin takes the next batch and says how long it takes. Steps that may not run
-// are answered at once. It reports false when the life is over.
-func (e *Engine) begin(l *life) ([]*pendingStep, time.Duration, bool) {
+// startBatch takes the next batch from the queue and returns its duration. Steps that
+// may not run are answered at once. It returns false if the incarnation has ended.
+func (e *Engine) startBatch(inc *incarnation) ([]*pendingStep, time.Duration, bool) {
 	e.mu.Lock()
 	var batch []*pendingStep
-	took := e.cfg.StepTime + time.Duration(l.held.Layers.Len())*e.cfg.LayerTime
-	var fatal []string // contents that end the engine
-	rest := l.queue[:0]
-	for _, p := range l.queue {
+	duration := e.cfg.StepTime + time.Duration(inc.loaded.Layers.Len())*e.cfg.LayerTime
+	var fatal []string // contents that crash the engine
+	rest := inc.queue[:0]
+	for _, p := range inc.queue {
 		if len(batch) == e.cfg.BatchCap {
 			rest = append(rest, p)
 			continue
 		}
-		if refusal, refused := e.admit(l, p); refused {
+		if refusal, refused := e.admit(inc, p); refused {
 			p.answer(refusal)
 			continue
 		}
-		took += e.beginStep(l, p)
-		if e.crashOn != "" && e.crashes(e.contentOf(p)) {
+		duration += e.startStep(inc, p)
+		if e.crashOn != "" && e.crashesOn(e.contentOf(p)) {
 			fatal = append(fatal, e.contentOf(p))
 		}
 		batch = append(batch, p)
 	}
-	clear(l.queue[len(rest):])
-	l.queue = rest
-	l.batch = len(batch)
-	l.report(!e.left.IsZero())
-	took = time.Duration(float64(took) * e.slow)
-	dead := l.dead
+	clear(inc.queue[len(rest):])
+	inc.queue = rest
+	inc.batchSize = len(batch)
+	inc.reportLoad(!e.leavingSince.IsZero())
+	duration = time.Duration(float64(duration) * e.slowdown)
+	dead := inc.dead
 	e.mu.Unlock()
 
 	if len(fatal) > 0 {
 		for _, content := range fatal {
-			e.cfg.Ledger.crashed(content)
+			e.cfg.Ledger.recordCrash(content)
 		}
-		abandon(batch)
+		dropBatch(batch)
 		e.Kill()
 		return nil, 0, false
 	}
-	return batch, took, !dead
+	return batch, duration, !dead
 }
 
-// abandon ends the calls of a batch that a crash cut off.
-func abandon(batch []*pendingStep) {
+// dropBatch ends the calls of a batch without results, after a crash.
+func dropBatch(batch []*pendingStep) {
 	for _, p := range batch {
 		close(p.done)
 	}
 }
 
-// contentOf is the prompt of a step's request. Later stages never see it on the
-// wire; the ledger has it.
+// contentOf returns the prompt of a step's request. Stages after the first do not
+// receive the prompt and take it from the ledger.
 func (e *Engine) contentOf(p *pendingStep) string {
-	if p.known.prompt != "" {
-		return p.known.prompt
+	if p.record.prompt != "" {
+		return p.record.prompt
 	}
 	return e.cfg.Ledger.contentOf(p.step.Request)
 }
 
-// beginStep marks p as running and returns the time that its prompt adds.
-func (e *Engine) beginStep(l *life, p *pendingStep) time.Duration {
-	p.known.running = true
-	p.known.epoch = max(p.known.epoch, p.step.Epoch)
-	p.known.used = time.Now()
+// startStep marks p as running and returns the prefill time that its prompt adds.
+func (e *Engine) startStep(inc *incarnation, p *pendingStep) time.Duration {
+	p.record.running = true
+	p.record.epoch = max(p.record.epoch, p.step.Epoch)
+	p.record.lastUsed = time.Now()
 	if p.step.Prompt == "" {
 		return 0
 	}
-	missing := l.cache.use(state.Prefixes(p.step.Prompt), time.Now())
+	missing := inc.cache.lookUp(state.Prefixes(p.step.Prompt), time.Now())
 	return time.Duration(missing) * e.cfg.PrefillTime
 }
 
-// finish records and answers a batch, unless the life ended under it.
-func (e *Engine) finish(l *life, batch []*pendingStep) {
+// finishBatch records and answers a batch, unless the incarnation ended during it.
+func (e *Engine) finishBatch(inc *incarnation, batch []*pendingStep) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if l.dead {
-		abandon(batch)
+	if inc.dead {
+		dropBatch(batch)
 		return
 	}
 	for _, p := range batch {
-		p.answer(e.finishStep(l, p))
+		p.answer(e.finishStep(inc, p))
 	}
-	l.batch = 0
-	l.report(!e.left.IsZero())
+	inc.batchSize = 0
+	inc.reportLoad(!e.leavingSince.IsZero())
 	e.changed.Broadcast()
 }
 
-func (e *Engine) finishStep(l *life, p *pendingStep) engine.StepResult {
-	a, s := p.known, p.step
+func (e *Engine) finishStep(inc *incarnation, p *pendingStep) engine.StepResult {
+	a, s := p.record, p.step
 	a.running = false
-	a.act = p.act.run(s.Layers.First, s.Layers.End)
-	a.next = s.Token + 1
-	e.cfg.Ledger.ran(p.id(), s.Token, s.Layers, e.cfg.ModelLayers)
+	a.lastOutput = p.input.run(s.Layers.First, s.Layers.End)
+	a.nextToken = s.Token + 1
+	e.cfg.Ledger.recordStep(p.id(), s.Token, s.Layers, e.cfg.ModelLayers)
 
-	result := engine.StepResult{Status: engine.StepDone, Output: a.act.encode()}
+	result := engine.StepResult{Status: engine.StepDone, Output: a.lastOutput.encode()}
 	if s.Layers.End != e.cfg.ModelLayers {
 		return result
 	}
-	result.Token = a.act.value(e.cfg.ModelLayers)
-	result.Final = a.next >= int(a.act.length) || s.MaxTokens > 0 && a.next >= s.MaxTokens
+	result.Token = a.lastOutput.outputToken(e.cfg.ModelLayers)
+	result.Final = a.nextToken >= int(a.lastOutput.length) || s.MaxTokens > 0 && a.nextToken >= s.MaxTokens
 	a.tokens = append(a.tokens, result.Token)
 	if result.Final {
 		a.final = true
-		l.release(p.id(), a)
+		inc.release(p.id(), a)
 	}
 	return result
 }
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	patience = time.Second            // progress timeout where a test waits for it
-	lag      = 150 * time.Millisecond // of reports
+	progressTimeout = time.Second            // progress timeout in tests that wait for it
+	reportLag       = 150 * time.Millisecond // of reports
 )
 
-// dial returns a client that takes a connection for silent after timeout.
+// dial returns a client that treats a connection as unresponsive after timeout.
 func dial(address string, timeout time.Duration) *enginehttp.Client {
 	client := enginehttp.New(address, enginehttp.Options{ProgressTimeout: timeout})
 	DeferCleanup(client.Close)
@@ -25,12 +25,12 @@
 }
 
 func dialPlain(address string) *enginehttp.PlainClient {
-	client := enginehttp.NewPlain(address, enginehttp.Options{ProgressTimeout: generous})
+	client := enginehttp.NewPlain(address, enginehttp.Options{ProgressTimeout: specTimeout})
 	DeferCleanup(client.Close)
 	return client
 }
 
-var _ = Describe("an engine's answers", func() {
+var _ = Describe("an engine", func() {
 	var c *chain
 	var a *attempt
 
@@ -47,19 +47,18 @@
 		Expect(c.ledger.Violations()).To(BeEmpty())
 	}
 
-	// A renewal explanation stops halfway and never goes on. The first stage
-	// ran the step, but a box between the two ends forgot the connection, so
-	// the answer never came; new connections work. The step must not be sent
-	// again on the same cache: the stage is asked, and its output taken.
-	It("are asked for after a connection went silent", Label("failure:silent-connection"), func(ctx SpecContext) {
-		client := dial(c.servers[0].Address(), patience)
+	// A network device drops the connection's state, so that the first stage runs the
+	// step but its response never arrives; new connections work. The step must not be
+	// sent again on the same cache: the stage is queried and its output used.
+	It("reports the state of a step whose connection became unresponsive", Label("failure:silent-connection"), func(ctx SpecContext) {
+		client := dial(c.servers[0].Address(), progressTimeout)
 		c.clients[0] = client
 		c.token(ctx, a)
-		c.servers[0].Slow(2 * patience.Seconds() / standin.DefaultStepTime.Seconds())
+		c.servers[0].Slow(2 * progressTimeout.Seconds() / standin.DefaultStepTime.Seconds())
 		silenced := make(chan time.Time)
 		go func() {
 			defer GinkgoRecover()
-			Eventually(func() int { return c.servers[0].Running() }, generous).Should(Equal(1))
+			Eventually(func() int { return c.servers[0].Running() }, specTimeout).Should(Equal(1))
 			c.servers[0].BlackholeConnections()
 			silenced <- time.Now()
 		}()
@@ -69,25 +68,25 @@
 		c.servers[0].Slow(1)
 
 		a.epoch++
-		var held engine.AttemptState
-		Eventually(func() (err error) { // the stage answers when the step has ended
-			held, err = client.Resume(ctx, a.request, a.attempt, a.epoch)
+		var got engine.AttemptState
+		Eventually(func() (err error) { // the stage responds once the step has ended
+			got, err = client.Resume(ctx, a.request, a.attempt, a.epoch)
 			return err
-		}, generous).Should(Succeed())
+		}, specTimeout).Should(Succeed())
 		AddReportEntry("recovered after", time.Since(<-silenced))
-		Expect(held.NextToken).To(Equal(2))
-		results, err := c.clients[1].Step(ctx, []engine.StepRequest{c.step(a, 1, held.LastOutput)})
+		Expect(got.NextToken).To(Equal(2))
+		results, err := c.clients[1].Step(ctx, []engine.StepRequest{c.step(a, 1, got.LastOutput)})
 		Expect(err).NotTo(HaveOccurred())
 		a.tokens = append(a.tokens, results[0].Token)
 		finish(ctx)
 		Expect(c.ledger.Executions("r")).To(Equal(1))
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
-	// A step goes out on a pooled connection that was forgotten while it was
-	// idle. Nothing says so: the bytes are taken and nothing comes back. The
-	// step did not run, but only the stage can say it.
-	It("tell that a step swallowed by an idle connection did not run", Label("failure:silent-connection"), func(ctx SpecContext) {
-		client := dial(c.servers[0].Address(), patience)
+	// A step is sent on a pooled connection that became unresponsive while idle: the
+	// bytes are accepted, but there is no response. The step did not run, which only
+	// the stage can confirm.
+	It("reports that a step lost on an idle connection did not run", Label("failure:silent-connection"), func(ctx SpecContext) {
+		client := dial(c.servers[0].Address(), progressTimeout)
 		c.clients[0] = client
 		c.token(ctx, a)
 		c.servers[0].BlackholeConnections()
@@ -96,15 +95,15 @@
 		Expect(engine.NotSent(err)).To(BeFalse())
 
 		a.epoch++
-		held, err := client.Resume(ctx, a.request, a.attempt, a.epoch)
+		got, err := client.Resume(ctx, a.request, a.attempt, a.epoch)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held.NextToken).To(Equal(1))
+		Expect(got.NextToken).To(Equal(1))
 		finish(ctx)
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
-	// The last stage runs a token and its answer is lost with the connection.
-	// Sent again, the layers would run twice for the token.
-	It("are asked for after one was lost", func(ctx SpecContext) {
+	// The last stage runs a token, and its response is lost with the connection. If the
+	// step were sent again, the layers would run twice for the token.
+	It("reports the state of a step whose response was lost", func(ctx SpecContext) {
 		c.token(ctx, a)
 		results, err := c.clients[0].Step(ctx, []engine.StepRequest{c.step(a, 0, nil)})
 		Expect(err).NotTo(HaveOccurred())
@@ -114,25 +113,25 @@
 		Expect(engine.NotSent(err)).To(BeFalse())
 
 		a.epoch++
-		held, err := c.clients[1].Resume(ctx, a.request, a.attempt, a.epoch)
+		got, err := c.clients[1].Resume(ctx, a.request, a.attempt, a.epoch)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held.Tokens).To(Equal(standin.ExpectedTokens(a.prompt, 2)))
-		a.tokens = held.Tokens
+		Expect(got.Tokens).To(Equal(standin.ExpectedTokens(a.prompt, 2)))
+		a.tokens = got.Tokens
 		finish(ctx)
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
-	// A draft stops between two words: the machine of the second stage died
-	// while it ran a step. The step may have run; nothing proves that it did
-	// not. A new attempt on another engine goes on after the last token.
-	It("end when a stage dies, and a new attempt goes on elsewhere", Label("failure:stage-dies-mid-stream"), func(ctx SpecContext) {
+	// The second stage dies while it runs a step. The step may have run; nothing proves
+	// that it did not. A new attempt on another engine must continue after the last
+	// token.
+	It("fails the steps in flight when it dies, and a new attempt continues elsewhere", Label("failure:stage-dies-mid-stream"), func(ctx SpecContext) {
 		c.token(ctx, a)
 		c.token(ctx, a)
 		results, err := c.clients[0].Step(ctx, []engine.StepRequest{c.step(a, 0, nil)})
 		Expect(err).NotTo(HaveOccurred())
-		c.servers[1].Slow(generous.Seconds() / standin.DefaultStepTime.Seconds())
+		c.servers[1].Slow(specTimeout.Seconds() / standin.DefaultStepTime.Seconds())
 		go func() {
 			defer GinkgoRecover()
-			Eventually(func() int { return c.servers[1].Running() }, generous).Should(Equal(1))
+			Eventually(func() int { return c.servers[1].Running() }, specTimeout).Should(Equal(1))
 			c.servers[1].Kill()
 		}()
 		_, err = c.clients[1].Step(ctx, []engine.StepRequest{c.step(a, 1, results[0].Output)})
@@ -142,62 +141,61 @@
 		Expect(engine.NotSent(err)).To(BeTrue())
 
 		spare := startChain(ctx, 3, 8)
-		held, err := c.clients[0].Cancel(ctx, a.request, a.attempt)
+		got, err := c.clients[0].Cancel(ctx, a.request, a.attempt)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held.Canceled).To(BeTrue())
-		a.attempt, a.begin = 2, len(a.tokens)
+		Expect(got.Canceled).To(BeTrue())
+		a.attempt, a.startToken = 2, len(a.tokens)
 		for !spare.token(ctx, a) {
 		}
 		Expect(a.tokens).To(Equal(standin.ExpectedTokens(a.prompt, 0)))
 		Expect(append(c.ledger.Violations(), spare.ledger.Violations()...)).To(BeEmpty())
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
-	// A daemon was paused and another took its stream over. Its step is still
-	// on a slow link and comes after the new owner was told where the stage
-	// stands. If it ran, the new owner's step for the same token would run the
-	// layers a second time.
-	It("bar the late step of an owner that was overtaken", func(ctx SpecContext) {
+	// A daemon was paused and another one took over its stream. A delayed step of the
+	// old owner arrives after the new owner has read the stage's state. If it ran, the
+	// new owner's step for the same token would run the layers a second time.
+	It("fences the delayed step of a superseded owner", func(ctx SpecContext) {
 		c.token(ctx, a)
-		release, late := c.lateStep(ctx, c.step(a, 0, nil))
+		release, delayed := c.sendDelayedStep(ctx, c.step(a, 0, nil))
 		a.epoch++
-		held, err := c.clients[0].Resume(ctx, a.request, a.attempt, a.epoch)
+		got, err := c.clients[0].Resume(ctx, a.request, a.attempt, a.epoch)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held.NextToken).To(Equal(1))
+		Expect(got.NextToken).To(Equal(1))
 		release()
-		Expect((<-late).Status).To(Equal(engine.StepSuperseded))
+		Expect((<-delayed).Status).To(Equal(engine.StepSuperseded))
 		finish(ctx)
 		_, err = c.clients[0].Resume(ctx, a.request, a.attempt, a.epoch-1)
 		Expect(err).To(MatchError(engine.ErrStaleEpoch))
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
-	// A caller gives its request up and is told that it was not run; the first
-	// step was still on its way and comes after the cancel.
-	It("refuse the late step of a canceled attempt", func(ctx SpecContext) {
-		release, late := c.lateStep(ctx, c.step(a, 0, nil))
-		held, err := c.clients[0].Cancel(ctx, a.request, a.attempt)
+	// A caller cancels its request and gets the answer that it was not run, while the
+	// first step is still in flight and arrives after the cancel.
+	It("refuses the delayed step of a canceled attempt", func(ctx SpecContext) {
+		release, delayed := c.sendDelayedStep(ctx, c.step(a, 0, nil))
+		got, err := c.clients[0].Cancel(ctx, a.request, a.attempt)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held.Known).To(BeFalse())
+		Expect(got.Known).To(BeFalse())
 		release()
-		Expect((<-late).Status).To(Equal(engine.StepNotRun))
+		Expect((<-delayed).Status).To(Equal(engine.StepNotRun))
 		Expect(c.ledger.HasStarted(a.request)).To(BeFalse())
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
-	It("refuse a step that is meant for the process before a restart", func(ctx SpecContext) {
+	It("refuses a step for the boot ID before a restart", func(ctx SpecContext) {
 		c.token(ctx, a)
-		held, err := c.clients[0].Resume(ctx, a.request, a.attempt, a.epoch)
+		got, err := c.clients[0].Resume(ctx, a.request, a.attempt, a.epoch)
 		Expect(err).NotTo(HaveOccurred())
 		c.servers[0].Kill()
 		Expect(c.servers[0].Restart()).To(Succeed())
 		step := c.step(a, 0, nil)
-		step.BootID = held.BootID
-		// A new client: the old one's connection may not know yet that it is
-		// dead, and a step on it is rightly unanswered.
-		results, err := dial(c.servers[0].Address(), generous).Step(ctx, []engine.StepRequest{step})
+		step.BootID = got.BootID
+		// A new client is needed: the old one may still use its dead connection, on
+		// which the step would correctly stay unanswered.
+		results, err := dial(c.servers[0].Address(), specTimeout).Step(ctx, []engine.StepRequest{step})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(results[0].Status).To(Equal(engine.StepNotRun))
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
-	It("fail a step that is out of order, and the cache with it", func(ctx SpecContext) {
+	It("fails a step that is out of order and invalidates the cache", func(ctx SpecContext) {
 		c.token(ctx, a)
 		step := c.step(a, 0, nil)
 		step.Token++
@@ -207,9 +205,9 @@
 			Expect(results[0].Status).To(Equal(engine.StepFailed))
 			step.Token--
 		}
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
-	It("move a cache to another engine of the same layers", func(ctx SpecContext) {
+	It("exports a cache to another engine with the same layers", func(ctx SpecContext) {
 		c.token(ctx, a)
 		spare, err := standin.StartEngine(c.servers[1].Config())
 		Expect(err).NotTo(HaveOccurred())
@@ -221,17 +219,17 @@
 		_, err = c.clients[1].ExportKV(ctx, a.request, a.attempt)
 		Expect(err).To(MatchError(engine.ErrCacheNotHeld))
 
-		client := dial(spare.Address(), generous)
+		client := dial(spare.Address(), specTimeout)
 		Expect(client.ImportKV(ctx, a.request, a.attempt, kv)).To(Succeed())
 		Expect(client.ImportKV(ctx, a.request, a.attempt, kv)).To(MatchError(engine.ErrCacheNotHeld))
 		c.servers[1], c.clients[1] = spare, client
 		finish(ctx)
 		Expect(c.ledger.Executions("r")).To(Equal(1))
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
-	// An alert's text makes every engine that runs it die. Its caller sees no
-	// answer; the ledger counts the deaths by content.
-	It("end with the engine that a request crashes", func(ctx SpecContext) {
+	// A request's content crashes every engine that runs it. The caller gets no
+	// response; the ledger counts the crashes by content.
+	It("leaves a step unanswered when the request crashes it", func(ctx SpecContext) {
 		c.servers[1].CrashOn("delivery")
 		results, err := c.clients[0].Step(ctx, []engine.StepRequest{c.step(a, 0, nil)})
 		Expect(err).NotTo(HaveOccurred())
@@ -240,18 +238,18 @@
 		Expect(engine.NotSent(err)).To(BeFalse())
 		Expect(c.servers[1].Alive()).To(BeFalse())
 		Expect(c.ledger.Crashes(a.prompt)).To(Equal(1))
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 })
 
-// lateStep sends a step to the first stage over a link that holds it back until
-// release is called.
-func (c *chain) lateStep(ctx SpecContext, step engine.StepRequest) (release func(), result <-chan engine.StepResult) {
+// sendDelayedStep sends a step to the first stage through a proxy that holds it back
+// until release is called.
+func (c *chain) sendDelayedStep(ctx SpecContext, step engine.StepRequest) (release func(), result <-chan engine.StepResult) {
 	GinkgoHelper()
 	proxy, err := standin.StartProxy(c.servers[0].Address())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(proxy.Close)
 	proxy.Hold(standin.ToServer, true)
-	client := dial(proxy.Address(), generous)
+	client := dial(proxy.Address(), specTimeout)
 	out := make(chan engine.StepResult)
 	go func() {
 		defer GinkgoRecover()
@@ -259,26 +257,26 @@
 		Expect(err).NotTo(HaveOccurred())
 		out <- results[0]
 	}()
-	Eventually(proxy.HeldConnections, generous).Should(Equal(1))
+	Eventually(proxy.HeldConnections, specTimeout).Should(Equal(1))
 	return func() { proxy.Hold(standin.ToServer, false) }, out
 }
 
 var _ = Describe("an engine's orders", func() {
-	start := func(checks bool, weights *standin.WeightStore) *enginehttp.Client {
+	startEngine := func(checks bool, weights *standin.WeightStore) *enginehttp.Client {
 		GinkgoHelper()
 		e, err := standin.StartEngine(standin.EngineConfig{ModelLayers: 8, ChecksFencing: checks, Weights: weights})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(e.Close)
-		client := dial(e.Address(), generous)
+		client := dial(e.Address(), specTimeout)
 		return client
 	}
 	load := func(number state.FencingNumber, first, end int) engine.Order {
 		return engine.Order{Kind: engine.OrderLoad, FencingNumber: number, Model: "m", Version: "1", Layers: state.LayerRange{First: first, End: end}}
 	}
 
-	It("are refused with an old fencing number only where it is checked", func(ctx SpecContext) {
+	It("are refused with an old fencing number only if the engine checks it", func(ctx SpecContext) {
 		for _, checks := range []bool{true, false} {
-			client := start(checks, nil)
+			client := startEngine(checks, nil)
 			_, err := client.Order(ctx, load(7, 0, 4))
 			Expect(err).NotTo(HaveOccurred())
 			got, err := client.Order(ctx, load(6, 4, 8))
@@ -293,11 +291,11 @@
 				Expect(got.State.FencingNumber).To(BeZero())
 			}
 		}
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
-	It("load at the weight store's rate, and only the layers that are missing", func(ctx SpecContext) {
-		client := start(false, standin.NewWeightStore(20))
-		begin := time.Now()
+	It("load only the missing layers, at the weight store's rate", func(ctx SpecContext) {
+		client := startEngine(false, standin.NewWeightStore(20))
+		start := time.Now()
 		got, err := client.Order(ctx, load(1, 0, 4))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.State.Loading).To(BeTrue())
@@ -308,30 +306,30 @@
 			s, err := client.State(ctx)
 			Expect(err).NotTo(HaveOccurred())
 			return s.Loading
-		}, generous).Should(BeFalse())
-		Expect(time.Since(begin)).To(BeNumerically(">=", 200*time.Millisecond))
+		}, specTimeout).Should(BeFalse())
+		Expect(time.Since(start)).To(BeNumerically(">=", 200*time.Millisecond))
 		got, err = client.Order(ctx, load(1, 0, 4))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.State.Loading).To(BeFalse())
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 })
 
 var _ = Describe("an engine's reports", func() {
-	// A daemon sends a prompt where it believes its prefix to be cached. The
-	// engine's events come late, and some never: the belief may be wrong.
+	// Daemons send a prompt to an engine that they expect to have its prefix cached.
+	// Cache events arrive late or not at all, so that their estimate may be wrong.
 	It("publish cache events late and with gaps", func(ctx SpecContext) {
 		e, err := standin.StartEngine(standin.EngineConfig{
-			Layers: state.LayerRange{End: 2}, CacheBlocks: 2, CacheGap: 3, CacheLag: lag,
+			Layers: state.LayerRange{End: 2}, CacheBlocks: 2, CacheGap: 3, CacheLag: reportLag,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(e.Close)
-		client := dial(e.Address(), generous)
+		client := dial(e.Address(), specTimeout)
 
 		prompt := string(make([]byte, 4*state.PrefixBlockSize))
-		begin := time.Now()
+		start := time.Now()
 		_, err = client.Step(ctx, []engine.StepRequest{{Request: "r", Attempt: 1, Layers: state.LayerRange{End: 2}, Prompt: prompt}})
 		Expect(err).NotTo(HaveOccurred())
-		// 4 blocks enter, 2 of them push one out: numbers 1 to 6 without 3 and 6.
+		// 4 blocks are added and 2 evicted, which gives events 1 to 6; 3 and 6 are gaps.
 		Eventually(func() []uint64 {
 			events, err := client.CacheEvents(ctx, 1)
 			Expect(err).NotTo(HaveOccurred())
@@ -340,22 +338,22 @@
 				seqs = append(seqs, ev.Seq)
 			}
 			return seqs
-		}, generous).Should(Equal([]uint64{2, 4, 5}))
-		Expect(time.Since(begin)).To(BeNumerically(">=", lag))
-	}, SpecTimeout(generous))
+		}, specTimeout).Should(Equal([]uint64{2, 4, 5}))
+		Expect(time.Since(start)).To(BeNumerically(">=", reportLag))
+	}, SpecTimeout(specTimeout))
 
-	It("show the load as it was a lag ago", func(ctx SpecContext) {
-		e, err := standin.StartEngine(standin.EngineConfig{Layers: state.LayerRange{End: 2}, LoadLag: lag})
+	It("show the load with a lag", func(ctx SpecContext) {
+		e, err := standin.StartEngine(standin.EngineConfig{Layers: state.LayerRange{End: 2}, LoadLag: reportLag})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(e.Close)
-		client := dial(e.Address(), generous)
-		begin := time.Now()
+		client := dial(e.Address(), specTimeout)
+		start := time.Now()
 		e.Leave()
 		Eventually(func() bool {
 			load, err := client.Load(ctx)
 			Expect(err).NotTo(HaveOccurred())
 			return load.Leaving
-		}, generous).Should(BeTrue())
-		Expect(time.Since(begin)).To(BeNumerically(">=", lag))
-	}, SpecTimeout(generous))
+		}, specTimeout).Should(BeTrue())
+		Expect(time.Since(start)).To(BeNumerically(">=", reportLag))
+	}, SpecTimeout(specTimeout))
 })
--- a/internal/standin/faultconn.go
+++ b/internal/standin/faultconn.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 )
 
-// faultListener hands out connections that can go silent.
+// faultListener accepts connections that can be blackholed.
 type faultListener struct {
 	net.Listener
-	owner *endpoint
+	parent *endpoint
 }
 
 func (l *faultListener) Accept() (net.Conn, error) {
@@ -16,40 +16,40 @@
 	if err != nil {
 		return nil, err
 	}
-	fc := &faultConn{Conn: c, owner: l.owner}
-	l.owner.mu.Lock()
-	l.owner.conns[fc] = struct{}{}
-	l.owner.mu.Unlock()
+	fc := &faultConn{Conn: c, parent: l.parent}
+	l.parent.mu.Lock()
+	l.parent.conns[fc] = struct{}{}
+	l.parent.mu.Unlock()
 	return fc, nil
 }
 
-// faultConn is a connection that can go silent: what comes is read and thrown
-// away, what is written goes nowhere, and neither end is told.
+// faultConn is a connection that can be blackholed: received and written data is
+// dropped without an error at either end.
 type faultConn struct {
 	net.Conn
-	owner  *endpoint
-	silent atomic.Bool
+	parent     *endpoint
+	blackholed atomic.Bool
 }
 
 func (c *faultConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
-		if err != nil || !c.silent.Load() {
+		if err != nil || !c.blackholed.Load() {
 			return n, err
 		}
 	}
 }
 
 func (c *faultConn) Write(b []byte) (int, error) {
-	if c.silent.Load() {
+	if c.blackholed.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
 func (c *faultConn) Close() error {
-	c.owner.mu.Lock()
-	delete(c.owner.conns, c)
-	c.owner.mu.Unlock()
+	c.parent.mu.Lock()
+	delete(c.parent.conns, c)
+	c.parent.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -8,8 +8,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Ledger is the record of what truly ran on the back ends of one site. Its
-// methods may be called by many goroutines.
+// Ledger records the executions on the backend servers of one site. Its methods are
+// safe for concurrent use.
 type Ledger struct {
 	mu         sync.Mutex
 	attempts   map[attemptID]*attemptRecord
@@ -19,15 +19,15 @@
 	steps      int
 }
 
-// attemptID names one attempt of one request.
+// attemptID identifies one attempt of one request.
 type attemptID struct {
 	request state.RequestID
 	attempt state.Attempt
 }
 
-// attemptRecord is the place that an attempt's layers have reached.
+// attemptRecord is the position that an attempt has reached in its tokens and layers.
 type attemptRecord struct {
-	started bool // a layer was run whole
+	started bool // at least one step has been run
 	token   int
 	layer   int // the next layer of token
 	layers  int // of the model
@@ -52,9 +52,9 @@
 	}
 }
 
-// begin notes that an execution of content begins. Engines call it for the
+// recordStart records that an execution of content starts. Engines call it for the
 // first layer of an attempt's first token, plain services for each call.
-func (l *Ledger) begin(id attemptID, content string) {
+func (l *Ledger) recordStart(id attemptID, content string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requests[id.request]
@@ -75,8 +75,8 @@
 	return c
 }
 
-// ran notes that layers r of a model were run whole, in order, for one token.
-func (l *Ledger) ran(id attemptID, token int, r state.LayerRange, modelLayers int) {
+// recordStep records that layers r of a model have been run for one token.
+func (l *Ledger) recordStep(id attemptID, token int, r state.LayerRange, modelLayers int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.steps++
@@ -85,7 +85,7 @@
 		a = &attemptRecord{layers: modelLayers}
 		l.attempts[id] = a
 	}
-	if fault := a.fault(token, r); fault != "" {
+	if fault := a.violation(token, r); fault != "" {
 		l.violations = append(l.violations, fmt.Sprintf("request %s attempt %d token %d layers %s: %s", id.request, id.attempt, token, r, fault))
 	}
 	a.started = true
@@ -93,8 +93,9 @@
 	a.layer = r.End
 }
 
-// fault says how running layers r for token breaks the order, or "".
-func (a *attemptRecord) fault(token int, r state.LayerRange) string {
+// violation describes how running layers r for token violates the order of layers. It
+// returns "" if it does not.
+func (a *attemptRecord) violation(token int, r state.LayerRange) string {
 	wantToken, wantLayer := a.token, a.layer
 	switch {
 	case !a.started:
@@ -106,21 +107,22 @@
 	case token < wantToken || token == wantToken && r.First < wantLayer:
 		return "run twice"
 	case token > wantToken:
-		return fmt.Sprintf("token %d is not whole", wantToken)
+		return fmt.Sprintf("token %d is incomplete", wantToken)
 	case r.First > wantLayer:
 		return fmt.Sprintf("layer %d was skipped", wantLayer)
 	}
 	return ""
 }
 
-// crashed notes that a server died because it ran content.
-func (l *Ledger) crashed(content string) {
+// recordCrash records that a server crashed because it ran content.
+func (l *Ledger) recordCrash(content string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.content(content).crashes++
 }
 
-// contentOf returns the prompt or body of a request that began.
+// contentOf returns the prompt or body of a request that was started, and "" for an
+// unknown one.
 func (l *Ledger) contentOf(id state.RequestID) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,14 +132,15 @@
 	return ""
 }
 
-// Violations lists every layer that was run twice, out of order or after a gap.
+// Violations returns a description of every step whose layers were run twice, out of
+// order or after a gap.
 func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.violations)
 }
 
-// Runs counts the executions of a prompt or body that began, over all requests
+// Runs returns the number of started executions of a prompt or body, over all requests
 // and attempts.
 func (l *Ledger) Runs(content string) int {
 	l.mu.Lock()
@@ -148,7 +151,7 @@
 	return 0
 }
 
-// Crashes counts the servers that died because they ran content.
+// Crashes returns the number of servers that crashed because they ran content.
 func (l *Ledger) Crashes(content string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -158,7 +161,7 @@
 	return 0
 }
 
-// Executions counts the executions of one request that began.
+// Executions returns the number of started executions of one request.
 func (l *Ledger) Executions(request state.RequestID) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -168,12 +171,12 @@
 	return 0
 }
 
-// RanAny reports whether any back end began request.
+// HasStarted reports whether any backend server started to execute request.
 func (l *Ledger) HasStarted(request state.RequestID) bool {
 	return l.Executions(request) > 0
 }
 
-// Steps counts the steps that ran whole, on all engines.
+// Steps returns the number of completed steps on all engines.
 func (l *Ledger) Steps() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/ledger_test.go
+++ b/internal/standin/ledger_test.go
@@ -8,8 +8,8 @@
 	"github.com/hibiscuswick/hibiscuswick/protocol/engine"
 )
 
-// The ledger checks the router, so it has to see each way in which a router can
-// break the order of layers past engines that each see their own steps only.
+// Each engine sees only its own steps and can't detect every violation of the order of
+// layers. The ledger, against which the router is checked, must detect all of them.
 var _ = Describe("the ledger", func() {
 	var c *chain
 	var a *attempt
@@ -27,31 +27,31 @@
 		return results[0]
 	}
 
-	It("sees layers that were skipped, and the token is wrong", func(ctx SpecContext) {
+	It("detects skipped layers, and the token is wrong", func(ctx SpecContext) {
 		got := run(ctx, 2, run(ctx, 0, nil).Output)
 		Expect(c.ledger.Violations()).To(ConsistOf(ContainSubstring("layer 2 was skipped")))
 		Expect(got.Token).NotTo(Equal(standin.ExpectedTokens(a.prompt, 1)[0]))
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
-	It("sees layers that ran twice for a token, on two engines", func(ctx SpecContext) {
+	It("detects layers that ran twice for a token, on two engines", func(ctx SpecContext) {
 		input := run(ctx, 0, nil).Output
 		run(ctx, 1, input)
-		twin, err := standin.StartEngine(c.servers[1].Config())
+		second, err := standin.StartEngine(c.servers[1].Config())
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(twin.Close)
-		c.servers[1], c.clients[1] = twin, dial(twin.Address(), generous)
+		DeferCleanup(second.Close)
+		c.servers[1], c.clients[1] = second, dial(second.Address(), specTimeout)
 		run(ctx, 1, input)
 		Expect(c.ledger.Violations()).To(ConsistOf(ContainSubstring("run twice")))
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
-	It("sees a token that begins before the last one is whole", func(ctx SpecContext) {
+	It("detects a token that starts before the last one is complete", func(ctx SpecContext) {
 		run(ctx, 1, run(ctx, 0, nil).Output)
 		a.tokens = standin.ExpectedTokens(a.prompt, 1)
 		run(ctx, 0, nil)
-		Expect(c.ledger.Violations()).To(ConsistOf(ContainSubstring("token 0 is not whole")))
-	}, SpecTimeout(generous))
+		Expect(c.ledger.Violations()).To(ConsistOf(ContainSubstring("token 0 is incomplete")))
+	}, SpecTimeout(specTimeout))
 
-	It("counts an execution that a death cut off, and a plain call each time", func(ctx SpecContext) {
+	It("counts an execution interrupted by a crash, and each plain call", func(ctx SpecContext) {
 		c.servers[0].CrashOn("tariff")
 		_, err := c.clients[0].Step(ctx, []engine.StepRequest{c.step(a, 0, nil)})
 		Expect(err).To(HaveOccurred())
@@ -67,5 +67,5 @@
 			_, _ = dialPlain(p.Address()).Call(ctx, engine.PlainCall{Request: "alert", Attempt: 1, Body: "charge window"})
 		}
 		Expect(c.ledger.Runs("charge window")).To(Equal(2))
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 })
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	lengthMark     = "tokens=" // "tokens=12" in a prompt sets its answer's length
-	shortestAnswer = 8
-	answerSpread   = 25
-	activationSize = 32
+	lengthPrefix      = "tokens=" // "tokens=12" in a prompt sets the length of its answer
+	minAnswerTokens   = 8
+	answerTokensRange = 25
+	activationSize    = 32
 )
 
-// ExpectedTokens returns the right answer to prompt: at most limit tokens, 0
-// for no limit. Every correct execution gives the same tokens, whatever the
-// replica and the attempt.
+// ExpectedTokens returns the correct answer to prompt, cut to limit tokens unless limit
+// is 0. Every correct execution yields the same tokens on any replica and in any
+// attempt.
 func ExpectedTokens(prompt string, limit int) []int64 {
 	n := answerLength(prompt)
 	if limit > 0 {
@@ -32,9 +32,9 @@
 	return out
 }
 
-// answerLength is the number of tokens of the whole answer to prompt.
+// answerLength returns the number of tokens of the complete answer to prompt.
 func answerLength(prompt string) int {
-	if _, after, ok := strings.Cut(prompt, lengthMark); ok {
+	if _, after, ok := strings.Cut(prompt, lengthPrefix); ok {
 		digits := after
 		if i := strings.IndexFunc(after, func(r rune) bool { return r < '0' || r > '9' }); i >= 0 {
 			digits = after[:i]
@@ -43,15 +43,15 @@
 			return n
 		}
 	}
-	return shortestAnswer + int(promptSeed(prompt)%answerSpread)
+	return minAnswerTokens + int(promptSeed(prompt)%answerTokensRange)
 }
 
-// promptSeed is the model's state before token 0.
+// promptSeed returns the model's state before token 0.
 func promptSeed(prompt string) uint64 {
 	return xxhash.Sum64String(prompt)
 }
 
-// nextSeed is the state before the token after token.
+// nextSeed returns the state after token, given the state before it.
 func nextSeed(seed uint64, token int64) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], seed)
@@ -59,28 +59,28 @@
 	return xxhash.Sum64(b[:])
 }
 
-// tokenOf is the token that the state gives.
+// tokenOf returns the token that follows the state seed.
 func tokenOf(seed uint64) int64 {
 	return int64(nextSeed(seed, 0) >> 1)
 }
 
-// activation is what a stage hands to the next one. Chain folds in each layer
-// in turn, so that a layer that was skipped, run twice or run out of order
-// gives another value, and the last stage another token.
+// activation is the output of a stage that the next one takes as input. chain is a hash
+// over the layers run so far in their order, so that a skipped, repeated or misplaced
+// layer changes it and makes the last stage return a wrong token.
 type activation struct {
-	seed   uint64
-	chain  uint64
-	layers uint32 // layers run so far
-	from   uint32 // first token position that it covers
-	token  uint32
-	length uint32 // of the whole answer
+	seed       uint64
+	chain      uint64
+	layers     uint32 // layers run so far
+	firstToken uint32 // first token position covered
+	token      uint32
+	length     uint32 // of the complete answer
 }
 
 func startActivation(seed uint64, from, token, length int) activation {
-	return activation{seed: seed, chain: seed, from: uint32(from), token: uint32(token), length: uint32(length)}
+	return activation{seed: seed, chain: seed, firstToken: uint32(from), token: uint32(token), length: uint32(length)}
 }
 
-// run applies layers [first, end).
+// run returns the activation after layers [first, end).
 func (a activation) run(first, end int) activation {
 	for l := first; l < end; l++ {
 		a.chain = nextSeed(a.chain, int64(l))
@@ -89,11 +89,11 @@
 	return a
 }
 
-// value is the token of a whole pass over layers, or a wrong one if a layer was
-// left out, repeated or misplaced.
-func (a activation) value(layers int) int64 {
-	right := startActivation(a.seed, int(a.from), int(a.token), int(a.length)).run(0, layers)
-	if right != a {
+// outputToken returns the token after a complete pass over layers, and a wrong token
+// if a layer was skipped, repeated or misplaced.
+func (a activation) outputToken(layers int) int64 {
+	expected := startActivation(a.seed, int(a.firstToken), int(a.token), int(a.length)).run(0, layers)
+	if expected != a {
 		return -int64(a.chain>>2) - 1
 	}
 	return tokenOf(a.seed)
@@ -104,7 +104,7 @@
 	binary.LittleEndian.PutUint64(b, a.seed)
 	binary.LittleEndian.PutUint64(b[8:], a.chain)
 	binary.LittleEndian.PutUint32(b[16:], a.layers)
-	binary.LittleEndian.PutUint32(b[20:], a.from)
+	binary.LittleEndian.PutUint32(b[20:], a.firstToken)
 	binary.LittleEndian.PutUint32(b[24:], a.token)
 	binary.LittleEndian.PutUint32(b[28:], a.length)
 	return b
@@ -115,11 +115,11 @@
 		return activation{}, false
 	}
 	return activation{
-		seed:   binary.LittleEndian.Uint64(b),
-		chain:  binary.LittleEndian.Uint64(b[8:]),
-		layers: binary.LittleEndian.Uint32(b[16:]),
-		from:   binary.LittleEndian.Uint32(b[20:]),
-		token:  binary.LittleEndian.Uint32(b[24:]),
-		length: binary.LittleEndian.Uint32(b[28:]),
+		seed:       binary.LittleEndian.Uint64(b),
+		chain:      binary.LittleEndian.Uint64(b[8:]),
+		layers:     binary.LittleEndian.Uint32(b[16:]),
+		firstToken: binary.LittleEndian.Uint32(b[20:]),
+		token:      binary.LittleEndian.Uint32(b[24:]),
+		length:     binary.LittleEndian.Uint32(b[28:]),
 	}, true
 }
--- a/internal/standin/pipeline_test.go
+++ b/internal/standin/pipeline_test.go
@@ -13,9 +13,10 @@
 	"github.com/hibiscuswick/hibiscuswick/transport/enginehttp"
 )
 
-const generous = 20 * time.Second
+const specTimeout = 20 * time.Second
 
-// chain is a model over two engines, driven as an entry daemon would.
+// chain is a model whose layers are split over several engines, which the tests drive
+// like an entry daemon.
 type chain struct {
 	ledger  *standin.Ledger
 	servers []*standin.Engine
@@ -33,7 +34,7 @@
 		})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(e.Close)
-		client := enginehttp.New(e.Address(), enginehttp.Options{ProgressTimeout: generous})
+		client := enginehttp.New(e.Address(), enginehttp.Options{ProgressTimeout: specTimeout})
 		DeferCleanup(client.Close)
 		c.servers = append(c.servers, e)
 		c.clients = append(c.clients, client)
@@ -42,17 +43,17 @@
 	return c
 }
 
-// attempt is one attempt's place in the chain.
+// attempt is the progress of one attempt in the chain.
 type attempt struct {
-	request state.RequestID
-	attempt state.Attempt
-	epoch   state.Epoch
-	prompt  string
-	tokens  []int64
-	begin   int // tokens given by earlier attempts
+	request    state.RequestID
+	attempt    state.Attempt
+	epoch      state.Epoch
+	prompt     string
+	tokens     []int64
+	startToken int // number of tokens from earlier attempts
 }
 
-// step builds the step of a stage for the next token.
+// step returns the step of a stage for the next token.
 func (c *chain) step(a *attempt, stage int, input []byte) engine.StepRequest {
 	s := engine.StepRequest{
 		Request: a.request, Attempt: a.attempt, Epoch: a.epoch, Token: len(a.tokens),
@@ -60,7 +61,7 @@
 	}
 	switch {
 	case stage > 0:
-	case len(a.tokens) == a.begin:
+	case len(a.tokens) == a.startToken:
 		s.Prompt = a.prompt
 		s.PriorTokens = a.tokens
 	default:
@@ -69,7 +70,7 @@
 	return s
 }
 
-// token runs one token through the whole chain.
+// token runs one token through all stages and reports whether it is the last one.
 func (c *chain) token(ctx context.Context, a *attempt) bool {
 	GinkgoHelper()
 	var input []byte
@@ -86,7 +87,7 @@
 }
 
 var _ = Describe("a chain of engines", func() {
-	It("gives the expected answer, each layer once", func(ctx SpecContext) {
+	It("generates the expected answer with each layer run once", func(ctx SpecContext) {
 		c := startChain(ctx, 3, 8)
 		a := &attempt{request: "r", attempt: 1, epoch: 1, prompt: "explain clause 4"}
 		for !c.token(ctx, a) {
@@ -94,7 +95,7 @@
 		Expect(a.tokens).To(Equal(standin.ExpectedTokens(a.prompt, 0)))
 		Expect(c.ledger.Violations()).To(BeEmpty())
 		Expect(c.ledger.Runs(a.prompt)).To(Equal(1))
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 
 	It("continues the answer in a new attempt", func(ctx SpecContext) {
 		c := startChain(ctx, 3, 8)
@@ -102,11 +103,11 @@
 		for range 5 {
 			c.token(ctx, a)
 		}
-		a.attempt, a.begin = 2, len(a.tokens)
+		a.attempt, a.startToken = 2, len(a.tokens)
 		for !c.token(ctx, a) {
 		}
 		Expect(a.tokens).To(Equal(standin.ExpectedTokens(a.prompt, 0)))
 		Expect(c.ledger.Violations()).To(BeEmpty())
 		Expect(c.ledger.Executions("r")).To(Equal(2))
-	}, SpecTimeout(generous))
+	}, SpecTimeout(specTimeout))
 })
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -13,9 +13,9 @@
 // PlainConfig describes one plain service.
 type PlainConfig struct {
 	ID       state.BackendID
-	CallTime time.Duration // of one call; default 200 µs
-	Slots    int           // calls at one time; default 64
-	Ledger   *Ledger       // shared by a site; nil keeps its own
+	CallTime time.Duration // duration of one call; default 200 µs
+	Slots    int           // concurrent calls; default 64
+	Ledger   *Ledger       // shared by a site; nil creates one
 }
 
 const defaultPlainSlots = 64
@@ -26,14 +26,14 @@
 	cfg   PlainConfig
 	slots chan struct{}
 
-	mu      sync.Mutex
-	slow    float64
-	crashOn string
-	running int
-	queued  int
-	left    time.Time
-	late    []time.Time
-	lives   int // restarts so far
+	mu               sync.Mutex
+	slowdown         float64
+	crashOn          string
+	running          int
+	queued           int
+	leavingSince     time.Time
+	startsAfterLeave []time.Time
+	restarts         int // number of restarts
 }
 
 // StartPlain starts a plain service on a loopback port.
@@ -47,60 +47,60 @@
 	if cfg.Ledger == nil {
 		cfg.Ledger = NewLedger()
 	}
-	s := &PlainServer{endpoint: newEndpoint(), cfg: cfg, slots: make(chan struct{}, cfg.Slots), slow: 1}
-	handle(s.endpoint, "POST "+engine.PathCall, changing, s.call)
-	handle(s.endpoint, "GET "+engine.PathLoad, reading, s.load)
+	s := &PlainServer{endpoint: newEndpoint(), cfg: cfg, slots: make(chan struct{}, cfg.Slots), slowdown: 1}
+	handle(s.endpoint, "POST "+engine.PathCall, writeCall, s.call)
+	handle(s.endpoint, "GET "+engine.PathLoad, readCall, s.load)
 	return s, s.listen()
 }
 
-// Restart starts a killed service again on its address.
+// Restart restarts a killed service on its address.
 func (s *PlainServer) Restart() error {
 	s.mu.Lock()
-	s.lives++
-	s.left = time.Time{}
+	s.restarts++
+	s.leavingSince = time.Time{}
 	s.mu.Unlock()
 	return s.listen()
 }
 
-// PlainAnswer is the right answer to a call with this body.
+// PlainAnswer returns the correct answer to a call with this body.
 func PlainAnswer(body string) string {
 	return "done: " + body
 }
 
 func (s *PlainServer) call(c engine.PlainCall) (engine.PlainResult, error) {
-	s.count(0, 1)
+	s.addCounts(0, 1)
 	s.slots <- struct{}{}
-	s.count(1, -1)
+	s.addCounts(1, -1)
 	defer func() {
-		s.count(-1, 0)
+		s.addCounts(-1, 0)
 		<-s.slots
 	}()
 	if !s.awaitThaw() {
 		return engine.PlainResult{}, errAborted
 	}
-	dead := s.died()
+	dead := s.deadChan()
 	s.mu.Lock()
-	took := time.Duration(float64(s.cfg.CallTime) * s.slow)
+	duration := time.Duration(float64(s.cfg.CallTime) * s.slowdown)
 	crash := s.crashOn != "" && strings.Contains(c.Body, s.crashOn)
-	if !s.left.IsZero() {
-		s.late = append(s.late, time.Now())
+	if !s.leavingSince.IsZero() {
+		s.startsAfterLeave = append(s.startsAfterLeave, time.Now())
 	}
 	s.mu.Unlock()
 
-	s.cfg.Ledger.begin(attemptID{c.Request, c.Attempt}, c.Body)
+	s.cfg.Ledger.recordStart(attemptID{c.Request, c.Attempt}, c.Body)
 	if crash {
-		s.cfg.Ledger.crashed(c.Body)
+		s.cfg.Ledger.recordCrash(c.Body)
 		s.Kill()
 	}
 	select {
 	case <-dead:
 		return engine.PlainResult{}, errAborted
-	case <-time.After(took):
+	case <-time.After(duration):
 		return engine.PlainResult{Status: engine.PlainDone, Body: PlainAnswer(c.Body)}, nil
 	}
 }
 
-func (s *PlainServer) count(running, queued int) {
+func (s *PlainServer) addCounts(running, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running += running
@@ -110,23 +110,23 @@
 func (s *PlainServer) load(struct{}) (engine.Load, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return engine.Load{BootID: s.life(), Running: s.running, Queued: s.queued, Leaving: !s.left.IsZero()}, nil
+	return engine.Load{BootID: s.bootID(), Running: s.running, Queued: s.queued, Leaving: !s.leavingSince.IsZero()}, nil
 }
 
-// life names the present life of the process. The caller holds mu.
-func (s *PlainServer) life() string {
-	return fmt.Sprintf("%s#%d", s.cfg.ID, s.lives)
+// bootID returns the boot ID of the current process. The caller holds mu.
+func (s *PlainServer) bootID() string {
+	return fmt.Sprintf("%s#%d", s.cfg.ID, s.restarts)
 }
 
 // Slow makes every call take factor times as long.
 func (s *PlainServer) Slow(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = factor
+	s.slowdown = factor
 }
 
-// CrashOn makes the service die when it begins a body that contains part; ""
-// ends it.
+// CrashOn makes the service crash when it starts a call whose body contains part.
+// "" disables it.
 func (s *PlainServer) CrashOn(part string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,23 +137,24 @@
 func (s *PlainServer) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.left.IsZero() {
-		s.left = time.Now()
+	if s.leavingSince.IsZero() {
+		s.leavingSince = time.Now()
 	}
 }
 
-// NewAfterLeave counts the calls that began later than grace after Leave.
+// StartedAfterLeave returns the number of calls that started more than grace after
+// Leave.
 func (s *PlainServer) StartedAfterLeave(grace time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, at := range s.late {
-		if at.Sub(s.left) > grace {
+	for _, at := range s.startsAfterLeave {
+		if at.Sub(s.leavingSince) > grace {
 			n++
 		}
 	}
 	return n
 }
 
-// ID is the configured name.
+// ID returns the configured ID.
 func (s *PlainServer) ID() state.BackendID { return s.cfg.ID }
--- a/internal/standin/platform_data.go
+++ b/internal/standin/platform_data.go
@@ -13,8 +13,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// tables holds rows by table and key. Deleted rows stay with their revision, so
-// that revisions of a key never come twice.
+// tables holds rows by table and key. Deleted rows are kept with their revision, so
+// that a revision of a key is never reused.
 type tables map[string]map[string]storedRow
 
 type storedRow struct {
@@ -22,7 +22,8 @@
 	deleted bool
 }
 
-// revision is the row's revision as conditions see it: 0 for none.
+// revision returns the row's revision for a transaction's conditions, and 0 if there
+// is no row.
 func (t tables) revision(table, key string) uint64 {
 	r := t[table][key]
 	if r.deleted {
@@ -114,17 +115,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.counts.Lists++
-	return platform.InstanceList{Instances: p.instances.shown(time.Now())}, nil
+	return platform.InstanceList{Instances: p.instances.visible(time.Now())}, nil
 }
 
-// Rows reads a table past all failures, for tests.
+// Rows returns the rows of a table regardless of injected failures, for tests.
 func (p *Platform) Rows(table string) []platform.Row {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tables.scan(table, "")
 }
 
-// instanceHistory is the instance list and its past.
+// instanceHistory is the instance list with its earlier versions.
 type instanceHistory struct {
 	lag      time.Duration
 	versions []instanceVersion // oldest first
@@ -135,14 +136,14 @@
 	list []platform.Instance
 }
 
-func (h *instanceHistory) now() []platform.Instance {
+func (h *instanceHistory) current() []platform.Instance {
 	if len(h.versions) == 0 {
 		return nil
 	}
 	return slices.Clone(h.versions[len(h.versions)-1].list)
 }
 
-func (h *instanceHistory) change(list []platform.Instance) {
+func (h *instanceHistory) add(list []platform.Instance) {
 	now := time.Now()
 	h.versions = append(h.versions, instanceVersion{now, list})
 	for len(h.versions) > 2 && now.Sub(h.versions[1].at) > max(h.lag, time.Minute) {
@@ -150,8 +151,8 @@
 	}
 }
 
-// shown is the list as it was a lag ago.
-func (h *instanceHistory) shown(now time.Time) []platform.Instance {
+// visible returns the list as it was one lag before now.
+func (h *instanceHistory) visible(now time.Time) []platform.Instance {
 	out := []platform.Instance{}
 	for _, v := range h.versions {
 		if now.Sub(v.at) < h.lag {
@@ -162,7 +163,7 @@
 	return out
 }
 
-// InstanceLag makes the instance list show the state of d ago.
+// InstanceLag makes the instance list lag behind by d.
 func (p *Platform) InstanceLag(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,33 +174,33 @@
 func (p *Platform) PutInstance(in platform.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.instances.now()
+	list := p.instances.current()
 	i := slices.IndexFunc(list, func(o platform.Instance) bool { return o.ID == in.ID })
 	if i < 0 {
 		list = append(list, in)
 	} else {
 		list[i] = in
 	}
-	p.instances.change(list)
+	p.instances.add(list)
 }
 
-// RemoveInstance takes one instance off the list.
+// RemoveInstance removes one instance from the list.
 func (p *Platform) RemoveInstance(id state.InstanceID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := slices.DeleteFunc(p.instances.now(), func(o platform.Instance) bool { return o.ID == id })
-	p.instances.change(list)
+	list := slices.DeleteFunc(p.instances.current(), func(o platform.Instance) bool { return o.ID == id })
+	p.instances.add(list)
 }
 
 // SetLeaving marks one instance as leaving.
 func (p *Platform) SetLeaving(id state.InstanceID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.instances.now()
+	list := p.instances.current()
 	for i := range list {
 		if list[i].ID == id {
 			list[i].Leaving = true
 		}
 	}
-	p.instances.change(list)
+	p.instances.add(list)
 }
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-const proxyBuffer = 32 << 10
+const proxyBufferBytes = 32 << 10
 
-// Direction is one way through a Proxy.
+// Direction is a direction of data through a Proxy.
 type Direction int
 
 // The values of Direction.
@@ -19,45 +19,45 @@
 	ToClient
 )
 
-// Proxy forwards TCP connections to one address and can spoil them as a
-// network between two daemons would.
+// Proxy forwards TCP connections to one address and can inject the faults of a network
+// between two daemons.
 type Proxy struct {
 	target   string
 	listener net.Listener
 
-	mu      sync.Mutex
-	pairs   map[*proxyPair]struct{}
-	refuse  bool
-	delay   time.Duration
-	swallow [2]bool          // of new connections too
-	hold    [2]chan struct{} // closed when the direction is let go; nil when free
-	held    int
-	closed  chan struct{}
+	mu        sync.Mutex
+	conns     map[*proxyConn]struct{}
+	refuse    bool
+	delay     time.Duration
+	drop      [2]bool          // applies to new connections too
+	hold      [2]chan struct{} // closed on release of the direction; nil when not held
+	heldConns int
+	closed    chan struct{}
 
 	bytes [2]atomic.Int64
 }
 
-// proxyPair is one forwarded connection.
-type proxyPair struct {
+// proxyConn is one forwarded connection.
+type proxyConn struct {
 	client, server net.Conn
-	silent         [2]atomic.Bool
+	blackholed     [2]atomic.Bool
 }
 
-// StartProxy forwards a loopback port to target, given as host:port.
+// StartProxy starts a proxy from a loopback port to target, given as host:port.
 func StartProxy(target string) (*Proxy, error) {
-	ln, err := net.Listen("tcp", loopback)
+	ln, err := net.Listen("tcp", loopbackAddress)
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{target: target, listener: ln, pairs: make(map[*proxyPair]struct{}), closed: make(chan struct{})}
+	p := &Proxy{target: target, listener: ln, conns: make(map[*proxyConn]struct{}), closed: make(chan struct{})}
 	go p.accept()
 	return p, nil
 }
 
-// Address is where the proxy listens, as host:port.
+// Address returns the proxy's address as host:port.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and closes its connections.
 func (p *Proxy) Close() {
 	if p.listener.Close() != nil {
 		return // closed before
@@ -66,40 +66,40 @@
 	p.CloseConnections()
 }
 
-// Cut closes every connection of this moment at both ends.
+// CloseConnections closes every open connection at both ends.
 func (p *Proxy) CloseConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for pair := range p.pairs {
-		_ = pair.client.Close()
-		_ = pair.server.Close()
+	for conn := range p.conns {
+		_ = conn.client.Close()
+		_ = conn.server.Close()
 	}
 }
 
-// Refuse closes new connections at once.
+// Refuse makes the proxy close new connections at once while on.
 func (p *Proxy) Refuse(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refuse = on
 }
 
-// Delay holds every chunk of bytes back for d, in both directions.
+// Delay delays every chunk of data by d, in both directions.
 func (p *Proxy) Delay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// Swallow makes all connections, also new ones, lose what goes in one
-// direction, until it is called with false. What was lost stays lost.
+// Drop makes all connections, including new ones, drop the data of one direction until
+// it is called with false. Dropped data is not delivered later.
 func (p *Proxy) Drop(dir Direction, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.swallow[dir] = on
+	p.drop[dir] = on
 }
 
-// Hold keeps what goes in one direction back until it is called with false; it
-// is delivered then.
+// Hold holds back the data of one direction until it is called with false, and then
+// delivers it.
 func (p *Proxy) Hold(dir Direction, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,32 +112,32 @@
 	}
 }
 
-// Held counts the connections with bytes that are kept back.
+// HeldConnections returns the number of connection directions with data held back.
 func (p *Proxy) HeldConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.held
+	return p.heldConns
 }
 
-// SilenceConnections makes the connections of this moment carry nothing any
-// more in either direction, without closing them; new ones work.
+// BlackholeConnections makes the open connections drop all further data in both
+// directions without closing them. New connections work.
 func (p *Proxy) BlackholeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for pair := range p.pairs {
-		pair.silent[ToServer].Store(true)
-		pair.silent[ToClient].Store(true)
+	for conn := range p.conns {
+		conn.blackholed[ToServer].Store(true)
+		conn.blackholed[ToClient].Store(true)
 	}
 }
 
-// Connections counts the open connections.
+// Connections returns the number of open connections.
 func (p *Proxy) Connections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.pairs)
+	return len(p.conns)
 }
 
-// Bytes counts what was forwarded in one direction.
+// Bytes returns the number of bytes forwarded in one direction.
 func (p *Proxy) Bytes(dir Direction) int64 {
 	return p.bytes[dir].Load()
 }
@@ -165,36 +165,36 @@
 		_ = client.Close()
 		return
 	}
-	pair := &proxyPair{client: client, server: server}
+	conn := &proxyConn{client: client, server: server}
 	p.mu.Lock()
-	p.pairs[pair] = struct{}{}
+	p.conns[conn] = struct{}{}
 	p.mu.Unlock()
 
-	var ways sync.WaitGroup
-	ways.Go(func() { p.pump(pair, server, client, ToServer) })
-	ways.Go(func() { p.pump(pair, client, server, ToClient) })
-	ways.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { p.copyDirection(conn, server, client, ToServer) })
+	wg.Go(func() { p.copyDirection(conn, client, server, ToClient) })
+	wg.Wait()
 	p.mu.Lock()
-	delete(p.pairs, pair)
+	delete(p.conns, conn)
 	p.mu.Unlock()
 }
 
-// pump copies one direction until an end closes, then closes both.
-func (p *Proxy) pump(pair *proxyPair, to io.Writer, from io.Reader, dir Direction) {
+// copyDirection copies the data of one direction until one end closes, then closes both.
+func (p *Proxy) copyDirection(conn *proxyConn, to io.Writer, from io.Reader, dir Direction) {
 	defer func() {
-		_ = pair.client.Close()
-		_ = pair.server.Close()
+		_ = conn.client.Close()
+		_ = conn.server.Close()
 	}()
-	buf := make([]byte, proxyBuffer)
+	buf := make([]byte, proxyBufferBytes)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
 			return
 		}
-		delay, swallow := p.spoil(dir)
+		delay, swallow := p.chunkFault(dir)
 		time.Sleep(delay)
 		p.awaitRelease(dir)
-		if swallow || pair.silent[dir].Load() {
+		if swallow || conn.blackholed[dir].Load() {
 			continue
 		}
 		p.bytes[dir].Add(int64(n))
@@ -204,11 +204,11 @@
 	}
 }
 
-// spoil says what happens to a chunk that goes in one direction.
-func (p *Proxy) spoil(dir Direction) (delay time.Duration, swallow bool) {
+// chunkFault returns the faults to apply to a chunk of one direction.
+func (p *Proxy) chunkFault(dir Direction) (delay time.Duration, swallow bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.delay, p.swallow[dir]
+	return p.delay, p.drop[dir]
 }
 
 // awaitRelease waits while a direction is held.
@@ -219,13 +219,13 @@
 		p.mu.Unlock()
 		return
 	}
-	p.held++
+	p.heldConns++
 	p.mu.Unlock()
 	select {
 	case <-hold:
 	case <-p.closed:
 	}
 	p.mu.Lock()
-	p.held--
+	p.heldConns--
 	p.mu.Unlock()
 }
