--- a/client/client_test.go
+++ b/client/client_test.go
@@ -173,7 +173,7 @@
 				if f == stalled || f == noResponse {
 					slow++
 				}
-				if slow > 1 { // each takes a whole ProgressTimeout
+				if slow > 1 { // each takes a full ProgressTimeout
 					script = script[:i]
 					break
 				}
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -83,10 +83,10 @@
 	// call must time out, and the edit must be retried at the next server.
 	It("continues at the next server when a connection is unresponsive", Label("failure:silent-connection"), func() {
 		release := make(chan struct{})
-		silent := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
-		DeferCleanup(silent.Close)
+		unresponsive := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
+		DeferCleanup(unresponsive.Close)
 		DeferCleanup(func() { close(release) })
-		c, err := ctl.NewClient([]string{silent.URL, cluster.URL("b")}, 100*time.Millisecond)
+		c, err := ctl.NewClient([]string{unresponsive.URL, cluster.URL("b")}, 100*time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
 		r := c.Apply(ctx, "alerts", edit(0, "e1"))
 		Expect(r.Status).To(Equal(caller.EditAccepted))
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -55,12 +55,12 @@
 		c.clients[0] = client
 		c.token(ctx, a)
 		c.servers[0].Slow(2 * progressTimeout.Seconds() / standin.DefaultStepTime.Seconds())
-		silenced := make(chan time.Time)
+		blackholedAt := make(chan time.Time)
 		go func() {
 			defer GinkgoRecover()
 			Eventually(func() int { return c.servers[0].Running() }, specTimeout).Should(Equal(1))
 			c.servers[0].BlackholeConnections()
-			silenced <- time.Now()
+			blackholedAt <- time.Now()
 		}()
 		_, err := client.Step(ctx, []engine.StepRequest{c.step(a, 0, nil)})
 		Expect(err).To(MatchError(enginehttp.ErrUnresponsive))
@@ -73,7 +73,7 @@
 			got, err = client.Resume(ctx, a.request, a.attempt, a.epoch)
 			return err
 		}, specTimeout).Should(Succeed())
-		AddReportEntry("recovered after", time.Since(<-silenced))
+		AddReportEntry("recovered after", time.Since(<-blackholedAt))
 		Expect(got.NextToken).To(Equal(2))
 		results, err := c.clients[1].Step(ctx, []engine.StepRequest{c.step(a, 1, got.LastOutput)})
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/strictjson/formats.go
+++ b/internal/strictjson/formats.go
@@ -17,7 +17,7 @@
 	Check func(text string) bool
 }
 
-// The names of Formats.
+// Names of the formats returned by Formats.
 const (
 	FormatName    = "name"     // identifiers that are also used in URLs and row keys
 	FormatBackend = "backend"  // names of backend servers, which may contain a port
