--- a/client/do.go
+++ b/client/do.go
@@ -18,16 +18,16 @@
 // Request describes one request to the service.
 type Request struct {
 	Class     state.ClassID
-	Key       state.IdempotencyKey // empty takes a random one
-	Deadline  time.Duration        // to the first token; 0 takes the class's
+	Key       state.IdempotencyKey // empty generates a random one
+	Deadline  time.Duration        // to the first token; 0 uses the class's
 	Prompt    string
 	Adapter   string
-	MaxTokens int // 0 takes the class's
+	MaxTokens int // 0 uses the class's
 }
 
 // Result describes how a request ended.
 type Result struct {
-	Request  state.RequestID // empty where it got none
+	Request  state.RequestID // empty if none was assigned
 	Key      state.IdempotencyKey
 	End      caller.EndEvent
 	Attempts int // connections made
--- a/client/events.go
+++ b/client/events.go
@@ -19,7 +19,7 @@
 	data []byte
 }
 
-// events reads server-sent events.
+// eventReader reads server-sent events.
 type eventReader struct {
 	lines  *bufio.Scanner
 	onLine func() // called for each line, including comments
