--- a/cmd/hibiscusctl/measure.go
+++ b/cmd/hibiscusctl/measure.go
@@ -38,7 +38,7 @@
 			&cli.BoolFlag{Name: flagJSON, Usage: "print the result as JSON"},
 			&cli.IntFlag{Name: flagSeconds, Usage: "length of each load's measurement window, in seconds", Value: int(def.Window / time.Second)},
 			&cli.IntFlag{Name: flagDaemons, Usage: "daemons to run", Value: def.Daemons},
-			&cli.FloatSliceFlag{Name: flagOffered, Usage: "loads to offer, as shares of the maximum", Value: def.Offered},
+			&cli.FloatSliceFlag{Name: flagOffered, Usage: "loads to offer, as shares of the maximum", Value: def.OfferedLoads},
 			&cli.Uint64Flag{Name: flagSeed, Usage: "random seed of the arrivals", Value: def.Seed},
 		},
 		Action: measureThroughput,
@@ -52,7 +52,7 @@
 	cfg := measure.DefaultThroughput()
 	cfg.Window = time.Duration(cmd.Int(flagSeconds)) * time.Second
 	cfg.Daemons = cmd.Int(flagDaemons)
-	cfg.Offered = cmd.FloatSlice(flagOffered)
+	cfg.OfferedLoads = cmd.FloatSlice(flagOffered)
 	cfg.Seed = cmd.Uint64(flagSeed)
 	if cfg.Window <= 0 || cfg.Daemons <= 0 {
 		return exitErrorf(exitBadInput, "--%s and --%s must be above 0", flagSeconds, flagDaemons)
@@ -85,7 +85,7 @@
 	}
 	cfg := measure.DefaultRecovery()
 	cfg.Rounds = cmd.Int(flagRounds)
-	cfg.Quick = cmd.Bool(flagQuick)
+	cfg.ShortTimeouts = cmd.Bool(flagQuick)
 	cfg.Faults = nil
 	for _, name := range cmd.StringSlice(flagFault) {
 		if !slices.Contains(measure.Faults(), measure.Fault(name)) {
--- a/measure/figures.go
+++ b/measure/figures.go
@@ -46,11 +46,11 @@
 }
 
 // ClassFigures are the latencies of one class.
-type ClassFigures struct {
-	Class   state.ClassID `json:"class"`
-	First   Quantiles     `json:"first_token"`    // from the arrival
-	Between Quantiles     `json:"between_tokens"` // of one answer
-	Missed  float64       `json:"missed"`         // share refused, or begun after the deadline
+type ClassLatencies struct {
+	Class         state.ClassID `json:"class"`
+	FirstToken    Quantiles     `json:"first_token"`    // from the arrival
+	BetweenTokens Quantiles     `json:"between_tokens"` // of one answer
+	MissedShare   float64       `json:"missed"`         // share refused, or begun after the deadline
 }
 
 // ReasonCount counts the ends for one reason.
@@ -61,28 +61,28 @@
 }
 
 // Level is what one offered load showed, within its window.
-type Level struct {
-	Offered           float64        `json:"offered"` // of the bound
-	Arrived           float64        `json:"arrived"` // of the bound: what came within the window
-	Requests          int            `json:"requests"`
-	TokensPerSecond   float64        `json:"tokens_per_second"`
-	Ratio             float64        `json:"ratio"` // of the bound
-	RequestsPerSecond float64        `json:"requests_per_second"`
-	RequestRatio      float64        `json:"request_ratio"`
-	Goodput           float64        `json:"goodput_ratio"` // tokens of whole answers begun in time
-	Paced             float64        `json:"paced_ratio"`   // of those whose mean time between tokens is in the goal
-	Classes           []ClassFigures `json:"classes"`
-	Ends              []ReasonCount  `json:"ends,omitempty"` // other than whole answers
-	Lost              int            `json:"lost"`           // told to be whole, but is not
-	RefusedButRan     int            `json:"refused_but_ran"`
-	Repeated          int            `json:"repeated"` // prompts that ran more than once
-	Violations        int            `json:"layer_order_violations"`
-	CPUShare          float64        `json:"cpu_share"`     // of the whole machine
-	ControlShare      float64        `json:"control_share"` // of a core, the busiest daemon's
+type LoadResult struct {
+	Offered           float64          `json:"offered"` // of the bound
+	Arrived           float64          `json:"arrived"` // of the bound: what came within the window
+	Requests          int              `json:"requests"`
+	TokensPerSecond   float64          `json:"tokens_per_second"`
+	TokenRatio        float64          `json:"ratio"` // of the bound
+	RequestsPerSecond float64          `json:"requests_per_second"`
+	RequestRatio      float64          `json:"request_ratio"`
+	Goodput           float64          `json:"goodput_ratio"` // tokens of whole answers begun in time
+	PacedGoodput      float64          `json:"paced_ratio"`   // of those whose mean time between tokens is in the goal
+	Classes           []ClassLatencies `json:"classes"`
+	OtherOutcomes     []ReasonCount    `json:"ends,omitempty"` // other than whole answers
+	WrongAnswers      int              `json:"lost"`           // told to be whole, but is not
+	RefusedButRan     int              `json:"refused_but_ran"`
+	Repeated          int              `json:"repeated"` // prompts that ran more than once
+	Violations        int              `json:"layer_order_violations"`
+	CPUShare          float64          `json:"cpu_share"`     // of the whole machine
+	ControlShare      float64          `json:"control_share"` // of a core, the busiest daemon's
 }
 
 // evaluate fills in what the callers saw within a window.
-func (lv *Level) evaluate(seen []*observed, opened, closed time.Time, bound, meanTokens float64) {
+func (lv *LoadResult) evaluate(seen []*observed, opened, closed time.Time, bound, meanTokens float64) {
 	inWindow := func(at time.Time) bool { return !at.Before(opened) && at.Before(closed) }
 	var tokens, good, paced, ended int
 	for _, o := range seen {
@@ -105,9 +105,9 @@
 	}
 	window := closed.Sub(opened).Seconds()
 	lv.TokensPerSecond = float64(tokens) / window
-	lv.Ratio = lv.TokensPerSecond / bound
+	lv.TokenRatio = lv.TokensPerSecond / bound
 	lv.Goodput = float64(good) / window / bound
-	lv.Paced = float64(paced) / window / bound
+	lv.PacedGoodput = float64(paced) / window / bound
 	lv.RequestsPerSecond = float64(ended) / window
 	lv.RequestRatio = lv.RequestsPerSecond * meanTokens / bound
 	arrived := slices.DeleteFunc(slices.Clone(seen), func(o *observed) bool { return !inWindow(o.arrived) })
@@ -115,17 +115,17 @@
 	for _, o := range arrived {
 		lv.Arrived += float64(o.work.tokens) / window / bound
 	}
-	lv.Classes = []ClassFigures{classFigures(classCheck, arrived), classFigures(classDraft, arrived)}
-	lv.Ends = endsOf(arrived)
+	lv.Classes = []ClassLatencies{classFigures(classCheck, arrived), classFigures(classDraft, arrived)}
+	lv.OtherOutcomes = endsOf(arrived)
 }
 
 // prove counts what the stand-ins know better than the callers.
-func (lv *Level) prove(seen []*observed, ledger *standin.Ledger) {
+func (lv *LoadResult) prove(seen []*observed, ledger *standin.Ledger) {
 	for _, o := range seen {
 		runs := ledger.Runs(o.work.prompt)
 		switch {
 		case o.outcome == caller.EndCompleted && !o.whole:
-			lv.Lost++
+			lv.WrongAnswers++
 		case o.outcome == caller.EndRefused && runs > 0:
 			lv.RefusedButRan++
 		}
@@ -135,7 +135,7 @@
 	}
 }
 
-func classFigures(class state.ClassID, seen []*observed) ClassFigures {
+func classFigures(class state.ClassID, seen []*observed) ClassLatencies {
 	first, between := newTimes(), newTimes()
 	all, missed := 0, 0
 	for _, o := range seen {
@@ -154,9 +154,9 @@
 			between.add(at.Sub(o.tokens[i-1]))
 		}
 	}
-	f := ClassFigures{Class: class, First: first.quantiles(), Between: between.quantiles()}
+	f := ClassLatencies{Class: class, FirstToken: first.quantiles(), BetweenTokens: between.quantiles()}
 	if all > 0 {
-		f.Missed = float64(missed) / float64(all)
+		f.MissedShare = float64(missed) / float64(all)
 	}
 	return f
 }
--- a/measure/layout.go
+++ b/measure/layout.go
@@ -11,29 +11,29 @@
 )
 
 // Group is a number of equal replicas.
-type Group struct {
-	Kind     string          `json:"kind"` // of accelerator
-	Replicas int             `json:"replicas"`
-	Steps    []time.Duration `json:"step_times_ns"` // of one batch, by stage
+type ReplicaGroup struct {
+	Kind      string          `json:"kind"` // of accelerator
+	Replicas  int             `json:"replicas"`
+	StepTimes []time.Duration `json:"step_times_ns"` // of one batch, by stage
 }
 
 // Layout is the engines of a measurement.
 type Layout struct {
-	Groups   []Group `json:"groups"`
-	Layers   int     `json:"layers"`
-	BatchCap int     `json:"batch_cap"` // steps of one batch
-	Slots    int     `json:"slots"`     // requests at one time in one replica
+	Groups   []ReplicaGroup `json:"groups"`
+	Layers   int            `json:"layers"`
+	BatchCap int            `json:"batch_cap"` // steps of one batch
+	Slots    int            `json:"slots"`     // requests at one time in one replica
 }
 
 // Mixed is the layout of the published figures: eight replicas of three kinds.
 // The step times are so long that this machine's processors are not what limits.
-func Mixed() Layout {
+func MixedLayout() Layout {
 	const ms = time.Millisecond
 	return Layout{
-		Groups: []Group{
-			{Kind: "fast", Replicas: 3, Steps: []time.Duration{10 * ms, 10 * ms}},
-			{Kind: "medium", Replicas: 3, Steps: []time.Duration{11 * ms, 11 * ms, 11 * ms}},
-			{Kind: "slow", Replicas: 2, Steps: []time.Duration{13 * ms, 13 * ms, 13 * ms}},
+		Groups: []ReplicaGroup{
+			{Kind: "fast", Replicas: 3, StepTimes: []time.Duration{10 * ms, 10 * ms}},
+			{Kind: "medium", Replicas: 3, StepTimes: []time.Duration{11 * ms, 11 * ms, 11 * ms}},
+			{Kind: "slow", Replicas: 2, StepTimes: []time.Duration{13 * ms, 13 * ms, 13 * ms}},
 		},
 		Layers:   24,
 		BatchCap: 8,
@@ -45,9 +45,9 @@
 // stage runs more than a full batch after another, and each of the replica's
 // slots makes one token while every stage takes one step. Links count as free,
 // so that no real link makes the bound smaller than it is.
-func (g Group) Bound(batchCap, slots int) float64 {
+func (g ReplicaGroup) Bound(batchCap, slots int) float64 {
 	var round, slowest time.Duration
-	for _, s := range g.Steps {
+	for _, s := range g.StepTimes {
 		round += s
 		slowest = max(slowest, s)
 	}
@@ -74,9 +74,9 @@
 func (l Layout) replicas() []replica {
 	var out []replica
 	for _, g := range l.Groups {
-		c := site.Chains{Prefix: g.Kind, Replicas: g.Replicas, Stages: len(g.Steps), Layers: l.Layers}
+		c := site.Chains{Prefix: g.Kind, Replicas: g.Replicas, Stages: len(g.StepTimes), Layers: l.Layers}
 		for _, chain := range c.Placement().Chains {
-			out = append(out, replica{kind: g.Kind, steps: g.Steps, chain: chain})
+			out = append(out, replica{kind: g.Kind, steps: g.StepTimes, chain: chain})
 		}
 	}
 	return out
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -13,7 +13,7 @@
 // small is a layout that takes a few milliseconds a token.
 func small() measure.Layout {
 	return measure.Layout{
-		Groups:   []measure.Group{{Kind: "fast", Replicas: 2, Steps: []time.Duration{3 * time.Millisecond, 6 * time.Millisecond}}},
+		Groups:   []measure.ReplicaGroup{{Kind: "fast", Replicas: 2, StepTimes: []time.Duration{3 * time.Millisecond, 6 * time.Millisecond}}},
 		Layers:   8,
 		BatchCap: 4,
 		Slots:    16,
@@ -35,23 +35,23 @@
 var _ = Describe("Throughput", func() {
 	It("counts whole answers both ways, and none lost", func() {
 		cfg := measure.ThroughputConfig{
-			Layout: small(), Daemons: 2, Warm: 500 * time.Millisecond, Window: 500 * time.Millisecond,
-			Mix:     measure.Mix{CheckShare: 0.5, CheckTokens: 4, DraftLeast: 8, DraftMost: 16},
-			Offered: []float64{0.2, 2}, Seed: 1,
+			Layout: small(), Daemons: 2, WarmUp: 500 * time.Millisecond, Window: 500 * time.Millisecond,
+			Mix:          measure.Mix{CheckShare: 0.5, CheckTokens: 4, MinDraftTokens: 8, MaxDraftTokens: 16},
+			OfferedLoads: []float64{0.2, 2}, Seed: 1,
 		}
 		res, err := measure.RunThroughput(context.Background(), cfg, func(line string) { GinkgoWriter.Println(line) })
 		Expect(err).NotTo(HaveOccurred())
-		Expect(res.Ways).To(HaveLen(2))
-		for _, w := range res.Ways {
-			Expect(w.Levels).To(HaveLen(len(cfg.Offered)))
+		Expect(res.Strategies).To(HaveLen(2))
+		for _, w := range res.Strategies {
+			Expect(w.Levels).To(HaveLen(len(cfg.OfferedLoads)))
 			for _, lv := range w.Levels {
-				Expect(lv.Ratio).To(BeNumerically(">", 0), w.Name)
-				Expect(lv.Goodput).To(BeNumerically("<=", lv.Ratio))
-				Expect(lv.Lost).To(BeZero(), w.Name)
+				Expect(lv.TokenRatio).To(BeNumerically(">", 0), w.Name)
+				Expect(lv.Goodput).To(BeNumerically("<=", lv.TokenRatio))
+				Expect(lv.WrongAnswers).To(BeZero(), w.Name)
 				Expect(lv.Violations).To(BeZero(), w.Name)
 			}
 		}
-		for _, lv := range res.Ways[0].Levels {
+		for _, lv := range res.Strategies[0].Levels {
 			Expect(lv.RefusedButRan).To(BeZero())
 		}
 		Expect(res.Goals).To(HaveLen(5))
@@ -63,21 +63,21 @@
 		cfg := measure.DefaultRecovery()
 		cfg.Layout = small()
 		cfg.Layout.Groups[0].Replicas = 3
-		cfg.Daemons, cfg.Rounds, cfg.Streams, cfg.Tokens, cfg.Quick = 3, 1, 8, 40, true
+		cfg.Daemons, cfg.Rounds, cfg.Streams, cfg.Tokens, cfg.ShortTimeouts = 3, 1, 8, 40, true
 		cfg.Outage = 500 * time.Millisecond
 		cfg.Faults = []measure.Fault{
-			measure.FaultStageDies, measure.FaultStageSilent, measure.FaultDaemonDies, measure.FaultStoreEnds,
+			measure.FaultStageDies, measure.FaultStageUnresponsive, measure.FaultDaemonDies, measure.FaultStoreOutageEnds,
 		}
 		res, err := measure.RunRecovery(context.Background(), cfg, func(line string) { GinkgoWriter.Println(line) })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(res.Faults).To(HaveLen(2 + 2 + 2 + 1))
 		for _, f := range res.Faults {
 			Expect(f.Streams).To(BeNumerically(">", 0))
-			Expect(f.Lost).To(BeZero(), f.String())
+			Expect(f.WrongAnswers).To(BeZero(), f.String())
 			Expect(f.RanTwice).To(BeZero(), f.String())
 			Expect(f.Violations).To(BeZero(), f.String())
-			if f.Way == measure.WayDaemons {
-				Expect(f.NotWhole).To(BeZero(), f.String())
+			if f.Strategy == measure.StrategyDaemons {
+				Expect(f.Incomplete).To(BeZero(), f.String())
 			}
 		}
 		Expect(res.Goals).To(HaveLen(2))
--- a/measure/recovery.go
+++ b/measure/recovery.go
@@ -12,15 +12,15 @@
 
 // RecoveryConfig says how recovery is measured.
 type RecoveryConfig struct {
-	Layout  Layout
-	Daemons int
-	Rounds  int
-	Streams int           // of each way in a round
-	Tokens  int           // of each stream
-	Outage  time.Duration // of the store
-	Quick   bool          // the short timeouts of the tests in place of the defaults
-	Seed    uint64
-	Faults  []Fault
+	Layout        Layout
+	Daemons       int
+	Rounds        int
+	Streams       int           // of each way in a round
+	Tokens        int           // of each stream
+	Outage        time.Duration // of the store
+	ShortTimeouts bool          // the short timeouts of the tests in place of the defaults
+	Seed          uint64
+	Faults        []Fault
 }
 
 // Fault is a kind of failure.
@@ -28,16 +28,16 @@
 
 // The values of Fault.
 const (
-	FaultStageDies    Fault = "stage-dies"
-	FaultStageSilent  Fault = "stage-silent"  // all connections to one stage
-	FaultDaemonDies   Fault = "daemon-dies"   // the caller re-attaches elsewhere
-	FaultCallerSilent Fault = "caller-silent" // callers' connections to one daemon
-	FaultStoreEnds    Fault = "store-outage-ends"
+	FaultStageDies          Fault = "stage-dies"
+	FaultStageUnresponsive  Fault = "stage-silent"  // all connections to one stage
+	FaultDaemonDies         Fault = "daemon-dies"   // the caller re-attaches elsewhere
+	FaultCallerUnresponsive Fault = "caller-silent" // callers' connections to one daemon
+	FaultStoreOutageEnds    Fault = "store-outage-ends"
 )
 
 // Faults lists all.
 func Faults() []Fault {
-	return []Fault{FaultStageDies, FaultStageSilent, FaultDaemonDies, FaultCallerSilent, FaultStoreEnds}
+	return []Fault{FaultStageDies, FaultStageUnresponsive, FaultDaemonDies, FaultCallerUnresponsive, FaultStoreOutageEnds}
 }
 
 // DefaultRecovery is the published measurement.
@@ -45,7 +45,7 @@
 	const step = 10 * time.Millisecond
 	return RecoveryConfig{
 		Layout: Layout{
-			Groups: []Group{{Kind: "fast", Replicas: 4, Steps: []time.Duration{step, step, step}}},
+			Groups: []ReplicaGroup{{Kind: "fast", Replicas: 4, StepTimes: []time.Duration{step, step, step}}},
 			Layers: 24, BatchCap: 8, Slots: 32,
 		},
 		Daemons: 4, Rounds: 10, Streams: 24, Tokens: 60, Outage: 5 * time.Second, Seed: 1, Faults: Faults(),
@@ -53,39 +53,39 @@
 }
 
 // Recovered is what one way showed under one fault.
-type Recovered struct {
-	Fault Fault     `json:"fault"`
-	Way   string    `json:"way"`
-	Times Quantiles `json:"times"` // from the fault to the next token, or from the outage's end to the first
-
-	Streams    int `json:"streams"`     // all, met by the fault or not
-	NotWhole   int `json:"not_whole"`   // answers that ended without all tokens, and said so
-	Lost       int `json:"lost"`        // told to be whole, but is not
-	RanTwice   int `json:"ran_twice"`   // never to be repeated, but was
-	Violations int `json:"layer_order"` // of both ways together
-
-	Ends []ReasonCount `json:"ends,omitempty"` // of those not whole
+type FaultResult struct {
+	Fault    Fault     `json:"fault"`
+	Strategy string    `json:"way"`
+	Times    Quantiles `json:"times"` // from the fault to the next token, or from the outage's end to the first
+
+	Streams      int `json:"streams"`     // all, met by the fault or not
+	Incomplete   int `json:"not_whole"`   // answers that ended without all tokens, and said so
+	WrongAnswers int `json:"lost"`        // told to be whole, but is not
+	RanTwice     int `json:"ran_twice"`   // never to be repeated, but was
+	Violations   int `json:"layer_order"` // of both ways together
+
+	OtherOutcomes []ReasonCount `json:"ends,omitempty"` // of those not whole
 }
 
 // Recovery is the result.
 type Recovery struct {
-	Machine  Machine     `json:"machine"`
-	Timeouts Timeouts    `json:"timeouts"`
-	Layout   Layout      `json:"layout"`
-	Daemons  int         `json:"daemons"`
-	Rounds   int         `json:"rounds"`
-	Faults   []Recovered `json:"faults"`
-	Goals    []Goal      `json:"goals"`
+	Machine  Machine       `json:"machine"`
+	Timeouts Timeouts      `json:"timeouts"`
+	Layout   Layout        `json:"layout"`
+	Daemons  int           `json:"daemons"`
+	Rounds   int           `json:"rounds"`
+	Faults   []FaultResult `json:"faults"`
+	Goals    []Goal        `json:"goals"`
 }
 
 // Timeouts are the settings that recovery hangs on, as text.
 type Timeouts struct {
-	Progress    settings.Duration `json:"backends_progress_timeout"`
-	Connect     settings.Duration `json:"backends_connect_timeout"`
-	Probe       settings.Duration `json:"peers_probe_interval"`
-	Suspicion   settings.Duration `json:"peers_suspicion_timeout"`
-	Store       settings.Duration `json:"store_timeout"`
-	AddressHold settings.Duration `json:"address_answer_valid"`
+	Progress   settings.Duration `json:"backends_progress_timeout"`
+	Connect    settings.Duration `json:"backends_connect_timeout"`
+	Probe      settings.Duration `json:"peers_probe_interval"`
+	Suspicion  settings.Duration `json:"peers_suspicion_timeout"`
+	Store      settings.Duration `json:"store_timeout"`
+	AddressTTL settings.Duration `json:"address_answer_valid"`
 }
 
 // errDefaults says that the built-in settings can't be read.
@@ -122,7 +122,7 @@
 	if err != nil {
 		return res, err
 	}
-	if cfg.Quick {
+	if cfg.ShortTimeouts {
 		change = func(*settings.Settings) {}
 	}
 	f, err := startFleet(ctx, cfg.Layout, cfg.Daemons, func(s *settings.Settings) {
@@ -130,7 +130,7 @@
 		res.Timeouts = Timeouts{
 			Progress: s.Backends.ProgressTimeout, Connect: s.Backends.ConnectTimeout,
 			Probe: s.Peers.ProbeInterval, Suspicion: s.Peers.SuspicionTimeout,
-			Store: s.Store.Timeout, AddressHold: s.AddressAnswerValid,
+			Store: s.Store.Timeout, AddressTTL: s.AddressAnswerValid,
 		}
 	})
 	if err != nil {
@@ -154,11 +154,11 @@
 	return res, nil
 }
 
-func recoveryGoals(all []Recovered) []Goal {
+func recoveryGoals(all []FaultResult) []Goal {
 	var out []Goal
 	for _, r := range all {
 		switch {
-		case r.Way != WayDaemons:
+		case r.Strategy != StrategyDaemons:
 		case r.Fault == FaultStageDies:
 			out = append(out, atMost("next token after a stage's death, p99, ms", ms(goalStage), r.Times.P99))
 		case r.Fault == FaultDaemonDies:
--- a/measure/rounds.go
+++ b/measure/rounds.go
@@ -16,7 +16,7 @@
 
 // WayAnew is the baseline of recovery: whoever notices the failure begins anew,
 // from the first token.
-const WayAnew = "begin anew"
+const StrategyRestart = "begin anew"
 
 const (
 	roundTimeout = 2 * time.Minute
@@ -36,19 +36,19 @@
 
 // tally gathers what one way showed under one fault.
 type tally struct {
-	Recovered
+	FaultResult
 	times times
 	ends  map[ending]int
 }
 
 func newTally(fault Fault, way string) *tally {
-	return &tally{Recovered: Recovered{Fault: fault, Way: way}, times: newTimes(), ends: make(map[ending]int)}
+	return &tally{FaultResult: FaultResult{Fault: fault, Strategy: way}, times: newTimes(), ends: make(map[ending]int)}
 }
 
-func (t *tally) result() Recovered {
+func (t *tally) result() FaultResult {
 	t.Times = t.times.quantiles()
-	t.Ends = reasonCounts(t.ends)
-	return t.Recovered
+	t.OtherOutcomes = reasonCounts(t.ends)
+	return t.FaultResult
 }
 
 // add takes a round's streams in. The function met says whether the fault met a
@@ -58,10 +58,10 @@
 		t.Streams++
 		switch {
 		case s.outcome != caller.EndCompleted:
-			t.NotWhole++
+			t.Incomplete++
 			t.ends[s.ending]++
 		case !s.whole():
-			t.Lost++
+			t.WrongAnswers++
 		}
 		if d, ok := s.next(at); ok && met(s) {
 			t.times.add(d)
@@ -81,15 +81,15 @@
 }
 
 // measure runs all rounds of one fault.
-func (r *recovery) measure(ctx context.Context, fault Fault) ([]Recovered, error) {
-	ours, base := newTally(fault, WayDaemons), newTally(fault, WayAnew)
+func (r *recovery) measure(ctx context.Context, fault Fault) ([]FaultResult, error) {
+	ours, base := newTally(fault, StrategyDaemons), newTally(fault, StrategyRestart)
 	violations := len(r.fleet.site.Ledger.Violations())
 	for round := range r.cfg.Rounds {
 		if err := r.round(ctx, fault, round, ours, base); err != nil {
 			return nil, err
 		}
 	}
-	out := []Recovered{ours.result()}
+	out := []FaultResult{ours.result()}
 	if base.Streams > 0 {
 		out = append(out, base.result())
 	}
@@ -107,11 +107,11 @@
 	switch fault {
 	case FaultStageDies:
 		err = r.stageRound(ctx, round, ours, base, (*standin.Engine).Kill)
-	case FaultStageSilent:
+	case FaultStageUnresponsive:
 		err = r.stageRound(ctx, round, ours, base, (*standin.Engine).BlackholeConnections)
 	case FaultDaemonDies:
 		err = r.daemonRound(ctx, ours, base)
-	case FaultCallerSilent:
+	case FaultCallerUnresponsive:
 		err = r.silentRound(ctx, round, ours)
 	default:
 		err = r.storeRound(ctx, ours)
@@ -152,8 +152,8 @@
 	chain := replicas[round%len(replicas)].chain
 	e := r.fleet.site.Engines[chain.Stages[round%len(chain.Stages)].Backend]
 	callers := r.fleet.callers(0)
-	a := r.start(ctx, WayDaemons, func(i int) runner { return reattaching(callers[i%len(callers)]) })
-	b := r.start(ctx, WayAnew, func(int) runner { return r.base.beginAnew() })
+	a := r.start(ctx, StrategyDaemons, func(i int) runner { return reattaching(callers[i%len(callers)]) })
+	b := r.start(ctx, StrategyRestart, func(int) runner { return r.base.beginAnew() })
 	var there []state.RequestID
 	at, err := strike(ctx, func() {
 		there = e.Requests()
@@ -175,8 +175,8 @@
 // that send anew, and puts another in its place.
 func (r *recovery) daemonRound(ctx context.Context, ours, base *tally) error {
 	callers := r.fleet.callers(0)
-	a := r.start(ctx, WayDaemons, func(i int) runner { return reattaching(callers[i%len(callers)]) })
-	b := r.start(ctx, WayAnew, r.fleet.sendAnew)
+	a := r.start(ctx, StrategyDaemons, func(i int) runner { return reattaching(callers[i%len(callers)]) })
+	b := r.start(ctx, StrategyRestart, r.fleet.sendAnew)
 	oldest := r.fleet.site.Live()[0]
 	name := oldest.DaemonStatus(ctx).ID
 	at, err := strike(ctx, oldest.Kill, a, b)
@@ -198,7 +198,7 @@
 // signs of life could only guess when to give up, so that there is no baseline.
 func (r *recovery) silentRound(ctx context.Context, round int, ours *tally) error {
 	m := &muter{}
-	a := r.start(ctx, WayDaemons, func(i int) runner { return reattaching(r.fleet.caller(i, m.client())) })
+	a := r.start(ctx, StrategyDaemons, func(i int) runner { return reattaching(r.fleet.caller(i, m.client())) })
 	live := r.fleet.site.Live()
 	address := live[round%len(live)].CallerAddress()
 	at, err := strike(ctx, func() { m.silence(address) }, a)
@@ -235,7 +235,7 @@
 		ours.Streams++
 		ours.RanTwice += n.ranTwice
 		if n.first.IsZero() {
-			ours.NotWhole++
+			ours.Incomplete++
 			continue
 		}
 		ours.times.add(n.first.Sub(at))
--- a/measure/text.go
+++ b/measure/text.go
@@ -3,17 +3,17 @@
 import "fmt"
 
 // Summary is a level in one line.
-func (lv Level) Summary() string {
-	s := fmt.Sprintf("offered %.2f (%.2f came): tokens %.3f of the bound, goodput %.3f, paced %.3f, requests %.3f;", lv.Offered, lv.Arrived, lv.Ratio, lv.Goodput, lv.Paced, lv.RequestRatio)
+func (lv LoadResult) Summary() string {
+	s := fmt.Sprintf("offered %.2f (%.2f came): tokens %.3f of the bound, goodput %.3f, paced %.3f, requests %.3f;", lv.Offered, lv.Arrived, lv.TokenRatio, lv.Goodput, lv.PacedGoodput, lv.RequestRatio)
 	for _, c := range lv.Classes {
-		s += fmt.Sprintf(" %s first %s, between %s, missed %.3f;", c.Class, c.First, c.Between, c.Missed)
+		s += fmt.Sprintf(" %s first %s, between %s, missed %.3f;", c.Class, c.FirstToken, c.BetweenTokens, c.MissedShare)
 	}
 	s += fmt.Sprintf(" machine %.2f, control %.3f of a core", lv.CPUShare, lv.ControlShare)
-	for _, e := range lv.Ends {
+	for _, e := range lv.OtherOutcomes {
 		s += fmt.Sprintf("; %s %s %d", e.Outcome, e.Reason, e.Count)
 	}
-	if lv.Lost+lv.RefusedButRan+lv.Violations > 0 {
-		s += fmt.Sprintf("; LOST %d, REFUSED BUT RAN %d, OUT OF ORDER %d", lv.Lost, lv.RefusedButRan, lv.Violations)
+	if lv.WrongAnswers+lv.RefusedButRan+lv.Violations > 0 {
+		s += fmt.Sprintf("; LOST %d, REFUSED BUT RAN %d, OUT OF ORDER %d", lv.WrongAnswers, lv.RefusedButRan, lv.Violations)
 	}
 	return s
 }
@@ -29,20 +29,20 @@
 	if !g.Met {
 		verdict = "NOT MET"
 	}
-	return fmt.Sprintf("%-52s %9.3f (goal %.3f) %s", g.What, g.Measured, g.Limit, verdict)
+	return fmt.Sprintf("%-52s %9.3f (goal %.3f) %s", g.Description, g.Measured, g.Limit, verdict)
 }
 
 // String is what a way showed under a fault, in one line.
-func (r Recovered) String() string {
-	s := fmt.Sprintf("%-18s %-14s p50 %5.0f, p99 %5.0f, max %5.0f ms of %d; %d streams", r.Fault, r.Way, r.Times.P50, r.Times.P99, r.Times.Max, r.Times.Count, r.Streams)
-	if r.NotWhole > 0 {
-		s += fmt.Sprintf(", %d not whole", r.NotWhole)
+func (r FaultResult) String() string {
+	s := fmt.Sprintf("%-18s %-14s p50 %5.0f, p99 %5.0f, max %5.0f ms of %d; %d streams", r.Fault, r.Strategy, r.Times.P50, r.Times.P99, r.Times.Max, r.Times.Count, r.Streams)
+	if r.Incomplete > 0 {
+		s += fmt.Sprintf(", %d not whole", r.Incomplete)
 	}
-	for _, e := range r.Ends {
+	for _, e := range r.OtherOutcomes {
 		s += fmt.Sprintf("; %s %s %d", e.Outcome, e.Reason, e.Count)
 	}
-	if r.Lost+r.RanTwice+r.Violations > 0 {
-		s += fmt.Sprintf(", LOST %d, RAN TWICE %d, OUT OF ORDER %d", r.Lost, r.RanTwice, r.Violations)
+	if r.WrongAnswers+r.RanTwice+r.Violations > 0 {
+		s += fmt.Sprintf(", LOST %d, RAN TWICE %d, OUT OF ORDER %d", r.WrongAnswers, r.RanTwice, r.Violations)
 	}
 	return s
 }
--- a/measure/workload.go
+++ b/measure/workload.go
@@ -20,21 +20,21 @@
 
 // Mix is the work of throughput's requests: short checks beside long drafts.
 type Mix struct {
-	CheckShare  float64 `json:"check_share"` // of the requests
-	CheckTokens int     `json:"check_tokens"`
-	DraftLeast  int     `json:"draft_least_tokens"` // drafts are of any length between, alike
-	DraftMost   int     `json:"draft_most_tokens"`
+	CheckShare     float64 `json:"check_share"` // of the requests
+	CheckTokens    int     `json:"check_tokens"`
+	MinDraftTokens int     `json:"draft_least_tokens"` // drafts are of any length between, alike
+	MaxDraftTokens int     `json:"draft_most_tokens"`
 }
 
 // DefaultMix is that of the published figures: an eighth of the tokens are of
 // checks.
 func DefaultMix() Mix {
-	return Mix{CheckShare: 0.6, CheckTokens: 8, DraftLeast: 40, DraftMost: 120}
+	return Mix{CheckShare: 0.6, CheckTokens: 8, MinDraftTokens: 40, MaxDraftTokens: 120}
 }
 
 // MeanTokens is the mean length of an answer.
 func (m Mix) MeanTokens() float64 {
-	return m.CheckShare*float64(m.CheckTokens) + (1-m.CheckShare)*float64(m.DraftLeast+m.DraftMost)/2
+	return m.CheckShare*float64(m.CheckTokens) + (1-m.CheckShare)*float64(m.MinDraftTokens+m.MaxDraftTokens)/2
 }
 
 // Deadlines to the first token.
@@ -80,7 +80,7 @@
 	if rng.Float64() >= m.CheckShare {
 		w.class = classDraft
 		w.priority = 1
-		w.tokens = m.DraftLeast + rng.IntN(m.DraftMost-m.DraftLeast+1)
+		w.tokens = m.MinDraftTokens + rng.IntN(m.MaxDraftTokens-m.MinDraftTokens+1)
 		w.deadline = draftDeadline
 	}
 	w.prompt = fmt.Sprintf("%s %d tokens=%d", w.class, number, w.tokens)
