--- a/scenario/args.go
+++ b/scenario/args.go
@@ -73,7 +73,7 @@
 }
 
 // node returns the daemon that the argument at names.
-func (a args) node(w *World) (*node, error) {
+func (a args) node(w *Simulation) (*node, error) {
 	name := a.text("at", "")
 	if n := w.node(name); n != nil {
 		return n, nil
@@ -99,7 +99,7 @@
 	l.Stages, errs[2] = a.number("stages", defaultStages)
 	l.Slots, errs[3] = a.number("slots", defaultSlots)
 	l.StepTime, errs[4] = a.duration("step", defaultStepTime)
-	l.StoreTime, errs[5] = a.duration("store", defaultStore)
+	l.StoreLatency, errs[5] = a.duration("store", defaultStore)
 	l.Documents = a.has("documents")
 	l.Quarantine = a.has("quarantine")
 	for _, err := range errs {
--- a/scenario/books.go
+++ b/scenario/books.go
@@ -31,7 +31,7 @@
 }
 
 // ran notes that a stage ran its layers for a token, and checks the promises.
-func (b *books) ran(w *World, k work, token, stage int) {
+func (b *books) ran(w *Simulation, k work, token, stage int) {
 	at := layerRun{work: k, token: token, stage: stage}
 	b.layers[at]++
 	if b.layers[at] > 1 {
@@ -44,7 +44,7 @@
 }
 
 // began notes that an engine began an attempt.
-func (b *books) began(w *World, k work) {
+func (b *books) began(w *Simulation, k work) {
 	if b.refused[k] {
 		w.violated("%s was refused as not run, and ran", k.request)
 	}
@@ -72,7 +72,7 @@
 }
 
 // refuse notes that a request's caller was told that it was not run.
-func (b *books) refuse(w *World, r *run) {
+func (b *books) refuse(w *Simulation, r *run) {
 	for k := range r.drove {
 		if b.begun[b.keys[k.request]][k] {
 			w.violated("%s was refused as not run, but it ran", r.name())
--- a/scenario/caller.go
+++ b/scenario/caller.go
@@ -9,7 +9,7 @@
 
 // caller is who sent one request, and what came back.
 type caller struct {
-	w       *World
+	w       *Simulation
 	name    string
 	seen    int    // tokens
 	outcome string // empty while it waits
--- a/scenario/claim.go
+++ b/scenario/claim.go
@@ -161,7 +161,7 @@
 }
 
 // evidence asks the engines of a claimed attempt whose owner is gone.
-func (w *World) evidence(rec claims.Record) claims.Evidence {
+func (w *Simulation) evidence(rec claims.Record) claims.Evidence {
 	ev := claims.Evidence{Epoch: rec.Epoch, Kind: claims.EvidenceNone}
 	held := 0
 	for i, b := range rec.Slot.Backends {
--- a/scenario/clock.go
+++ b/scenario/clock.go
@@ -34,7 +34,7 @@
 }
 
 // after has do run when d has passed.
-func (w *World) after(d time.Duration, do func()) {
+func (w *Simulation) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.agenda, happening{at: w.now.Add(d), seq: w.seq, do: do})
 }
@@ -45,7 +45,7 @@
 
 // runUntil lets time pass until done reports true or end is reached, and
 // reports whether done did.
-func (w *World) runUntil(end time.Time, done func() bool) bool {
+func (w *Simulation) runUntil(end time.Time, done func() bool) bool {
 	turns := 0
 	for !done() {
 		next := w.nextAt()
@@ -68,7 +68,7 @@
 }
 
 // turn does one thing that is due: the first of the agenda, else all ticks.
-func (w *World) turn() {
+func (w *Simulation) turn() {
 	if len(w.agenda) > 0 && !w.agenda[0].at.After(w.now) {
 		heap.Pop(&w.agenda).(happening).do()
 		return
@@ -80,7 +80,7 @@
 }
 
 // nextAt is when something is to happen next, zero for never.
-func (w *World) nextAt() time.Time {
+func (w *Simulation) nextAt() time.Time {
 	next := w.pool.home.NextTick(w.now)
 	for _, n := range w.nodes {
 		next = earlier(next, n.nextTick())
--- a/scenario/command.go
+++ b/scenario/command.go
@@ -15,11 +15,11 @@
 
 // Script runs the commands of one file.
 type Script struct {
-	w *World
+	w *Simulation
 }
 
 // command is one command of the language.
-type command func(w *World, a args) error
+type command func(w *Simulation, a args) error
 
 var commands = map[string]command{
 	"submit":  submit,
@@ -85,7 +85,7 @@
 // longest bounds a run that waits for something.
 const longest = time.Minute
 
-func letRun(w *World, a args) error {
+func letRun(w *Simulation, a args) error {
 	span, err := a.duration("for", 0)
 	if err != nil {
 		return err
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func edit(w *World, a args) error {
+func edit(w *Simulation, a args) error {
 	n, err := a.node(w)
 	if err != nil {
 		return err
@@ -132,7 +132,7 @@
 }
 
 // force lists the versions in force at each daemon that lives.
-func force(w *World, _ args) error {
+func force(w *Simulation, _ args) error {
 	for _, n := range w.nodes {
 		if n.docs == nil || n.dead {
 			continue
@@ -151,7 +151,7 @@
 }
 
 // answers lists what each caller has, and how often its request truly began.
-func answers(w *World, _ args) error {
+func answers(w *Simulation, _ args) error {
 	for _, c := range w.callers {
 		outcome := c.outcome
 		if outcome == "" {
--- a/scenario/command_faults.go
+++ b/scenario/command_faults.go
@@ -8,7 +8,7 @@
 )
 
 // kill ends an engine or a daemon; start brings an engine back, empty.
-func kill(w *World, a args) error {
+func kill(w *Simulation, a args) error {
 	name := a.word(0)
 	if e := w.engine(name); e != nil {
 		w.say("%s dies", name)
@@ -28,7 +28,7 @@
 	return nil
 }
 
-func start(w *World, a args) error {
+func start(w *Simulation, a args) error {
 	e := w.engine(a.word(0))
 	if e == nil {
 		return fmt.Errorf("start needs an engine")
@@ -39,7 +39,7 @@
 }
 
 // eachNode does f with the daemon that the first word names.
-func eachNode(w *World, a args, f func(*node)) error {
+func eachNode(w *Simulation, a args, f func(*node)) error {
 	n := w.node(a.word(0))
 	if n == nil {
 		return fmt.Errorf("%s needs a daemon", a.d.Cmd)
@@ -48,24 +48,24 @@
 	return nil
 }
 
-func pause(w *World, a args) error {
+func pause(w *Simulation, a args) error {
 	return eachNode(w, a, func(n *node) { n.paused = true; w.say("%s is paused", n.name) })
 }
 
-func wake(w *World, a args) error {
+func wake(w *Simulation, a args) error {
 	return eachNode(w, a, func(n *node) { w.say("%s wakes", n.name); n.wake() })
 }
 
-func cut(w *World, a args) error {
+func cut(w *Simulation, a args) error {
 	return eachNode(w, a, func(n *node) { n.cut = true; w.say("%s is cut off", n.name) })
 }
 
-func heal(w *World, a args) error {
+func heal(w *Simulation, a args) error {
 	return eachNode(w, a, func(n *node) { n.cut = false; w.say("%s is connected again", n.name) })
 }
 
 // leave says that a replica is leaving.
-func leave(w *World, a args) error {
+func leave(w *Simulation, a args) error {
 	id := state.ReplicaID(a.word(0))
 	if _, ok := w.replica(id); !ok {
 		return fmt.Errorf("leave needs a replica")
@@ -82,7 +82,7 @@
 }
 
 // next says what befalls the next step sent to an engine.
-func next(w *World, a args) error {
+func next(w *Simulation, a args) error {
 	e := w.engine(a.word(0))
 	what, ok := mishaps[a.word(1)]
 	if e == nil || !ok {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func storeCommand(w *World, a args) error {
+func storeCommand(w *Simulation, a args) error {
 	switch a.word(0) {
 	case "down":
 		w.table.down = true
--- a/scenario/command_requests.go
+++ b/scenario/command_requests.go
@@ -10,7 +10,7 @@
 
 const defaultTokens = 4
 
-func submit(w *World, a args) error {
+func submit(w *Simulation, a args) error {
 	name := a.word(0)
 	if name == "" || w.caller(name) != nil {
 		return fmt.Errorf("submit needs a new name")
@@ -57,7 +57,7 @@
 }
 
 // attach lets a caller that lost its connection come back at another daemon.
-func attach(w *World, a args) error {
+func attach(w *Simulation, a args) error {
 	c := w.caller(a.word(0))
 	if c == nil {
 		return fmt.Errorf("attach needs the name of a request")
@@ -95,7 +95,7 @@
 	}
 }
 
-func cancel(w *World, a args) error {
+func cancel(w *Simulation, a args) error {
 	c := w.caller(a.word(0))
 	if c == nil || c.run == nil {
 		return fmt.Errorf("cancel needs the name of a running request")
--- a/scenario/engine.go
+++ b/scenario/engine.go
@@ -38,7 +38,7 @@
 
 // engine is a model of one stage that obeys the engine contract.
 type engine struct {
-	w      *World
+	w      *Simulation
 	name   string
 	stage  int
 	stages int
@@ -48,7 +48,7 @@
 	caches map[work]*cache
 }
 
-func newEngine(w *World, name string, stage, stages int) *engine {
+func newEngine(w *Simulation, name string, stage, stages int) *engine {
 	return &engine{w: w, name: name, stage: stage, stages: stages, life: 1, caches: make(map[work]*cache)}
 }
 
--- a/scenario/node.go
+++ b/scenario/node.go
@@ -13,7 +13,7 @@
 
 // node is one daemon: its machines, and whether it lives.
 type node struct {
-	w      *World
+	w      *Simulation
 	name   string
 	member state.Member
 	owner  uint32
@@ -31,7 +31,7 @@
 	quarantine *quarantined // nil where the site has none
 }
 
-func (w *World) addNode(name string, owner uint32, l Layout) {
+func (w *Simulation) addNode(name string, owner uint32, l Layout) {
 	n := &node{
 		w:       w,
 		name:    name,
--- a/scenario/pool.go
+++ b/scenario/pool.go
@@ -38,12 +38,12 @@
 // pool is the home of all replicas, on an instance that does not fail. Homes
 // that die have tests of their own.
 type pool struct {
-	w     *World
+	w     *Simulation
 	home  *home.Home
 	wants map[home.SlotRequestID]*run
 }
 
-func newPool(w *World) *pool {
+func newPool(w *Simulation) *pool {
 	p := &pool{w: w, home: home.New(home.Config{}), wants: make(map[home.SlotRequestID]*run)}
 	p.membersChanged()
 	p.step(home.DocumentChanged{Document: document()})
--- a/scenario/quarantine.go
+++ b/scenario/quarantine.go
@@ -157,7 +157,7 @@
 }
 
 // tellQuarantines tells every quarantine which daemons live.
-func (w *World) tellQuarantines() {
+func (w *Simulation) tellQuarantines() {
 	for _, n := range w.nodes {
 		var live []state.Member
 		for _, o := range w.nodes {
--- a/scenario/table.go
+++ b/scenario/table.go
@@ -22,7 +22,7 @@
 }
 
 // call serves one call; answer comes exactly once.
-func (w *World) call(c store.Call, answer func(store.Result)) {
+func (w *Simulation) call(c store.Call, answer func(store.Result)) {
 	t := w.table
 	w.after(t.took/2, func() {
 		if t.down {
--- a/scenario/world.go
+++ b/scenario/world.go
@@ -16,7 +16,7 @@
 )
 
 // World is a site in virtual time. It belongs to one goroutine.
-type World struct {
+type Simulation struct {
 	began  time.Time
 	now    time.Time
 	agenda agenda
@@ -37,13 +37,13 @@
 
 // Layout is what a site is made of.
 type Layout struct {
-	Daemons   int
-	Replicas  int
-	Stages    int
-	Slots     int // requests at one time in a replica
-	StepTime  time.Duration
-	StoreTime time.Duration // of one call
-	Documents bool          // the daemons keep service documents
+	Daemons      int
+	Replicas     int
+	Stages       int
+	Slots        int // requests at one time in a replica
+	StepTime     time.Duration
+	StoreLatency time.Duration // of one call
+	Documents    bool          // the daemons keep service documents
 
 	Quarantine bool // the daemons quarantine what crashes engines
 }
@@ -52,14 +52,14 @@
 const seed = 11
 
 // New returns a site that has been up for long enough to serve.
-func New(l Layout) *World {
+func New(l Layout) *Simulation {
 	began := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	w := &World{
+	w := &Simulation{
 		began:    began,
 		now:      began,
 		rng:      rand.New(rand.NewPCG(seed, seed)),
 		stepTime: l.StepTime,
-		table:    newTable(l.StoreTime),
+		table:    newTable(l.StoreLatency),
 		books:    newBooks(),
 	}
 	for r := 1; r <= l.Replicas; r++ {
@@ -77,14 +77,14 @@
 }
 
 // settle lets the home learn who holds what, and the documents become ready.
-func (w *World) settle() {
+func (w *Simulation) settle() {
 	const settled = 5 * time.Second
 	w.runUntil(w.now.Add(settled), func() bool { return false })
 	w.began = w.now
 	w.out = nil
 }
 
-func (w *World) addReplica(number int, l Layout) {
+func (w *Simulation) addReplica(number int, l Layout) {
 	r := state.Replica{
 		ID: state.ReplicaID(fmt.Sprintf("r%d", number)), Service: serviceID, Slots: l.Slots, Speed: 1,
 	}
@@ -100,7 +100,7 @@
 	w.replicas = append(w.replicas, r)
 }
 
-func (w *World) engine(name string) *engine {
+func (w *Simulation) engine(name string) *engine {
 	for _, e := range w.engines {
 		if e.name == name {
 			return e
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func (w *World) node(name string) *node {
+func (w *Simulation) node(name string) *node {
 	for _, n := range w.nodes {
 		if n.name == name {
 			return n
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func (w *World) caller(name string) *caller {
+func (w *Simulation) caller(name string) *caller {
 	for _, c := range w.callers {
 		if c.name == name {
 			return c
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func (w *World) replica(id state.ReplicaID) (state.Replica, bool) {
+func (w *Simulation) replica(id state.ReplicaID) (state.Replica, bool) {
 	for _, r := range w.replicas {
 		if r.ID == id {
 			return r, true
@@ -137,16 +137,16 @@
 }
 
 // stamp is the time since the story began.
-func (w *World) stamp() string {
+func (w *Simulation) stamp() string {
 	return fmt.Sprintf("%dms", w.now.Sub(w.began).Milliseconds())
 }
 
 // say prints what happens now.
-func (w *World) say(format string, args ...any) {
+func (w *Simulation) say(format string, args ...any) {
 	w.out = append(w.out, fmt.Sprintf("%8s  %s", w.stamp(), fmt.Sprintf(format, args...)))
 }
 
 // violated prints a promise that was broken.
-func (w *World) violated(format string, args ...any) {
+func (w *Simulation) violated(format string, args ...any) {
 	w.out = append(w.out, "VIOLATION "+fmt.Sprintf(format, args...))
 }
