--- a/cmd/hibiscusctl/replay.go
+++ b/cmd/hibiscusctl/replay.go
@@ -47,6 +47,6 @@
 		return exitErrorf(exitFailed, "%s: replay differs", path)
 	}
 	printf(cmd.Writer, "same decisions: %d requests, %d events, %d unfinished; %d stated outcomes hold\n",
-		res.Runs, res.Events, res.Unfinished, res.Expects)
+		res.Runs, res.Events, res.Unfinished, res.Expectations)
 	return nil
 }
--- a/trace/expect.go
+++ b/trace/expect.go
@@ -13,8 +13,8 @@
 // Expect is a stated outcome, checked when the whole trace has been replayed:
 // Count runs match all of the filters that are set. Where Run is set, Count may
 // be left out and is 1.
-type Expect struct {
-	By      string          `json:"by,omitempty"`
+type Expectation struct {
+	Source  string          `json:"by,omitempty"`
 	Run     uint64          `json:"run,omitempty"` // with By
 	Request state.RequestID `json:"request,omitempty"`
 	Service state.ServiceID `json:"service,omitempty"`
@@ -37,7 +37,7 @@
 
 var outcomes = []string{outcomeCompleted, outcomeRefused, outcomeFailed, outcomeUnknown, outcomeUnfinished}
 
-func (e *Expect) check() error {
+func (e *Expectation) check() error {
 	switch {
 	case e.Outcome != "" && !lo.Contains(outcomes, e.Outcome):
 		return fmt.Errorf("expect: unknown outcome %q, want one of %s", e.Outcome, strings.Join(outcomes, ", "))
@@ -45,13 +45,13 @@
 		return errors.New("expect: a version goes with a service, without count and run")
 	case e.Version == 0 && e.Count == nil && e.Run == 0:
 		return errors.New("expect: count is missing")
-	case e.Run != 0 && e.By == "":
+	case e.Run != 0 && e.Source == "":
 		return errors.New("expect: run needs by")
 	}
 	return nil
 }
 
-func (e *Expect) want() int {
+func (e *Expectation) want() int {
 	if e.Count == nil {
 		return 1
 	}
@@ -59,8 +59,8 @@
 }
 
 // matches reports whether a run is one of those that e counts.
-func (e *Expect) matches(r *replayed) bool {
-	return (e.By == "" || e.By == r.key.by) &&
+func (e *Expectation) matches(r *replayed) bool {
+	return (e.Source == "" || e.Source == r.key.by) &&
 		(e.Run == 0 || e.Run == r.key.run) &&
 		(e.Request == "" || e.Request == r.spec.ID) &&
 		(e.Service == "" || e.Service == r.spec.Service) &&
@@ -71,14 +71,14 @@
 }
 
 // String gives the filters, for a report.
-func (e *Expect) String() string {
+func (e *Expectation) String() string {
 	var parts []string
 	add := func(name, value string) {
 		if value != "" {
 			parts = append(parts, name+"="+value)
 		}
 	}
-	add("by", e.By)
+	add("by", e.Source)
 	if e.Run != 0 {
 		add("run", fmt.Sprint(e.Run))
 	}
--- a/trace/line.go
+++ b/trace/line.go
@@ -12,29 +12,29 @@
 )
 
 // MaxLine bounds one line in bytes, its end not counted.
-const MaxLine = 1 << 20
+const MaxLineBytes = 1 << 20
 
 // Line is one line of a trace: what By saw At nanoseconds after it began to
 // record. Exactly one of the pointers is set.
 type Line struct {
-	By  string `json:"by,omitempty"`  // one life of a daemon, such as "entry-1.9f1c22aa"
-	At  int64  `json:"at,omitempty"`  // ns since By's header
-	Run uint64 `json:"run,omitempty"` // numbers By's requests from 1
+	Source string `json:"by,omitempty"`  // one life of a daemon, such as "entry-1.9f1c22aa"
+	At     int64  `json:"at,omitempty"`  // ns since By's header
+	Run    uint64 `json:"run,omitempty"` // numbers By's requests from 1
 
-	Header   *Header   `json:"header,omitempty"`
-	Request  *Request  `json:"request,omitempty"`
-	Event    *Event    `json:"event,omitempty"`
-	Do       []string  `json:"do,omitempty"` // with Event: the actions, in order
-	Document *Document `json:"document,omitempty"`
-	Fault    *Fault    `json:"fault,omitempty"`
-	Expect   *Expect   `json:"expect,omitempty"`
+	Header   *Header      `json:"header,omitempty"`
+	Request  *Request     `json:"request,omitempty"`
+	Event    *Event       `json:"event,omitempty"`
+	Actions  []string     `json:"do,omitempty"` // with Event: the actions, in order
+	Document *Document    `json:"document,omitempty"`
+	Fault    *Fault       `json:"fault,omitempty"`
+	Expect   *Expectation `json:"expect,omitempty"`
 }
 
 // Header is the first line of each By.
 type Header struct {
-	Format  string `json:"format"`
-	Version int    `json:"version"`
-	Began   string `json:"began"` // RFC 3339, for readers; nothing depends on it
+	Format    string `json:"format"`
+	Version   int    `json:"version"`
+	StartedAt string `json:"began"` // RFC 3339, for readers; nothing depends on it
 }
 
 // Request is the arrival of a request at By.
@@ -70,7 +70,7 @@
 // Stage is one backend server of a replica, in one life of its process.
 type Stage struct {
 	Backend state.BackendID `json:"backend"`
-	Life    string          `json:"life,omitempty"`
+	BootID  string          `json:"life,omitempty"`
 }
 
 // Document says that By put a document's version into force.
--- a/trace/make/main.go
+++ b/trace/make/main.go
@@ -34,7 +34,7 @@
 			fmt.Fprintf(os.Stderr, "%s: %v\n", s.name, err)
 			os.Exit(1)
 		}
-		fmt.Printf("%s: %d requests, %d events, %d stated outcomes\n", s.name, res.Runs, res.Events, res.Expects)
+		fmt.Printf("%s: %d requests, %d events, %d stated outcomes\n", s.name, res.Runs, res.Events, res.Expectations)
 	}
 }
 
--- a/trace/make/rig.go
+++ b/trace/make/rig.go
@@ -75,14 +75,14 @@
 func (r *rig) state() {
 	for _, class := range []state.ClassID{classCheck, classDraft, classNote, classAlert} {
 		if n := r.sent[class]; n > 0 {
-			r.notes.Expect(trace.Expect{Class: class, Outcome: "completed", Count: &n})
+			r.notes.Expect(trace.Expectation{Class: class, Outcome: "completed", Count: &n})
 		}
 	}
 	none := 0
 	for _, outcome := range []string{"refused", "failed", "unknown"} {
-		r.notes.Expect(trace.Expect{Outcome: outcome, Count: &none})
+		r.notes.Expect(trace.Expectation{Outcome: outcome, Count: &none})
 	}
-	r.notes.Expect(trace.Expect{Service: drafts, Version: editedVersion})
+	r.notes.Expect(trace.Expectation{Service: drafts, Version: editedVersion})
 }
 
 // start brings the site up, edits the document once, and waits until all serve.
--- a/trace/reader.go
+++ b/trace/reader.go
@@ -13,13 +13,13 @@
 
 // InputError is a line that is not of a trace.
 type InputError struct {
-	Line int // from 1
-	Text string
+	Line    int // from 1
+	Message string
 }
 
 // Error implements error.
 func (e *InputError) Error() string {
-	return fmt.Sprintf("line %d: %s", e.Line, e.Text)
+	return fmt.Sprintf("line %d: %s", e.Line, e.Message)
 }
 
 // Reader reads a trace line by line.
@@ -32,12 +32,12 @@
 // NewReader returns a reader of in.
 func NewReader(in io.Reader) *Reader {
 	s := bufio.NewScanner(in)
-	s.Buffer(nil, MaxLine+1)
+	s.Buffer(nil, MaxLineBytes+1)
 	return &Reader{in: s, known: make(map[string]bool)}
 }
 
 // Number is the number of the line that Next returned last, from 1.
-func (r *Reader) Number() int {
+func (r *Reader) LineNumber() int {
 	return r.number
 }
 
@@ -53,7 +53,7 @@
 		err = r.check(l)
 	}
 	if err != nil {
-		return l, &InputError{Line: r.number, Text: err.Error()}
+		return l, &InputError{Line: r.number, Message: err.Error()}
 	}
 	return l, nil
 }
@@ -62,11 +62,11 @@
 	err := r.in.Err()
 	switch {
 	case errors.Is(err, bufio.ErrTooLong):
-		return &InputError{Line: r.number + 1, Text: fmt.Sprintf("longer than %d bytes", MaxLine)}
+		return &InputError{Line: r.number + 1, Message: fmt.Sprintf("longer than %d bytes", MaxLineBytes)}
 	case err != nil:
 		return err
 	case r.number == 0:
-		return &InputError{Line: 1, Text: "no header: the trace is empty"}
+		return &InputError{Line: 1, Message: "no header: the trace is empty"}
 	}
 	return io.EOF
 }
@@ -96,13 +96,13 @@
 		return errors.New("want exactly one of header, request, event, document, fault, expect")
 	case l.Expect != nil:
 		return l.Expect.check()
-	case l.By == "":
+	case l.Source == "":
 		return errors.New(`"by" is missing`)
 	case l.Header != nil:
 		return r.header(l)
-	case !r.known[l.By]:
-		return fmt.Errorf("no header of %q before this line", l.By)
-	case l.Do != nil && l.Event == nil:
+	case !r.known[l.Source]:
+		return fmt.Errorf("no header of %q before this line", l.Source)
+	case l.Actions != nil && l.Event == nil:
 		return errors.New(`"do" without "event"`)
 	case (l.Run == 0) != (l.Request == nil && l.Event == nil):
 		return errors.New(`"run" goes with "request" and "event", from 1`)
@@ -116,9 +116,9 @@
 		return fmt.Errorf("format %q, want %q", l.Header.Format, Format)
 	case l.Header.Version != Version:
 		return fmt.Errorf("version %d, this reader knows %d", l.Header.Version, Version)
-	case r.known[l.By]:
-		return fmt.Errorf("second header of %q", l.By)
+	case r.known[l.Source]:
+		return fmt.Errorf("second header of %q", l.Source)
 	}
-	r.known[l.By] = true
+	r.known[l.Source] = true
 	return nil
 }
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -69,7 +69,7 @@
 	var once sync.Once
 	r.fail = func(err error) { once.Do(func() { fail(err) }) }
 	_, _ = rand.Read(r.mask.salt[:]) // crypto/rand.Read never fails
-	r.add(Line{Header: &Header{Format: Format, Version: Version, Began: r.began.UTC().Format(time.RFC3339)}})
+	r.add(Line{Header: &Header{Format: Format, Version: Version, StartedAt: r.began.UTC().Format(time.RFC3339)}})
 	go r.write()
 	return r
 }
@@ -92,7 +92,7 @@
 }
 
 // Expect records a stated outcome.
-func (r *Recorder) Expect(e Expect) {
+func (r *Recorder) Expect(e Expectation) {
 	if r == nil {
 		return
 	}
@@ -126,7 +126,7 @@
 		return
 	}
 	r := run.r
-	r.add(Line{At: r.at(now), Run: run.number, Event: r.mask.event(ev, r.began), Do: r.mask.actions(actions)})
+	r.add(Line{At: r.at(now), Run: run.number, Event: r.mask.event(ev, r.began), Actions: r.mask.actions(actions)})
 }
 
 // Close writes what is left.
@@ -146,7 +146,7 @@
 }
 
 func (r *Recorder) add(l Line) {
-	l.By = r.by
+	l.Source = r.by
 	text, err := json.Marshal(l)
 	if err != nil {
 		panic("trace: a line always encodes: " + err.Error())
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -16,23 +16,23 @@
 // Difference is where a replay did not do what the trace says.
 type Difference struct {
 	Line     int // of the trace, from 1
-	What     string
+	Subject  string
 	Expected string
 	Got      string
 }
 
 // String gives the difference on four lines.
 func (d Difference) String() string {
-	return fmt.Sprintf("line %d: %s\n  expected: %s\n  got:      %s", d.Line, d.What, d.Expected, d.Got)
+	return fmt.Sprintf("line %d: %s\n  expected: %s\n  got:      %s", d.Line, d.Subject, d.Expected, d.Got)
 }
 
 // Result is what a replay found. It stops at the first difference.
 type Result struct {
-	Runs       int // requests
-	Events     int
-	Expects    int // stated outcomes that hold
-	Unfinished int // requests without an outcome, as where a daemon was lost
-	Difference *Difference
+	Runs         int // requests
+	Events       int
+	Expectations int // stated outcomes that hold
+	Unfinished   int // requests without an outcome, as where a daemon was lost
+	Difference   *Difference
 }
 
 // Replay feeds a trace's events through new machines and compares what they
@@ -53,8 +53,8 @@
 		if err != nil {
 			return p.res, err
 		}
-		if err := p.line(lines.Number(), l); err != nil {
-			return p.res, &InputError{Line: lines.Number(), Text: err.Error()}
+		if err := p.line(lines.LineNumber(), l); err != nil {
+			return p.res, &InputError{Line: lines.LineNumber(), Message: err.Error()}
 		}
 	}
 	return p.res, nil
@@ -87,7 +87,7 @@
 
 type stated struct {
 	line   int
-	expect *Expect
+	expect *Expectation
 }
 
 type replay struct {
@@ -98,7 +98,7 @@
 }
 
 func (p *replay) line(number int, l Line) error {
-	key := runKey{by: l.By, run: l.Run}
+	key := runKey{by: l.Source, run: l.Run}
 	switch {
 	case l.Request != nil:
 		return p.arrive(key, l)
@@ -191,16 +191,16 @@
 // compare finds the first action that differs.
 func (p *replay) compare(number int, l Line, got []string) {
 	const none = "(nothing more)"
-	for i := range max(len(l.Do), len(got)) {
+	for i := range max(len(l.Actions), len(got)) {
 		want, have := none, none
-		if i < len(l.Do) {
-			want = l.Do[i]
+		if i < len(l.Actions) {
+			want = l.Actions[i]
 		}
 		if i < len(got) {
 			have = got[i]
 		}
 		if want != have {
-			what := fmt.Sprintf("%s run %d, action %d after %s", l.By, l.Run, i+1, l.Event.Kind)
+			what := fmt.Sprintf("%s run %d, action %d after %s", l.Source, l.Run, i+1, l.Event.Kind)
 			p.differ(number, what, want, have)
 			return
 		}
@@ -209,16 +209,16 @@
 
 func (p *replay) differ(line int, what, want, got string) {
 	if p.res.Difference == nil {
-		p.res.Difference = &Difference{Line: line, What: what, Expected: want, Got: got}
+		p.res.Difference = &Difference{Line: line, Subject: what, Expected: want, Got: got}
 	}
 }
 
 // document holds that versions in force never go back.
 func (p *replay) document(number int, l Line) {
-	key := documentKey{by: l.By, service: l.Document.Service}
+	key := documentKey{by: l.Source, service: l.Document.Service}
 	last := p.documents[key]
 	if l.Document.Version <= last {
-		what := fmt.Sprintf("%s puts %s into force", l.By, l.Document.Service)
+		what := fmt.Sprintf("%s puts %s into force", l.Source, l.Document.Service)
 		p.differ(number, what, fmt.Sprintf("a version above %d", last), fmt.Sprintf("version %d", l.Document.Version))
 	}
 	p.documents[key] = l.Document.Version
@@ -240,7 +240,7 @@
 		if p.res.Difference != nil {
 			return
 		}
-		p.res.Expects++
+		p.res.Expectations++
 	}
 }
 
@@ -260,7 +260,7 @@
 	e := s.expect
 	found := false
 	for _, key := range slices.SortedFunc(maps.Keys(p.documents), compareDocuments) {
-		if key.service != e.Service || e.By != "" && e.By != key.by {
+		if key.service != e.Service || e.Source != "" && e.Source != key.by {
 			continue
 		}
 		found = true
--- a/trace/restore.go
+++ b/trace/restore.go
@@ -34,18 +34,18 @@
 	case KindStepDone:
 		return request.StepDone{Step: step, Output: unmasked(e.Output), Value: e.Value, Text: e.Text, Final: e.Final}, nil
 	case KindStepNotRun:
-		return request.StepNotRun{Step: step, Superseded: e.Overtaken}, nil
+		return request.StepNotRun{Step: step, Superseded: e.Superseded}, nil
 	case KindStepFailed:
 		return request.StepFailed{Step: step}, nil
 	case KindStepUnanswered:
 		return request.StepUnanswered{Step: step, NotSent: e.NotSent, Silent: e.Silent}, nil
-	case KindHeldAnswer:
+	case KindStageState:
 		return request.StageState{
-			Step: step, Life: e.Life, Known: e.Known, Canceled: e.Canceled, NextToken: e.NextToken,
+			Step: step, Life: e.BootID, Known: e.Known, Canceled: e.Canceled, NextToken: e.NextToken,
 			LastOutput: unmasked(e.Output), Tokens: e.Tokens, Final: e.Final,
 		}, nil
-	case KindHeldUnanswered:
-		return request.StageQueryFailed{Step: step, Superseded: e.Overtaken, NotSent: e.NotSent}, nil
+	case KindStageQueryFailed:
+		return request.StageQueryFailed{Step: step, Superseded: e.Superseded, NotSent: e.NotSent}, nil
 	case KindRetryDecided:
 		return request.RetryDecided{
 			Allowed: e.Allowed, At: began.Add(time.Duration(e.NotBefore)), Exclude: e.Exclude, Reason: e.Reason,
@@ -66,7 +66,7 @@
 	if e.Replica == nil {
 		return nil, fmt.Errorf("event %s: no replica", e.Kind)
 	}
-	return request.SlotUnusable{Grant: state.Attempt(e.Attempt), Replica: e.Replica.ID, UnknownReplica: e.Unknown}, nil
+	return request.SlotUnusable{Grant: state.Attempt(e.Attempt), Replica: e.Replica.ID, UnknownReplica: e.UnknownReplica}, nil
 }
 
 func (e *Event) restoreClaim() (request.Event, error) {
@@ -76,17 +76,17 @@
 	}
 	ev := request.ClaimSettled{Result: request.ClaimResult(result), Reason: e.Reason}
 	if ev.Result == request.ClaimTakenOver {
-		if e.Continue == nil || len(e.Continue.Replica.Stages) == 0 {
+		if e.Takeover == nil || len(e.Takeover.Replica.Stages) == 0 {
 			return nil, fmt.Errorf("event %s: nothing to continue", e.Kind)
 		}
-		ev.Takeover = e.Continue.restore()
+		ev.Takeover = e.Takeover.restore()
 	}
 	return ev, nil
 }
 
 func (r *Replica) restore() state.Replica {
 	return state.Replica{ID: r.ID, Stages: lo.Map(r.Stages, func(s Stage, _ int) state.Stage {
-		return state.Stage{Backend: s.Backend, BootID: s.Life}
+		return state.Stage{Backend: s.Backend, BootID: s.BootID}
 	})}
 }
 
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -36,7 +36,7 @@
 			`{"expect":{"service":"s","version":3}}`)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(res.Difference).To(BeNil())
-		Expect(res.Expects).To(Equal(3))
+		Expect(res.Expectations).To(Equal(3))
 	})
 
 	DescribeTable("names the first line that differs", func(line int, expected, got string, lines ...string) {
@@ -63,7 +63,7 @@
 		var broken *trace.InputError
 		Expect(errors.As(err, &broken)).To(BeTrue(), "%v", err)
 		Expect(broken.Line).To(Equal(line))
-		Expect(broken.Text).To(ContainSubstring(text))
+		Expect(broken.Message).To(ContainSubstring(text))
 	},
 		Entry("empty", 1, "no header"),
 		Entry("no JSON", 2, "invalid character", header, "x"),
@@ -78,7 +78,7 @@
 		Entry("an unknown kind", 3, `unknown kind "stat"`, header, arrival, `{"by":"a","run":1,"event":{"kind":"stat"}}`),
 		Entry("a bad step", 3, "attempt/epoch/token/stage", header, arrival, `{"by":"a","run":1,"event":{"kind":"step_done","step":"1"}}`),
 		Entry("an unknown outcome", 2, `unknown outcome "done"`, header, `{"expect":{"outcome":"done","count":1}}`),
-		Entry("a line without end", 2, "longer than", header, strings.Repeat(" ", trace.MaxLine+1)),
+		Entry("a line without end", 2, "longer than", header, strings.Repeat(" ", trace.MaxLineBytes+1)),
 	)
 
 	It("has a kind for each event of a request", func() {
@@ -104,7 +104,7 @@
 			res, err := replayFile(name)
 			Expect(err).NotTo(HaveOccurred(), name)
 			Expect(res.Difference).To(BeNil(), "%s: %v", name, res.Difference)
-			Expect(res.Expects).To(BeNumerically(">=", 3), name)
+			Expect(res.Expectations).To(BeNumerically(">=", 3), name)
 		}
 	})
 })
