--- a/measure/figures.go
+++ b/measure/figures.go
@@ -45,7 +45,7 @@
 	return Quantiles{Count: t.h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(t.h.Max()) / 1000}
 }
 
-// ClassFigures are the latencies of one class.
+// ClassLatencies are the latencies of one class.
 type ClassLatencies struct {
 	Class         state.ClassID `json:"class"`
 	FirstToken    Quantiles     `json:"first_token"`    // from the arrival
@@ -60,7 +60,7 @@
 	Count   int           `json:"count"`
 }
 
-// Level is what one offered load showed, within its window.
+// LoadResult is what one offered load showed, within its window.
 type LoadResult struct {
 	Offered           float64          `json:"offered"` // of the bound
 	Arrived           float64          `json:"arrived"` // of the bound: what came within the window
--- a/measure/layout.go
+++ b/measure/layout.go
@@ -10,7 +10,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// Group is a number of equal replicas.
+// ReplicaGroup is a number of equal replicas.
 type ReplicaGroup struct {
 	Kind      string          `json:"kind"` // of accelerator
 	Replicas  int             `json:"replicas"`
@@ -25,7 +25,7 @@
 	Slots    int            `json:"slots"`     // requests at one time in one replica
 }
 
-// Mixed is the layout of the published figures: eight replicas of three kinds.
+// MixedLayout is the layout of the published figures: eight replicas of three kinds.
 // The step times are so long that this machine's processors are not what limits.
 func MixedLayout() Layout {
 	const ms = time.Millisecond
--- a/measure/recovery.go
+++ b/measure/recovery.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Recovered is what one way showed under one fault.
+// FaultResult is what one way showed under one fault.
 type FaultResult struct {
 	Fault    Fault     `json:"fault"`
 	Strategy string    `json:"way"`
--- a/measure/rounds.go
+++ b/measure/rounds.go
@@ -14,7 +14,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// WayAnew is the baseline of recovery: whoever notices the failure begins anew,
+// StrategyRestart is the baseline of recovery: whoever notices the failure begins anew,
 // from the first token.
 const StrategyRestart = "begin anew"
 
--- a/measure/throughput.go
+++ b/measure/throughput.go
@@ -33,7 +33,7 @@
 	StrategyTwoChoices = "two choices, own counts"
 )
 
-// Way is what one way to spread requests showed.
+// StrategyResult is what one way to spread requests showed.
 type StrategyResult struct {
 	Name   string       `json:"name"`
 	Levels []LoadResult `json:"levels"`
--- a/scenario/args.go
+++ b/scenario/args.go
@@ -8,12 +8,12 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// args reads the arguments of a command: words, and name=value.
+// args reads the arguments of a command: bare words and name=value pairs.
 type args struct {
 	d *datadriven.TestData
 }
 
-// word returns the i-th word.
+// word returns the i-th bare word, or "" if there are fewer.
 func (a args) word(i int) string {
 	n := 0
 	for _, arg := range a.d.CmdArgs {
@@ -28,7 +28,7 @@
 	return ""
 }
 
-// has reports whether a word stands among the arguments.
+// has reports whether the arguments contain a bare word.
 func (a args) has(word string) bool {
 	for _, arg := range a.d.CmdArgs {
 		if arg.Key == word && len(arg.Vals) == 0 {
@@ -38,7 +38,7 @@
 	return false
 }
 
-// text returns the value of name, or def.
+// text returns the value of name, or def if it is not given.
 func (a args) text(name, def string) string {
 	for _, arg := range a.d.CmdArgs {
 		if arg.Key == name && len(arg.Vals) > 0 {
@@ -55,7 +55,7 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 0 {
-		return 0, fmt.Errorf("%s=%s is no count", name, text)
+		return 0, fmt.Errorf("%s=%s is not a non-negative integer", name, text)
 	}
 	return n, nil
 }
@@ -67,28 +67,28 @@
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		return 0, fmt.Errorf("%s=%s is no time, such as 300ms", name, text)
+		return 0, fmt.Errorf("%s=%s is not a non-negative duration such as 300ms", name, text)
 	}
 	return d, nil
 }
 
-// node returns the daemon that the argument at names.
-func (a args) node(w *Simulation) (*node, error) {
+// node returns the daemon named by the argument "at".
+func (a args) node(sim *Simulation) (*node, error) {
 	name := a.text("at", "")
-	if n := w.node(name); n != nil {
+	if n := sim.node(name); n != nil {
 		return n, nil
 	}
-	return nil, fmt.Errorf("at=%s names no daemon", name)
+	return nil, fmt.Errorf("at=%s: no such daemon", name)
 }
 
-// Defaults of a site.
+// Defaults of a simulated site.
 const (
-	defaultDaemons  = 2
-	defaultReplicas = 2
-	defaultStages   = 2
-	defaultSlots    = 4
-	defaultStepTime = 10 * time.Millisecond
-	defaultStore    = 4 * time.Millisecond
+	defaultDaemons      = 2
+	defaultReplicas     = 2
+	defaultStages       = 2
+	defaultSlots        = 4
+	defaultStepTime     = 10 * time.Millisecond
+	defaultStoreLatency = 4 * time.Millisecond
 )
 
 func layout(a args) (Layout, error) {
@@ -99,7 +99,7 @@
 	l.Stages, errs[2] = a.number("stages", defaultStages)
 	l.Slots, errs[3] = a.number("slots", defaultSlots)
 	l.StepTime, errs[4] = a.duration("step", defaultStepTime)
-	l.StoreLatency, errs[5] = a.duration("store", defaultStore)
+	l.StoreLatency, errs[5] = a.duration("store", defaultStoreLatency)
 	l.Documents = a.has("documents")
 	l.Quarantine = a.has("quarantine")
 	for _, err := range errs {
--- a/scenario/books.go
+++ b/scenario/books.go
@@ -4,79 +4,82 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// books is what truly ran, kept beside the machines to check their words.
-type books struct {
-	layers  map[layerRun]int
-	keys    map[state.RequestID]state.IdempotencyKey
-	begun   map[state.IdempotencyKey]map[work]bool // attempts that ran
-	refused map[work]bool                          // attempts of requests refused as not run
-	once    map[state.IdempotencyKey]bool          // never to be repeated
+// ledger records what the engines actually ran, independently of the state
+// machines, so that their results can be checked against it.
+type ledger struct {
+	layerRuns       map[layerRun]int
+	keys            map[state.RequestID]state.IdempotencyKey
+	startedAttempts map[state.IdempotencyKey]map[attemptKey]bool // attempts that ran at an engine
+	refusedAttempts map[attemptKey]bool                          // attempts of requests refused as not run
+	atMostOnce      map[state.IdempotencyKey]bool                // keys of requests that must not be repeated
 }
 
-// layerRun is one stage's run for one token.
+// layerRun identifies the run of one stage for one token of an attempt.
 type layerRun struct {
-	work  work
-	token int
-	stage int
+	attempt attemptKey
+	token   int
+	stage   int
 }
 
-func newBooks() *books {
-	return &books{
-		layers:  make(map[layerRun]int),
-		keys:    make(map[state.RequestID]state.IdempotencyKey),
-		begun:   make(map[state.IdempotencyKey]map[work]bool),
-		refused: make(map[work]bool),
-		once:    make(map[state.IdempotencyKey]bool),
+func newLedger() *ledger {
+	return &ledger{
+		layerRuns:       make(map[layerRun]int),
+		keys:            make(map[state.RequestID]state.IdempotencyKey),
+		startedAttempts: make(map[state.IdempotencyKey]map[attemptKey]bool),
+		refusedAttempts: make(map[attemptKey]bool),
+		atMostOnce:      make(map[state.IdempotencyKey]bool),
 	}
 }
 
-// ran notes that a stage ran its layers for a token, and checks the promises.
-func (b *books) ran(w *Simulation, k work, token, stage int) {
-	at := layerRun{work: k, token: token, stage: stage}
-	b.layers[at]++
-	if b.layers[at] > 1 {
-		w.violated("stage %d ran twice for token %d of %s", stage+1, token, k.request)
+// recordLayerRun records that a stage ran its layers for a token, and checks the
+// invariants of order and uniqueness.
+func (b *ledger) recordLayerRun(sim *Simulation, k attemptKey, token, stage int) {
+	at := layerRun{attempt: k, token: token, stage: stage}
+	b.layerRuns[at]++
+	if b.layerRuns[at] > 1 {
+		sim.reportViolation("stage %d ran twice for token %d of %s", stage+1, token, k.request)
 	}
-	if stage > 0 && b.layers[layerRun{work: k, token: token, stage: stage - 1}] == 0 {
-		w.violated("stage %d ran before the one below for token %d of %s", stage+1, token, k.request)
+	if stage > 0 && b.layerRuns[layerRun{attempt: k, token: token, stage: stage - 1}] == 0 {
+		sim.reportViolation("stage %d ran before the previous stage for token %d of %s", stage+1, token, k.request)
 	}
-	b.began(w, k)
+	b.recordStart(sim, k)
 }
 
-// began notes that an engine began an attempt.
-func (b *books) began(w *Simulation, k work) {
-	if b.refused[k] {
-		w.violated("%s was refused as not run, and ran", k.request)
+// recordStart records that an engine started an attempt.
+func (b *ledger) recordStart(sim *Simulation, k attemptKey) {
+	if b.refusedAttempts[k] {
+		sim.reportViolation("%s was refused as not run, but ran afterwards", k.request)
 	}
 	key := b.keys[k.request]
-	attempts := b.begun[key]
+	attempts := b.startedAttempts[key]
 	if attempts == nil {
-		attempts = make(map[work]bool)
-		b.begun[key] = attempts
+		attempts = make(map[attemptKey]bool)
+		b.startedAttempts[key] = attempts
 	}
 	attempts[k] = true
-	if b.once[key] && len(attempts) > 1 {
-		w.violated("%s is never to be repeated, and began %d times", key, len(attempts))
+	if b.atMostOnce[key] && len(attempts) > 1 {
+		sim.reportViolation("%s must not be repeated, but was started %d times", key, len(attempts))
 	}
 }
 
-// submitted notes what a request's caller asks for.
-func (b *books) submitted(id state.RequestID, key state.IdempotencyKey, once bool) {
+// recordRequest records a request's idempotency key and whether it may be repeated.
+func (b *ledger) recordRequest(id state.RequestID, key state.IdempotencyKey, once bool) {
 	b.keys[id] = key
-	b.once[key] = once
+	b.atMostOnce[key] = once
 }
 
-// executions counts the attempts that began under a request's key.
-func (b *books) executions(id state.RequestID) int {
-	return len(b.begun[b.keys[id]])
+// attemptCount returns the number of attempts started under a request's key.
+func (b *ledger) attemptCount(id state.RequestID) int {
+	return len(b.startedAttempts[b.keys[id]])
 }
 
-// refuse notes that a request's caller was told that it was not run.
-func (b *books) refuse(w *Simulation, r *run) {
-	for k := range r.drove {
-		if b.begun[b.keys[k.request]][k] {
-			w.violated("%s was refused as not run, but it ran", r.name())
+// recordRefusal records that a request was refused as not run, and checks that none
+// of its attempts ran.
+func (b *ledger) recordRefusal(sim *Simulation, r *run) {
+	for k := range r.attempts {
+		if b.startedAttempts[b.keys[k.request]][k] {
+			sim.reportViolation("%s was refused as not run, but it ran", r.name())
 		}
-		b.refused[k] = true
+		b.refusedAttempts[k] = true
 	}
 }
--- a/scenario/caller.go
+++ b/scenario/caller.go
@@ -7,47 +7,47 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// caller is who sent one request, and what came back.
+// caller is the sender of one request, with the part of the answer it has received.
 type caller struct {
-	w       *Simulation
-	name    string
-	seen    int    // tokens
-	outcome string // empty while it waits
-	run     *run   // whose answer it reads
+	sim      *Simulation
+	name     string
+	received int    // tokens
+	outcome  string // empty until the request has ended
+	run      *run   // the run whose answer it reads; nil when disconnected
 }
 
-// watch has the caller read a run's answer from the first token it lacks.
-func (c *caller) watch(r *run) {
+// readFrom connects the caller to a run's answer, from the first missing token on.
+func (c *caller) readFrom(r *run) {
 	c.run = r
 	r.callers = append(r.callers, c)
 	for i, v := range r.tokens {
-		c.token(i, v)
+		c.onToken(i, v)
 	}
 	if r.outcome != nil {
-		c.ended(r.outcome)
+		c.onEnd(r.outcome)
 	}
 }
 
-// token takes one token; those that the caller has already are passed over, as
-// its stream does.
-func (c *caller) token(index int, value int64) {
+// onToken receives one token. Tokens that the caller already has are skipped, as a
+// real stream does.
+func (c *caller) onToken(index int, value int64) {
 	switch {
 	case value != tokenValue(index):
-		c.w.violated("%s got %d as token %d", c.name, value, index)
-	case index > c.seen:
-		c.w.violated("%s got token %d after %d tokens", c.name, index, c.seen)
-	case index == c.seen:
-		c.seen++
-		c.w.say("%s gets token %d", c.name, index)
+		c.sim.reportViolation("%s got %d as token %d", c.name, value, index)
+	case index > c.received:
+		c.sim.reportViolation("%s got token %d when it had %d tokens", c.name, index, c.received)
+	case index == c.received:
+		c.received++
+		c.sim.printf("%s gets token %d", c.name, index)
 	}
 }
 
-func (c *caller) ended(o state.Outcome) {
+func (c *caller) onEnd(o state.Outcome) {
 	switch o := o.(type) {
 	case state.Completed:
 		c.outcome = "completed"
-		if o.Tokens != c.seen {
-			c.w.violated("%s has %d tokens of %d", c.name, c.seen, o.Tokens)
+		if o.Tokens != c.received {
+			c.sim.reportViolation("%s completed with %d of %d tokens", c.name, c.received, o.Tokens)
 		}
 	case state.Refused:
 		c.outcome = fmt.Sprintf("refused as not run: %s", o.Reason)
@@ -56,11 +56,11 @@
 	case state.Unknown:
 		c.outcome = fmt.Sprintf("outcome unknown: %s", o.Reason)
 	}
-	c.w.say("%s %s", c.name, c.outcome)
+	c.sim.printf("%s %s", c.name, c.outcome)
 }
 
-// leave ends the caller's connection to the daemon that it reads from.
-func (c *caller) leave() {
+// disconnect closes the caller's connection to the daemon that it reads from.
+func (c *caller) disconnect() {
 	if c.run == nil {
 		return
 	}
--- a/scenario/claim.go
+++ b/scenario/claim.go
@@ -12,14 +12,14 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// claim is one claim at one daemon, and the run that it serves now. It is kept
-// until it is released, even past its run.
+// claim is one claim at one daemon and the run that uses it. It remains until the
+// claim is released, even after the run has ended.
 type claim struct {
 	n       *node
 	m       *claims.Claim
 	r       *run // nil when the request has ended
-	voiding bool // r waits for VoidSettled
-	settled bool // r has had an answer to its PutClaim
+	voiding bool // r is waiting for VoidSettled
+	settled bool // r has received the answer to its PutClaim
 }
 
 func keyOf(r *run) claims.Key {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// claimOf returns the claim that serves r, or nil.
+// claimOf returns the claim used by r, or nil.
 func (n *node) claimOf(r *run) *claim {
 	c := n.claim(keyOf(r))
 	if c == nil || c.r != r {
@@ -50,8 +50,8 @@
 		r := n.run(rec.Request)
 		return r != nil && !r.m.Ended()
 	}
-	other := n.w.node(string(rec.Owner.ID))
-	return other != nil && other.works() && other.member == rec.Owner
+	other := n.sim.node(string(rec.Owner.ID))
+	return other != nil && other.isLive() && other.member == rec.Owner
 }
 
 func (n *node) putClaim(r *run, a request.PutClaim) {
@@ -62,7 +62,7 @@
 	c := n.claim(keyOf(r))
 	switch {
 	case c == nil:
-		n.beginClaim(r, slot)
+		n.startClaim(r, slot)
 	case c.r == r:
 		c.settled = false
 		c.step(claims.Redispatch{Slot: slot, Proof: a.Proof})
@@ -71,20 +71,20 @@
 		c.settled = false
 		c.step(claims.Reuse{Request: r.spec.ID, Slot: slot, Deadline: r.spec.FirstTokenDeadline})
 	default:
-		r.follows = n.run(c.m.Request().ID)
-		r.later(0, request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate})
+		r.joined = n.run(c.m.Request().ID)
+		r.feedAfter(0, request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate})
 	}
 }
 
-func (n *node) beginClaim(r *run, slot claims.Slot) {
-	n.w.seq++
+func (n *node) startClaim(r *run, slot claims.Slot) {
+	n.sim.seq++
 	c := &claim{n: n, r: r}
-	c.m = claims.New(claims.DefaultConfig(), n.w.rng, n, claims.Request{
+	c.m = claims.New(claims.DefaultConfig(), n.sim.rng, n, claims.Request{
 		Key:         keyOf(r),
 		Content:     r.spec.Prompt,
 		ID:          r.spec.ID,
 		Owner:       n.member,
-		Nonce:       state.Nonce(fmt.Sprintf("%s/%d", n.name, n.w.seq)),
+		Nonce:       state.Nonce(fmt.Sprintf("%s/%d", n.name, n.sim.seq)),
 		Deadline:    r.spec.FirstTokenDeadline,
 		OwnerNumber: n.owner,
 	})
@@ -101,7 +101,7 @@
 func (n *node) voidClaim(r *run, proof state.NotRunProof) {
 	c := n.claimOf(r)
 	if c == nil {
-		r.later(0, request.VoidSettled{})
+		r.feedAfter(0, request.VoidSettled{})
 		return
 	}
 	c.voiding = true
@@ -121,8 +121,8 @@
 	}
 }
 
-// claimEnded forgets the request, not the claim.
-func (n *node) claimEnded(r *run) {
+// detachClaim separates the claim from an ended run; the claim itself remains.
+func (n *node) detachClaim(r *run) {
 	if c := n.claimOf(r); c != nil {
 		c.r = nil
 	}
@@ -132,26 +132,26 @@
 	if c.m.Released() {
 		return
 	}
-	for _, a := range c.m.Step(c.n.w.now, ev) {
-		c.carryOut(a)
+	for _, a := range c.m.Step(c.n.sim.now, ev) {
+		c.execute(a)
 	}
 }
 
-func (c *claim) carryOut(a claims.Action) {
-	w := c.n.w
+func (c *claim) execute(a claims.Action) {
+	sim := c.n.sim
 	switch a := a.(type) {
 	case claims.CallStore:
-		w.call(a.Call, func(res store.Result) {
-			c.n.do(func() { c.step(claims.StoreResult{Result: res}) })
+		sim.callTable(a.Call, func(res store.Result) {
+			c.n.deliver(func() { c.step(claims.StoreResult{Result: res}) })
 		})
 	case claims.Dispatch:
-		c.answer(request.ClaimSettled{Result: request.ClaimWon})
+		c.settle(request.ClaimSettled{Result: request.ClaimWon})
 	case claims.Continue:
-		c.continued(a.Record)
+		c.takeOver(a.Record)
 	case claims.QueryAttempt:
-		w.after(hop, func() {
-			ev := w.evidence(a.Record)
-			w.after(hop, func() { c.n.do(func() { c.step(ev) }) })
+		sim.after(hopDelay, func() {
+			ev := sim.evidence(a.Record)
+			sim.after(hopDelay, func() { c.n.deliver(func() { c.step(ev) }) })
 		})
 	case claims.Verdict:
 		c.verdict(a)
@@ -160,17 +160,17 @@
 	}
 }
 
-// evidence asks the engines of a claimed attempt whose owner is gone.
-func (w *Simulation) evidence(rec claims.Record) claims.Evidence {
+// evidence queries the engines of a claimed attempt whose owner is gone.
+func (sim *Simulation) evidence(rec claims.Record) claims.Evidence {
 	ev := claims.Evidence{Epoch: rec.Epoch, Kind: claims.EvidenceNone}
 	held := 0
 	for i, b := range rec.Slot.Backends {
-		e := w.engine(string(b.ID))
+		e := sim.engine(string(b.ID))
 		if e.dead {
 			return ev
 		}
 		ref := request.StepRef{Attempt: rec.Slot.Attempt, Epoch: rec.Epoch, Stage: i}
-		h, ok := e.held(rec.Request, ref, 0).(request.StageState)
+		h, ok := e.queryState(rec.Request, ref, 0).(request.StageState)
 		if !ok {
 			return ev
 		}
@@ -186,18 +186,18 @@
 	return ev
 }
 
-// answer gives the run the answer to its PutClaim, once.
-func (c *claim) answer(ev request.ClaimSettled) {
+// settle delivers the answer to the run's PutClaim, at most once.
+func (c *claim) settle(ev request.ClaimSettled) {
 	if c.r == nil || c.settled {
 		return
 	}
 	c.settled = true
-	c.r.later(0, ev)
+	c.r.feedAfter(0, ev)
 }
 
-// continued has the run go on with an attempt that another daemon began.
-func (c *claim) continued(rec claims.Record) {
-	replica, ok := c.n.w.replica(rec.Slot.Replica)
+// takeOver makes the run continue an attempt that another daemon started.
+func (c *claim) takeOver(rec claims.Record) {
+	replica, ok := c.n.sim.replica(rec.Slot.Replica)
 	if c.r == nil || !ok {
 		c.step(claims.Ended{Phase: claims.PhaseUnknown})
 		return
@@ -207,7 +207,7 @@
 		replica.Stages[i].BootID = b.BootID
 	}
 	c.r.execution = rec.Request
-	c.answer(request.ClaimSettled{
+	c.settle(request.ClaimSettled{
 		Result:   request.ClaimTakenOver,
 		Takeover: request.Takeover{Replica: replica, Attempt: rec.Slot.Attempt, Epoch: rec.Epoch},
 	})
@@ -222,10 +222,10 @@
 		c.voiding = false
 		c.settled = true
 		c.r = nil
-		r.later(0, request.VoidSettled{Voided: v.Kind == claims.VerdictNotRun})
+		r.feedAfter(0, request.VoidSettled{Voided: v.Kind == claims.VerdictNotRun})
 		return
 	case v.Kind == claims.VerdictOvertaken:
-		r.say("claim: taken over by %s", v.Record.Owner.ID)
+		r.printf("claim: taken over by %s", v.Record.Owner.ID)
 		return
 	}
 	settled := request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: verdictReason(v)}
@@ -233,15 +233,15 @@
 	case claims.VerdictNotRun:
 		settled.Result = request.ClaimRefused
 	case claims.VerdictJoin, claims.VerdictDuplicate:
-		if owner := c.n.w.node(string(v.Record.Owner.ID)); owner.works() {
-			r.follows = owner.run(v.Record.Request)
+		if owner := c.n.sim.node(string(v.Record.Owner.ID)); owner.isLive() {
+			r.joined = owner.run(v.Record.Request)
 		}
 	default:
 	}
 	if v.Kind == claims.VerdictJoin {
 		c.n.claims = slices.DeleteFunc(slices.Clone(c.n.claims), func(other *claim) bool { return other == c })
 	}
-	c.answer(settled)
+	c.settle(settled)
 }
 
 var verdictReasons = map[claims.VerdictKind]state.Reason{
@@ -250,7 +250,7 @@
 	claims.VerdictNotRun:    state.ReasonStoreUnavailable,
 }
 
-// verdictReason says why a request has no claim.
+// verdictReason returns the reason for which a request did not get its claim.
 func verdictReason(v claims.Verdict) state.Reason {
 	if v.Kind == claims.VerdictNotRun && v.Reason != "" {
 		return v.Reason
--- a/scenario/clock.go
+++ b/scenario/clock.go
@@ -5,96 +5,96 @@
 	"time"
 )
 
-// agenda orders what is to happen by time, and by order of entry at one time.
-type agenda []happening
+// eventQueue is a heap of scheduled events, ordered by time and then by insertion.
+type eventQueue []event
 
-type happening struct {
+type event struct {
 	at  time.Time
 	seq int
-	do  func()
+	run func()
 }
 
-func (a agenda) Len() int { return len(a) }
+func (a eventQueue) Len() int { return len(a) }
 
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Less(i, j int) bool {
 	if a[i].at.Equal(a[j].at) {
 		return a[i].seq < a[j].seq
 	}
 	return a[i].at.Before(a[j].at)
 }
 
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 
-func (a *agenda) Push(x any) { *a = append(*a, x.(happening)) }
+func (a *eventQueue) Push(x any) { *a = append(*a, x.(event)) }
 
-func (a *agenda) Pop() any {
+func (a *eventQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// after has do run when d has passed.
-func (w *Simulation) after(d time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.agenda, happening{at: w.now.Add(d), seq: w.seq, do: do})
+// after schedules do to run when d has passed.
+func (sim *Simulation) after(d time.Duration, do func()) {
+	sim.seq++
+	heap.Push(&sim.events, event{at: sim.now.Add(d), seq: sim.seq, run: do})
 }
 
-// maxTurns bounds the turns at one time; a machine that asks for a tick again
-// and again without time passing is broken.
-const maxTurns = 1000
+// maxStepsPerInstant bounds the steps at one point in virtual time. A state machine
+// that keeps requesting a tick without time passing is faulty.
+const maxStepsPerInstant = 1000
 
-// runUntil lets time pass until done reports true or end is reached, and
-// reports whether done did.
-func (w *Simulation) runUntil(end time.Time, done func() bool) bool {
+// runUntil advances time until done reports true or end is reached, and returns
+// the last result of done.
+func (sim *Simulation) runUntil(end time.Time, done func() bool) bool {
 	turns := 0
 	for !done() {
-		next := w.nextAt()
+		next := sim.nextAt()
 		if next.IsZero() || next.After(end) {
-			w.now = end
+			sim.now = end
 			return done()
 		}
 		turns++
-		if next.After(w.now) {
-			w.now = next
+		if next.After(sim.now) {
+			sim.now = next
 			turns = 0
 		}
-		if turns > maxTurns {
-			w.violated("a machine asks for a tick again and again at %s", w.stamp())
+		if turns > maxStepsPerInstant {
+			sim.reportViolation("a state machine keeps requesting a tick at %s", sim.timestamp())
 			return false
 		}
-		w.turn()
+		sim.processNext()
 	}
 	return true
 }
 
-// turn does one thing that is due: the first of the agenda, else all ticks.
-func (w *Simulation) turn() {
-	if len(w.agenda) > 0 && !w.agenda[0].at.After(w.now) {
-		heap.Pop(&w.agenda).(happening).do()
+// processNext runs the first queued event if it is due, or else all ticks that are due.
+func (sim *Simulation) processNext() {
+	if len(sim.events) > 0 && !sim.events[0].at.After(sim.now) {
+		heap.Pop(&sim.events).(event).run()
 		return
 	}
-	w.pool.tick()
-	for _, n := range w.nodes {
+	sim.pool.tick()
+	for _, n := range sim.nodes {
 		n.tick()
 	}
 }
 
-// nextAt is when something is to happen next, zero for never.
-func (w *Simulation) nextAt() time.Time {
-	next := w.pool.home.NextTick(w.now)
-	for _, n := range w.nodes {
+// nextAt returns the time of the next event or tick, or the zero time if there is none.
+func (sim *Simulation) nextAt() time.Time {
+	next := sim.pool.home.NextTick(sim.now)
+	for _, n := range sim.nodes {
 		next = earlier(next, n.nextTick())
 	}
-	if len(w.agenda) > 0 {
-		next = earlier(next, w.agenda[0].at)
+	if len(sim.events) > 0 {
+		next = earlier(next, sim.events[0].at)
 	}
-	if !next.IsZero() && next.Before(w.now) {
-		return w.now
+	if !next.IsZero() && next.Before(sim.now) {
+		return sim.now
 	}
 	return next
 }
 
-// earlier returns the earlier of two times, the zero time standing for never.
+// earlier returns the earlier of two times, where the zero time means never.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/scenario/command.go
+++ b/scenario/command.go
@@ -13,31 +13,31 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Script runs the commands of one file.
+// Script runs the commands of one scenario file.
 type Script struct {
-	w *Simulation
+	sim *Simulation
 }
 
-// command is one command of the language.
-type command func(w *Simulation, a args) error
+// command is one command of the scenario language.
+type command func(sim *Simulation, a args) error
 
 var commands = map[string]command{
 	"submit":  submit,
 	"attach":  attach,
 	"cancel":  cancel,
-	"run":     letRun,
+	"run":     runCommand,
 	"kill":    kill,
 	"start":   start,
 	"pause":   pause,
-	"wake":    wake,
-	"cut":     cut,
+	"wake":    resume,
+	"cut":     partition,
 	"heal":    heal,
 	"leave":   leave,
-	"next":    next,
+	"next":    setStepFault,
 	"store":   storeCommand,
 	"edit":    edit,
-	"answers": answers,
-	"force":   force,
+	"answers": listAnswers,
+	"force":   listVersions,
 }
 
 // Commands lists the names of all commands, in order.
@@ -50,42 +50,42 @@
 // siteCommand is the first command of each script.
 const siteCommand = "site"
 
-// Run runs one command and returns what it prints. A mistake in the script is
-// printed as a line that begins with "error:".
+// Run executes one command and returns its output. An invalid command returns a
+// line that begins with "error:".
 func (s *Script) Run(d *datadriven.TestData) string {
 	a := args{d: d}
 	if d.Cmd == siteCommand {
 		l, err := layout(a)
 		if err != nil {
-			return fail(err)
+			return errorText(err)
 		}
-		s.w = New(l)
+		s.sim = New(l)
 		return ""
 	}
 	c, ok := commands[d.Cmd]
 	switch {
 	case !ok:
-		return fail(fmt.Errorf("unknown command %q", d.Cmd))
-	case s.w == nil:
-		return fail(fmt.Errorf("the first command is site"))
+		return errorText(fmt.Errorf("unknown command %q", d.Cmd))
+	case s.sim == nil:
+		return errorText(fmt.Errorf("the first command must be site"))
 	}
-	if err := c(s.w, a); err != nil {
-		return fail(err)
+	if err := c(s.sim, a); err != nil {
+		return errorText(err)
 	}
-	out := strings.Join(s.w.out, "\n")
-	s.w.out = nil
+	out := strings.Join(s.sim.output, "\n")
+	s.sim.output = nil
 	if out != "" {
 		out += "\n"
 	}
 	return out
 }
 
-func fail(err error) string { return "error: " + err.Error() + "\n" }
+func errorText(err error) string { return "error: " + err.Error() + "\n" }
 
-// longest bounds a run that waits for something.
-const longest = time.Minute
+// maxRunTime bounds the virtual time of "run until=NAME".
+const maxRunTime = time.Minute
 
-func letRun(w *Simulation, a args) error {
+func runCommand(sim *Simulation, a args) error {
 	span, err := a.duration("for", 0)
 	if err != nil {
 		return err
@@ -96,24 +96,24 @@
 	}
 	until := a.text("until", "")
 	if until == "" {
-		w.runUntil(w.now.Add(span), func() bool { return false })
+		sim.runUntil(sim.now.Add(span), func() bool { return false })
 		return nil
 	}
-	c := w.caller(until)
+	c := sim.caller(until)
 	if c == nil {
-		return fmt.Errorf("until=%s names no request", until)
+		return fmt.Errorf("until=%s: no such request", until)
 	}
-	reached := w.runUntil(w.now.Add(longest), func() bool {
-		return c.outcome != "" || tokens >= 0 && c.seen >= tokens
+	reached := sim.runUntil(sim.now.Add(maxRunTime), func() bool {
+		return c.outcome != "" || tokens >= 0 && c.received >= tokens
 	})
 	if !reached {
-		w.say("%s still waits", until)
+		sim.printf("%s has not ended", until)
 	}
 	return nil
 }
 
-func edit(w *Simulation, a args) error {
-	n, err := a.node(w)
+func edit(sim *Simulation, a args) error {
+	n, err := a.node(sim)
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 		return err
 	}
 	if n.docs == nil {
-		return fmt.Errorf("this site keeps no documents; begin with: site documents")
+		return fmt.Errorf("this site has no documents; start the script with: site documents")
 	}
 	n.edit(documents.SubmitEdit{
 		Service: state.ServiceID(a.word(0)), Base: state.DocumentVersion(base),
@@ -131,9 +131,9 @@
 	return nil
 }
 
-// force lists the versions in force at each daemon that lives.
-func force(w *Simulation, _ args) error {
-	for _, n := range w.nodes {
+// listVersions prints the active document versions of each live daemon.
+func listVersions(sim *Simulation, _ args) error {
+	for _, n := range sim.nodes {
 		if n.docs == nil || n.dead {
 			continue
 		}
@@ -145,20 +145,21 @@
 		if n.docs.Isolated() {
 			line += " isolated"
 		}
-		w.out = append(w.out, line)
+		sim.output = append(sim.output, line)
 	}
 	return nil
 }
 
-// answers lists what each caller has, and how often its request truly began.
-func answers(w *Simulation, _ args) error {
-	for _, c := range w.callers {
+// listAnswers prints what each caller has received and how many attempts were
+// started under its key.
+func listAnswers(sim *Simulation, _ args) error {
+	for _, c := range sim.callers {
 		outcome := c.outcome
 		if outcome == "" {
 			outcome = "no outcome"
 		}
-		w.out = append(w.out, fmt.Sprintf("%s: %d tokens, %s; its key began %d times",
-			c.name, c.seen, outcome, w.books.executions(state.RequestID(c.name))))
+		sim.output = append(sim.output, fmt.Sprintf("%s: %d tokens, %s; attempts under its key: %d",
+			c.name, c.received, outcome, sim.ledger.attemptCount(state.RequestID(c.name))))
 	}
 	return nil
 }
--- a/scenario/command_faults.go
+++ b/scenario/command_faults.go
@@ -7,103 +7,104 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// kill ends an engine or a daemon; start brings an engine back, empty.
-func kill(w *Simulation, a args) error {
+// kill terminates the process of an engine or a daemon.
+func kill(sim *Simulation, a args) error {
 	name := a.word(0)
-	if e := w.engine(name); e != nil {
-		w.say("%s dies", name)
+	if e := sim.engine(name); e != nil {
+		sim.printf("%s dies", name)
 		e.kill()
 		return nil
 	}
-	n := w.node(name)
+	n := sim.node(name)
 	if n == nil {
-		return fmt.Errorf("kill needs an engine or a daemon")
+		return fmt.Errorf("kill: want the name of an engine or a daemon")
 	}
-	w.say("%s dies", name)
+	sim.printf("%s dies", name)
 	n.dead = true
-	w.pool.membersChanged()
+	sim.pool.membersChanged()
 	if n.quarantine != nil {
-		w.tellQuarantines()
+		sim.updateQuarantineViews()
 	}
 	return nil
 }
 
-func start(w *Simulation, a args) error {
-	e := w.engine(a.word(0))
+// start starts a new process of an engine, with an empty cache.
+func start(sim *Simulation, a args) error {
+	e := sim.engine(a.word(0))
 	if e == nil {
-		return fmt.Errorf("start needs an engine")
+		return fmt.Errorf("start: want the name of an engine")
 	}
 	e.dead = false
-	w.say("%s starts, and knows nothing", e.name)
+	sim.printf("%s starts with an empty cache", e.name)
 	return nil
 }
 
-// eachNode does f with the daemon that the first word names.
-func eachNode(w *Simulation, a args, f func(*node)) error {
-	n := w.node(a.word(0))
+// withNode calls f with the daemon named by the first word.
+func withNode(sim *Simulation, a args, f func(*node)) error {
+	n := sim.node(a.word(0))
 	if n == nil {
-		return fmt.Errorf("%s needs a daemon", a.d.Cmd)
+		return fmt.Errorf("%s: want the name of a daemon", a.d.Cmd)
 	}
 	f(n)
 	return nil
 }
 
-func pause(w *Simulation, a args) error {
-	return eachNode(w, a, func(n *node) { n.paused = true; w.say("%s is paused", n.name) })
+func pause(sim *Simulation, a args) error {
+	return withNode(sim, a, func(n *node) { n.paused = true; sim.printf("%s is paused", n.name) })
 }
 
-func wake(w *Simulation, a args) error {
-	return eachNode(w, a, func(n *node) { w.say("%s wakes", n.name); n.wake() })
+func resume(sim *Simulation, a args) error {
+	return withNode(sim, a, func(n *node) { sim.printf("%s resumes", n.name); n.resume() })
 }
 
-func cut(w *Simulation, a args) error {
-	return eachNode(w, a, func(n *node) { n.cut = true; w.say("%s is cut off", n.name) })
+func partition(sim *Simulation, a args) error {
+	return withNode(sim, a, func(n *node) { n.partitioned = true; sim.printf("%s is partitioned from the network", n.name) })
 }
 
-func heal(w *Simulation, a args) error {
-	return eachNode(w, a, func(n *node) { n.cut = false; w.say("%s is connected again", n.name) })
+func heal(sim *Simulation, a args) error {
+	return withNode(sim, a, func(n *node) { n.partitioned = false; sim.printf("%s is connected to the network again", n.name) })
 }
 
-// leave says that a replica is leaving.
-func leave(w *Simulation, a args) error {
+// leave marks a replica as leaving.
+func leave(sim *Simulation, a args) error {
 	id := state.ReplicaID(a.word(0))
-	if _, ok := w.replica(id); !ok {
-		return fmt.Errorf("leave needs a replica")
+	if _, ok := sim.replica(id); !ok {
+		return fmt.Errorf("leave: want the name of a replica")
 	}
-	w.say("%s is leaving", id)
-	w.pool.step(home.ReplicaLeaving{Replica: id})
+	sim.printf("%s is leaving", id)
+	sim.pool.step(home.ReplicaLeaving{Replica: id})
 	return nil
 }
 
-var mishaps = map[string]mishap{
-	"answer-lost": mishapLoseAnswer,
-	"silent":      mishapSilent,
-	"late":        mishapLate,
+var stepFaults = map[string]stepFault{
+	"answer-lost": faultAnswerLost,
+	"silent":      faultUnresponsive,
+	"late":        faultLate,
 }
 
-// next says what befalls the next step sent to an engine.
-func next(w *Simulation, a args) error {
-	e := w.engine(a.word(0))
-	what, ok := mishaps[a.word(1)]
+// setStepFault sets the fault of the next step sent to an engine.
+func setStepFault(sim *Simulation, a args) error {
+	e := sim.engine(a.word(0))
+	fault, ok := stepFaults[a.word(1)]
 	if e == nil || !ok {
-		return fmt.Errorf("next needs an engine and answer-lost, silent or late")
+		return fmt.Errorf("next: want an engine and one of answer-lost, silent, late")
 	}
-	e.next = what
+	e.nextFault = fault
 	return nil
 }
 
-func storeCommand(w *Simulation, a args) error {
+func storeCommand(sim *Simulation, a args) error {
 	switch a.word(0) {
 	case "down":
-		w.table.down = true
-		w.say("store: down")
+		sim.table.down = true
+		sim.printf("store: down")
 	case "up":
-		w.table.down = false
-		w.say("store: up")
+		sim.table.down = false
+		sim.printf("store: up")
 	case "lose-answer":
-		w.table.loseAnswer++
+		sim.table.answersToLose++
 	default:
-		return fmt.Errorf("store needs down, up or lose-answer")
+		return fmt.Errorf("store: want one of down, up, lose-answer")
 	}
 	return nil
 }
--- a/scenario/daemon/site.go
+++ b/scenario/daemon/site.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	patience = 30 * time.Second // bound of everything that is waited for
-	poll     = 10 * time.Millisecond
-	stepTime = 20 * time.Millisecond
+	testTimeout  = 30 * time.Second // bound of every wait
+	pollInterval = 10 * time.Millisecond
+	stepTime     = 20 * time.Millisecond
 )
 
-// What a site serves.
+// The service of a site.
 const (
-	drafts      state.ServiceID  = "drafts"
-	customer    state.CustomerID = "bank"
-	classDraft  state.ClassID    = "draft"
-	classNote   state.ClassID    = "note" // never to be repeated
-	tokens                       = 30
-	defaultSize                  = 3 // daemons
+	drafts       state.ServiceID  = "drafts"
+	customer     state.CustomerID = "bank"
+	classDraft   state.ClassID    = "draft"
+	classNote    state.ClassID    = "note" // must not be repeated
+	answerTokens                  = 30
+	defaultSize                   = 3 // daemons
 )
 
 var chains = site.Chains{Prefix: "drafter", Replicas: 2, Stages: 2, Layers: 8}
 
-// Site is what one script runs against.
+// Site is the site that one script runs against.
 type Site struct {
 	*site.Site
 	ctx   context.Context
@@ -45,7 +45,7 @@
 
 type siteKey struct{}
 
-// Setup gives a script its site; it is started by the command site.
+// Setup creates the site of a script. The command "site" starts it.
 func Setup(env *testscript.Env) error {
 	s, err := site.New(telemetry.Discard())
 	if err != nil {
@@ -60,10 +60,10 @@
 	return nil
 }
 
-// Command is one command of a script.
+// Command is one script command.
 type Command = func(ts *testscript.TestScript, neg bool, args []string)
 
-// Commands are the commands besides those of testscript.
+// Commands returns the commands that extend those of testscript.
 func Commands() map[string]Command {
 	named := map[string]func(s *Site, ts *testscript.TestScript, args []string){
 		"site":     startSite,
@@ -73,19 +73,19 @@
 		"crash":    crash,
 		"restart":  restart,
 		"store":    setStore,
-		"gone":     awaitGone,
+		"gone":     awaitStopped,
 		"submit":   submit,
 		"await":    await,
-		"whole":    checkWhole,
-		"unbroken": checkUnbroken,
-		"ran":      checkRan,
-		"intact":   checkIntact,
+		"whole":    checkComplete,
+		"unbroken": checkSingleConnection,
+		"ran":      checkRunCount,
+		"intact":   checkLayerOrder,
 	}
 	out := make(map[string]Command, len(named))
 	for name, run := range named {
 		out[name] = func(ts *testscript.TestScript, neg bool, args []string) {
 			if neg {
-				ts.Fatalf("%s can't be negated", name)
+				ts.Fatalf("%s does not support negation", name)
 			}
 			run(ts.Value(siteKey{}).(*Site), ts, args)
 		}
@@ -96,22 +96,23 @@
 // arg returns the i-th argument.
 func arg(ts *testscript.TestScript, args []string, i int) string {
 	if i >= len(args) {
-		ts.Fatalf("argument %d is missing", i+1)
+		ts.Fatalf("missing argument %d", i+1)
 	}
 	return args[i]
 }
 
-func number(ts *testscript.TestScript, text string) int {
+func parseCount(ts *testscript.TestScript, text string) int {
 	n, err := strconv.Atoi(text)
 	ts.Check(err)
 	return n
 }
 
-// startSite starts engines and daemons, whose base URLs are then in $D1, $D2, ...
+// startSite starts engines and daemons, and sets $D1, $D2, ... to the daemons' base
+// URLs.
 func startSite(s *Site, ts *testscript.TestScript, args []string) {
 	size := defaultSize
 	if len(args) > 0 {
-		size = number(ts, args[0])
+		size = parseCount(ts, args[0])
 	}
 	ts.Check(s.AddChains(chains, standin.EngineConfig{
 		Service: drafts, Model: "notes", Version: "1", Kind: "large", StepTime: stepTime,
@@ -123,17 +124,18 @@
 	}
 }
 
-// writeDocument writes the site's document into a file, with so many slots.
+// writeDocument writes the service document to a file, with a given number of slots
+// per replica.
 func writeDocument(_ *Site, ts *testscript.TestScript, args []string) {
 	doc := service.Document{
 		Service:   drafts,
 		Kind:      service.KindModel,
 		Model:     &service.Model{Name: "notes", Version: "1", Layers: chains.Layers},
-		Capacity:  service.Capacity{Replicas: chains.Replicas, SlotsPerReplica: number(ts, arg(ts, args, 1)), QueuePerClass: 64},
+		Capacity:  service.Capacity{Replicas: chains.Replicas, SlotsPerReplica: parseCount(ts, arg(ts, args, 1)), QueuePerClass: 64},
 		Placement: chains.Placement(),
 		Classes: []service.Class{
-			{Name: classNote, Priority: 0, Deadline: service.Duration(patience), NeverRepeat: true, MaxTokens: tokens},
-			{Name: classDraft, Priority: 1, Deadline: service.Duration(patience), MaxTokens: tokens},
+			{Name: classNote, Priority: 0, Deadline: service.Duration(testTimeout), NeverRepeat: true, MaxTokens: answerTokens},
+			{Name: classDraft, Priority: 1, Deadline: service.Duration(testTimeout), MaxTokens: answerTokens},
 		},
 		Customers: []service.Customer{{ID: customer, RequestsPerSecond: 1000, Burst: 1000, Weight: 1}},
 		Retry:     service.Retry{MaxAttempts: 5, BudgetRatio: 1},
@@ -141,16 +143,17 @@
 	ts.Check(os.WriteFile(ts.MkAbs(arg(ts, args, 0)), doc.Encode(), 0o644))
 }
 
-// eventually waits until ok holds.
+// eventually polls until ok returns true, and fails the script after testTimeout.
 func (s *Site) eventually(ts *testscript.TestScript, what string, ok func() bool) {
-	for end := time.Now().Add(patience); !ok(); time.Sleep(poll) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			ts.Fatalf("waited in vain until %s", what)
+			ts.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// awaitServing waits until all live daemons have the document and know each other.
+// awaitServing waits until all live daemons have the document and see each other
+// alive.
 func awaitServing(s *Site, ts *testscript.TestScript, _ []string) {
 	live := s.Live()
 	s.eventually(ts, "all daemons serve", func() bool {
@@ -167,8 +170,8 @@
 	})
 }
 
-// findBusy waits until a daemon has a request and sets a variable to its URL, or,
-// for "stage", until a stage runs a step, and sets it to the stage's name.
+// findBusy waits until a daemon has an active request and sets a variable to its URL.
+// For "stage" it waits until a stage runs a step, and sets the variable to its name.
 func findBusy(s *Site, ts *testscript.TestScript, args []string) {
 	found := ""
 	s.eventually(ts, "something is busy", func() bool {
@@ -206,14 +209,14 @@
 			return d
 		}
 	}
-	ts.Fatalf("no daemon at %s", url)
+	ts.Fatalf("no daemon with URL %s", url)
 	return nil
 }
 
 func (s *Site) stage(ts *testscript.TestScript, name string) *standin.Engine {
 	e, ok := s.Engines[state.BackendID(name)]
 	if !ok {
-		ts.Fatalf("no stage %s", name)
+		ts.Fatalf("no stage named %s", name)
 	}
 	return e
 }
@@ -226,7 +229,7 @@
 	case "stage":
 		s.stage(ts, name).Kill()
 	default:
-		ts.Fatalf("crash daemon URL, or crash stage NAME")
+		ts.Fatalf("usage: crash daemon URL | crash stage NAME")
 	}
 }
 
@@ -238,18 +241,19 @@
 	s.Platform.Down(arg(ts, args, 0) == "down")
 }
 
-// awaitGone waits until a daemon has stopped.
-func awaitGone(s *Site, ts *testscript.TestScript, args []string) {
+// awaitStopped waits until a daemon has stopped.
+func awaitStopped(s *Site, ts *testscript.TestScript, args []string) {
 	d := s.daemon(ts, arg(ts, args, 0))
 	select {
 	case <-d.Done():
-	case <-time.After(patience):
-		ts.Fatalf("the daemon does not stop")
+	case <-time.After(testTimeout):
+		ts.Fatalf("timed out waiting for the daemon to stop")
 	}
 }
 
-// checkIntact holds what the stand-ins saw: each layer once a token, in order.
-func checkIntact(s *Site, ts *testscript.TestScript, _ []string) {
+// checkLayerOrder checks that the stand-ins ran each layer once and in order for each
+// token.
+func checkLayerOrder(s *Site, ts *testscript.TestScript, _ []string) {
 	if v := s.Ledger.Violations(); len(v) > 0 {
 		ts.Fatalf("%v", v)
 	}
--- a/scenario/doc.go
+++ b/scenario/doc.go
@@ -1,17 +1,17 @@
-// Package scenario runs stories written in a small test language against the
-// core in virtual time.
+// Package scenario runs scenario scripts, written in a small test language,
+// against the coordination core in virtual time.
 //
-// A World holds the real machines of some daemons (requests, claims, retry
-// budgets, documents), one home of the replicas, and small models of engines and
-// the table service at their interfaces. Commands change it, let time pass, and
-// print what callers and operators would see. There is no real clock, socket or
-// goroutine, so that a script gives the same output on every run.
+// A Simulation holds the real state machines of several daemons (requests, claims,
+// retry budgets, documents), one home for the replicas, and small models of engines
+// and the table service behind their interfaces. Commands change it, advance time
+// and print what callers and operators would see. It uses no real clock, socket or
+// goroutine, so a script gives the same output on every run.
 //
-// The World checks by itself what must hold in every story, and prints a line
-// that begins with VIOLATION where it does not: each layer runs once for each
-// token of an attempt and in order, each caller gets each token once and in
-// order, what is never to be repeated begins once, and what was refused as not
-// run did not run and never will.
+// The Simulation checks the invariants that hold in every scenario, and prints a
+// line that begins with VIOLATION when one is broken: each layer runs once and in
+// order for each token of an attempt, each caller gets each token once and in
+// order, a request that must not be repeated starts at most once, and a request
+// that was refused as not run never runs.
 //
 // The commands are listed in docs/SCENARIOS.md.
 package scenario
--- a/scenario/documents.go
+++ b/scenario/documents.go
@@ -11,57 +11,58 @@
 )
 
 const (
-	heartbeatEvery = time.Second
-	editWait       = 5 * time.Second
+	heartbeatInterval = time.Second
+	editTimeout       = 5 * time.Second
 )
 
 func (n *node) startDocuments() {
-	n.docs = documents.New(documents.DefaultConfig(), n.w.rng, n.member, n.w.now)
+	n.docs = documents.New(documents.DefaultConfig(), n.sim.rng, n.member, n.sim.now)
 	n.stepDocuments(documents.Tick{})
-	n.w.after(0, n.heartbeat)
+	n.sim.after(0, n.heartbeat)
 }
 
-// heartbeat tells the daemon who is in reach, and one of those its digest.
+// heartbeat updates the daemon's view of the reachable members and sends its
+// document digest to one of them at random.
 func (n *node) heartbeat() {
 	if n.dead {
 		return
 	}
-	n.w.after(heartbeatEvery, n.heartbeat)
+	n.sim.after(heartbeatInterval, n.heartbeat)
 	if n.paused {
 		return
 	}
 	var live []state.Member
-	for _, o := range n.w.nodes {
-		if o != n && n.reaches(o) {
+	for _, o := range n.sim.nodes {
+		if o != n && n.canReach(o) {
 			live = append(live, o.member)
 		}
 	}
-	n.stepDocuments(documents.Members{Live: live, Known: len(n.w.nodes)})
+	n.stepDocuments(documents.Members{Live: live, Known: len(n.sim.nodes)})
 	if len(live) > 0 {
-		n.sendDocuments(live[n.w.rng.IntN(len(live))], n.docs.Digest())
+		n.sendDocuments(live[n.sim.rng.IntN(len(live))], n.docs.Digest())
 	}
 }
 
-func (n *node) reaches(o *node) bool {
-	return n.works() && o.works() && !n.cut && !o.cut
+func (n *node) canReach(o *node) bool {
+	return n.isLive() && o.isLive() && !n.partitioned && !o.partitioned
 }
 
 func (n *node) stepDocuments(ev documents.Event) {
-	for _, a := range slices.Clone(n.docs.Step(n.w.now, ev)) {
+	for _, a := range slices.Clone(n.docs.Step(n.sim.now, ev)) {
 		switch a := a.(type) {
 		case documents.CallStore:
 			n.callStore(a.Call)
 		case documents.Send:
 			n.sendDocuments(a.To, a.Msg)
 		case documents.Applied:
-			n.w.say("%s has %s version %d in force: %s", n.name, a.Doc.Service, a.Doc.Version, a.Doc.Text)
+			n.sim.printf("%s applies %s version %d: %s", n.name, a.Doc.Service, a.Doc.Version, a.Doc.Text)
 		case documents.EditAnswered:
-			n.edited(a)
+			n.reportEdit(a)
 		case documents.IsolatedChanged:
 			if a.Isolated {
-				n.w.say("%s is isolated: it takes no new work", n.name)
+				n.sim.printf("%s is isolated: it accepts no new requests", n.name)
 			} else {
-				n.w.say("%s is in touch again", n.name)
+				n.sim.printf("%s is no longer isolated", n.name)
 			}
 		}
 	}
@@ -69,45 +70,45 @@
 
 func (n *node) callStore(c store.Call) {
 	answer := func(res store.Result) {
-		n.do(func() { n.stepDocuments(documents.StoreResult{Result: res}) })
+		n.deliver(func() { n.stepDocuments(documents.StoreResult{Result: res}) })
 	}
-	if n.cut {
-		n.w.after(storeWait, func() { answer(store.Result{Call: c.ID}) })
+	if n.partitioned {
+		n.sim.after(storeTimeout, func() { answer(store.Result{Call: c.ID}) })
 		return
 	}
-	n.w.call(c, answer)
+	n.sim.callTable(c, answer)
 }
 
 func (n *node) sendDocuments(to state.Member, msg documents.Message) {
-	o := n.w.node(string(to.ID))
-	if !n.reaches(o) {
+	o := n.sim.node(string(to.ID))
+	if !n.canReach(o) {
 		return
 	}
-	n.w.after(hop, func() {
-		if n.reaches(o) {
-			o.do(func() { o.stepDocuments(documents.Received{From: n.member, Msg: msg}) })
+	n.sim.after(hopDelay, func() {
+		if n.canReach(o) {
+			o.deliver(func() { o.stepDocuments(documents.Received{From: n.member, Msg: msg}) })
 		}
 	})
 }
 
-// edit has an operator send an edit to the daemon.
+// edit delivers an edit from an operator to the daemon.
 func (n *node) edit(e documents.SubmitEdit) {
-	n.w.seq++
-	e.ID = uint64(n.w.seq)
-	e.Deadline = n.w.now.Add(editWait)
-	n.do(func() { n.stepDocuments(e) })
+	n.sim.seq++
+	e.ID = uint64(n.sim.seq)
+	e.Deadline = n.sim.now.Add(editTimeout)
+	n.deliver(func() { n.stepDocuments(e) })
 }
 
-func (n *node) edited(a documents.EditAnswered) {
+func (n *node) reportEdit(a documents.EditAnswered) {
 	switch a.Status {
 	case documents.EditAccepted:
-		n.w.say("%s answers an edit: accepted as version %d", n.name, a.Version)
+		n.sim.printf("%s answers an edit: accepted as version %d", n.name, a.Version)
 	case documents.EditConflict:
-		n.w.say("%s answers an edit: lost against version %d, %s", n.name, a.Current.Version, a.Current.Text)
+		n.sim.printf("%s answers an edit: conflicts with version %d, %s", n.name, a.Current.Version, a.Current.Text)
 	case documents.EditUnavailable:
-		n.w.say("%s answers an edit: not committed, the store does not answer", n.name)
+		n.sim.printf("%s answers an edit: not committed, the store is unavailable", n.name)
 	case documents.EditUnknown:
-		n.w.say("%s answers an edit: unknown, repeat it with its id", n.name)
+		n.sim.printf("%s answers an edit: outcome unknown, repeat it with its id", n.name)
 	}
 }
 
--- a/scenario/engine.go
+++ b/scenario/engine.go
@@ -9,70 +9,70 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// work names what an engine knows: an attempt under the request id that it was
-// begun with.
-type work struct {
+// attemptKey identifies an attempt at an engine, by the request ID under which it was
+// started.
+type attemptKey struct {
 	request state.RequestID
 	attempt state.Attempt
 }
 
-// cache is what one engine holds of one attempt.
+// cache is the state that an engine holds for one attempt.
 type cache struct {
-	known    bool
-	epoch    state.Epoch
-	next     int
-	last     []byte
-	tokens   []int64
-	canceled bool
+	known      bool
+	epoch      state.Epoch
+	nextToken  int
+	lastOutput []byte
+	tokens     []int64
+	canceled   bool
 }
 
-// Mishap is what befalls the next step that is sent to an engine.
-type mishap int
+// stepFault is a fault injected into the next step that is sent to an engine.
+type stepFault int
 
 const (
-	mishapNone       mishap = iota
-	mishapLoseAnswer        // the step runs, its answer is lost
-	mishapSilent            // the connection went silent: nothing arrives
-	mishapLate              // the step arrives when it was given up for lost
+	faultNone         stepFault = iota
+	faultAnswerLost             // the step runs, but its answer is lost
+	faultUnresponsive           // the connection is unresponsive: nothing arrives
+	faultLate                   // the step arrives after the daemon has timed it out
 )
 
-// engine is a model of one stage that obeys the engine contract.
+// engine is a model of one stage that implements the engine contract.
 type engine struct {
-	w      *Simulation
-	name   string
-	stage  int
-	stages int
-	life   int
-	dead   bool
-	next   mishap
-	caches map[work]*cache
+	sim         *Simulation
+	name        string
+	stage       int
+	stages      int
+	incarnation int
+	dead        bool
+	nextFault   stepFault
+	caches      map[attemptKey]*cache
 }
 
-func newEngine(w *Simulation, name string, stage, stages int) *engine {
-	return &engine{w: w, name: name, stage: stage, stages: stages, life: 1, caches: make(map[work]*cache)}
+func newEngine(sim *Simulation, name string, stage, stages int) *engine {
+	return &engine{sim: sim, name: name, stage: stage, stages: stages, incarnation: 1, caches: make(map[attemptKey]*cache)}
 }
 
-// lifeName is what the engine's process calls itself.
-func (e *engine) lifeName() string { return fmt.Sprintf("life-%d", e.life) }
+// bootID returns the boot ID of the engine's current process.
+func (e *engine) bootID() string { return fmt.Sprintf("life-%d", e.incarnation) }
 
-// kill loses what the engine held.
+// kill ends the engine's process, with all its caches.
 func (e *engine) kill() {
 	e.dead = true
-	e.life++
-	e.caches = make(map[work]*cache)
+	e.incarnation++
+	e.caches = make(map[attemptKey]*cache)
 }
 
-// restartAfter is how long an engine that crashed is gone.
-const restartAfter = time.Second
+// restartDelay is the time from an engine's crash to its restart.
+const restartDelay = time.Second
 
-// crash ends the engine's process, which starts anew by itself.
+// crash ends the engine's process, which restarts after restartDelay.
 func (e *engine) crash() {
-	e.w.say("%s crashes", e.name)
+	e.sim.printf("%s crashes", e.name)
 	e.kill()
-	e.w.after(restartAfter, func() { e.dead = false })
+	e.sim.after(restartDelay, func() { e.dead = false })
 }
 
-func (e *engine) cache(k work) *cache {
+func (e *engine) cache(k attemptKey) *cache {
 	c, ok := e.caches[k]
 	if !ok {
 		c = &cache{}
@@ -81,29 +81,29 @@
 	return c
 }
 
-// tokenValue is the right token at an index.
+// tokenValue returns the expected token at an index.
 func tokenValue(index int) int64 { return int64(100 + index) }
 
-// run executes a step that has arrived.
-func (e *engine) run(id state.RequestID, a request.RunStep, maxTokens int) request.Event {
-	c := e.cache(work{request: id, attempt: a.Step.Attempt})
+// runStep executes a step that has arrived at the engine.
+func (e *engine) runStep(id state.RequestID, a request.RunStep, maxTokens int) request.Event {
+	c := e.cache(attemptKey{request: id, attempt: a.Step.Attempt})
 	switch {
-	case a.Stage.BootID != e.lifeName() || c.canceled:
+	case a.Stage.BootID != e.bootID() || c.canceled:
 		return request.StepNotRun{Step: a.Step}
 	case a.Step.Epoch < c.epoch:
-		e.w.say("%s bars a step of token %d: its sender was overtaken", e.name, a.Step.Token)
+		e.sim.printf("%s rejects a step of token %d: its epoch is stale", e.name, a.Step.Token)
 		return request.StepNotRun{Step: a.Step, Superseded: true}
-	case !c.known && !fresh(a):
+	case !c.known && !isFirstToken(a):
 		return request.StepNotRun{Step: a.Step}
-	case c.known && c.next != a.Step.Token:
+	case c.known && c.nextToken != a.Step.Token:
 		return request.StepFailed{Step: a.Step}
 	}
 	c.known = true
 	c.epoch = a.Step.Epoch
-	c.next = a.Step.Token + 1
-	c.last = activation(a, e.stage)
-	e.w.books.ran(e.w, work{request: id, attempt: a.Step.Attempt}, a.Step.Token, e.stage)
-	done := request.StepDone{Step: a.Step, Output: c.last}
+	c.nextToken = a.Step.Token + 1
+	c.lastOutput = activation(a, e.stage)
+	e.sim.ledger.recordLayerRun(e.sim, attemptKey{request: id, attempt: a.Step.Attempt}, a.Step.Token, e.stage)
+	done := request.StepDone{Step: a.Step, Output: c.lastOutput}
 	if e.stage == e.stages-1 {
 		done.Value = tokenValue(a.Step.Token)
 		done.Final = a.Step.Token+1 >= maxTokens
@@ -112,36 +112,36 @@
 	return done
 }
 
-// freshMark ends the outputs of an attempt's first token, whose stages have no
-// cache of it yet.
-const freshMark = "+"
+// firstTokenMark ends the stage outputs of an attempt's first token, to distinguish
+// a stage that has no cache yet from one that lost it.
+const firstTokenMark = "+"
 
-func fresh(a request.RunStep) bool {
-	return a.Prompt != "" || len(a.Input) > 0 && string(a.Input[len(a.Input)-1:]) == freshMark
+func isFirstToken(a request.RunStep) bool {
+	return a.Prompt != "" || len(a.Input) > 0 && string(a.Input[len(a.Input)-1:]) == firstTokenMark
 }
 
 func activation(a request.RunStep, stage int) []byte {
 	out := fmt.Appendf(nil, "%d:%d", a.Step.Token, stage)
-	if fresh(a) {
-		out = append(out, freshMark...)
+	if isFirstToken(a) {
+		out = append(out, firstTokenMark...)
 	}
 	return out
 }
 
-// held answers what the engine holds of an attempt, and bars lower epochs.
-func (e *engine) held(id state.RequestID, ref request.StepRef, maxTokens int) request.Event {
-	c := e.cache(work{request: id, attempt: ref.Attempt})
+// queryState returns the state held for an attempt, and fences lower epochs.
+func (e *engine) queryState(id state.RequestID, ref request.StepRef, maxTokens int) request.Event {
+	c := e.cache(attemptKey{request: id, attempt: ref.Attempt})
 	if ref.Epoch < c.epoch {
 		return request.StageQueryFailed{Step: ref, Superseded: true}
 	}
 	c.epoch = ref.Epoch
 	return request.StageState{
-		Step: ref, Life: e.lifeName(), Known: c.known, Canceled: c.canceled, NextToken: c.next,
-		LastOutput: c.last, Tokens: slices.Clone(c.tokens), Final: len(c.tokens) > 0 && c.next >= maxTokens,
+		Step: ref, Life: e.bootID(), Known: c.known, Canceled: c.canceled, NextToken: c.nextToken,
+		LastOutput: c.lastOutput, Tokens: slices.Clone(c.tokens), Final: len(c.tokens) > 0 && c.nextToken >= maxTokens,
 	}
 }
 
-// cancel ends an attempt.
-func (e *engine) cancel(k work) {
+// cancel marks an attempt as canceled.
+func (e *engine) cancel(k attemptKey) {
 	e.cache(k).canceled = true
 }
--- a/scenario/node.go
+++ b/scenario/node.go
@@ -11,69 +11,69 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// node is one daemon: its machines, and whether it lives.
+// node is one daemon: its state machines and whether it is running.
 type node struct {
-	w      *Simulation
+	sim    *Simulation
 	name   string
 	member state.Member
 	owner  uint32
 
-	dead    bool
-	paused  bool
-	cut     bool     // reaches neither peers nor the store
-	waiting []func() // what came while paused
+	dead        bool
+	paused      bool
+	partitioned bool     // its documents reach neither peers nor the store
+	deferred    []func() // events that arrived while paused
 
 	runs    []*run
 	claims  []*claim
 	retries *retry.Budgets
-	docs    *documents.Documents // nil where the site has none
+	docs    *documents.Documents // nil if the layout has none
 
-	quarantine *quarantined // nil where the site has none
+	quarantine *daemonQuarantine // nil if the layout has none
 }
 
-func (w *Simulation) addNode(name string, owner uint32, l Layout) {
+func (sim *Simulation) addNode(name string, owner uint32, l Layout) {
 	n := &node{
-		w:       w,
+		sim:     sim,
 		name:    name,
 		member:  state.Member{ID: state.DaemonID(name), Incarnation: 1},
 		owner:   owner,
-		retries: retry.New(retry.Config{}, w.now, w.rng),
+		retries: retry.New(retry.Config{}, sim.now, sim.rng),
 	}
-	w.nodes = append(w.nodes, n)
+	sim.nodes = append(sim.nodes, n)
 	if l.Documents {
 		n.startDocuments()
 	}
 	if l.Quarantine {
-		n.quarantine = newQuarantined(n)
+		n.quarantine = newDaemonQuarantine(n)
 	}
 }
 
-// do lets something reach the daemon: now, when it wakes, or never.
-func (n *node) do(f func()) {
+// deliver runs f at the daemon: now, after it resumes, or never if it is dead.
+func (n *node) deliver(f func()) {
 	switch {
 	case n.dead:
 	case n.paused:
-		n.waiting = append(n.waiting, f)
+		n.deferred = append(n.deferred, f)
 	default:
 		f()
 	}
 }
 
-// works reports whether others see the daemon as live.
-func (n *node) works() bool { return !n.dead && !n.paused }
+// isLive reports whether the daemon is neither dead nor paused.
+func (n *node) isLive() bool { return !n.dead && !n.paused }
 
-// wake lets a paused daemon go on with everything that came meanwhile.
-func (n *node) wake() {
+// resume resumes a paused daemon and delivers what arrived while it was paused.
+func (n *node) resume() {
 	n.paused = false
-	waiting := n.waiting
-	n.waiting = nil
-	for _, f := range waiting {
-		n.do(f)
+	deferred := n.deferred
+	n.deferred = nil
+	for _, f := range deferred {
+		n.deliver(f)
 	}
 }
 
 func (n *node) nextTick() time.Time {
-	if !n.works() {
+	if !n.isLive() {
 		return time.Time{}
 	}
 	var next time.Time
@@ -93,28 +93,28 @@
 }
 
 func (n *node) tick() {
-	if !n.works() {
+	if !n.isLive() {
 		return
 	}
 	for _, r := range n.runs {
-		if due(r.m.NextTick(), n.w.now) {
+		if due(r.m.NextTick(), n.sim.now) {
 			r.feed(request.Tick{})
 		}
 	}
 	for _, c := range n.claims {
-		if due(c.m.NextTick(), n.w.now) {
+		if due(c.m.NextTick(), n.sim.now) {
 			c.step(claims.Tick{})
 		}
 	}
-	if n.docs != nil && due(n.docs.NextTick(), n.w.now) {
+	if n.docs != nil && due(n.docs.NextTick(), n.sim.now) {
 		n.stepDocuments(documents.Tick{})
 	}
-	if n.quarantine != nil && due(n.quarantine.m.NextTick(), n.w.now) {
+	if n.quarantine != nil && due(n.quarantine.m.NextTick(), n.sim.now) {
 		n.quarantine.step(quarantine.Tick{})
 	}
 }
 
-// run returns the daemon's run of a request, or nil.
+// run returns the daemon's run of a request, or nil if there is none.
 func (n *node) run(id state.RequestID) *run {
 	for _, r := range n.runs {
 		if r.spec.ID == id {
--- a/scenario/pool.go
+++ b/scenario/pool.go
@@ -11,14 +11,14 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// The one service of the site, and its classes.
+// The only service of the simulated site, and its classes.
 const (
 	serviceID  state.ServiceID  = "drafts"
 	customerID state.CustomerID = "bank"
 	poolID     home.PoolID      = "drafts"
 
-	classCheck state.ClassID = "check" // short, goes first
-	classNote  state.ClassID = "note"  // never to be repeated
+	classCheck state.ClassID = "check" // short, highest priority
+	classNote  state.ClassID = "note"  // must not be repeated
 	classDraft state.ClassID = "draft" // long
 )
 
@@ -35,113 +35,113 @@
 	}
 }
 
-// pool is the home of all replicas, on an instance that does not fail. Homes
-// that die have tests of their own.
+// pool is the home of all replicas, on an instance that does not fail. Failures of
+// a home are covered by other tests.
 type pool struct {
-	w     *Simulation
-	home  *home.Home
-	wants map[home.SlotRequestID]*run
+	sim     *Simulation
+	home    *home.Home
+	pending map[home.SlotRequestID]*run
 }
 
-func newPool(w *Simulation) *pool {
-	p := &pool{w: w, home: home.New(home.Config{}), wants: make(map[home.SlotRequestID]*run)}
+func newPool(sim *Simulation) *pool {
+	p := &pool{sim: sim, home: home.New(home.Config{}), pending: make(map[home.SlotRequestID]*run)}
 	p.membersChanged()
 	p.step(home.DocumentChanged{Document: document()})
-	p.step(home.PoolsAssigned{Pools: []home.PoolSpec{{ID: poolID, Service: serviceID, Replicas: w.replicas}}})
+	p.step(home.PoolsAssigned{Pools: []home.PoolSpec{{ID: poolID, Service: serviceID, Replicas: sim.replicas}}})
 	return p
 }
 
-// membersChanged tells the home which daemons are live.
+// membersChanged updates the home with the live daemons.
 func (p *pool) membersChanged() {
-	live := lo.FilterMap(p.w.nodes, func(n *node, _ int) (state.Member, bool) { return n.member, !n.dead })
+	live := lo.FilterMap(p.sim.nodes, func(n *node, _ int) (state.Member, bool) { return n.member, !n.dead })
 	p.step(home.ViewChanged{Live: live})
 }
 
 func (p *pool) tick() {
-	if due(p.home.NextTick(p.w.now), p.w.now) {
+	if due(p.home.NextTick(p.sim.now), p.sim.now) {
 		p.step(home.Tick{})
 	}
 }
 
 func (p *pool) step(ev home.Event) {
-	for _, a := range slices.Clone(p.home.Step(p.w.now, ev)) {
+	for _, a := range slices.Clone(p.home.Step(p.sim.now, ev)) {
 		switch a := a.(type) {
 		case home.Send:
 			p.send(a)
 		case home.Suspected:
-			p.w.say("%s gets no work for a while", a.Replica)
+			p.sim.printf("%s is suspected and gets no requests", a.Replica)
 		case home.Recovered:
-			p.w.say("%s gets work again", a.Replica)
+			p.sim.printf("%s gets requests again", a.Replica)
 		case home.GrantsRecovered:
 		}
 	}
 }
 
 func (p *pool) send(a home.Send) {
-	n := p.w.node(string(a.To))
+	n := p.sim.node(string(a.To))
 	switch m := a.Msg.(type) {
 	case home.SlotGrant:
-		p.w.after(hop, func() { n.do(func() { p.granted(m) }) })
+		p.sim.after(hopDelay, func() { n.deliver(func() { p.slotGranted(m) }) })
 	case home.SlotRefusal:
-		p.w.after(hop, func() { n.do(func() { p.refused(m) }) })
+		p.sim.after(hopDelay, func() { n.deliver(func() { p.slotRefused(m) }) })
 	case home.ReportQuery:
-		p.received(n, home.GrantReport{Pool: m.Pool})
+		p.deliverToHome(n, home.GrantReport{Pool: m.Pool})
 	}
 }
 
-func (p *pool) received(n *node, msg home.Message) {
-	p.w.after(hop, func() { p.step(home.Received{From: n.member, Msg: msg}) })
+func (p *pool) deliverToHome(n *node, msg home.Message) {
+	p.sim.after(hopDelay, func() { p.step(home.Received{From: n.member, Msg: msg}) })
 }
 
-func askOf(r *run, a state.Attempt) home.SlotRequestID {
+func slotRequestID(r *run, a state.Attempt) home.SlotRequestID {
 	return home.SlotRequestID{Request: state.RequestID(r.n.name + "/" + r.name()), Attempt: a}
 }
 
-func (p *pool) ask(r *run, a request.AcquireSlot, alone bool) {
-	ask := askOf(r, a.Attempt)
-	p.wants[ask] = r
-	p.received(r.n, home.SlotRequest{
-		ID: ask, Pool: poolID, Class: r.spec.Class, Customer: r.spec.Customer,
-		Budget: r.spec.FirstTokenDeadline.Sub(p.w.now), Cost: uint32(r.spec.MaxTokens), Exclude: a.Exclude,
+func (p *pool) requestSlot(r *run, a request.AcquireSlot, alone bool) {
+	id := slotRequestID(r, a.Attempt)
+	p.pending[id] = r
+	p.deliverToHome(r.n, home.SlotRequest{
+		ID: id, Pool: poolID, Class: r.spec.Class, Customer: r.spec.Customer,
+		Budget: r.spec.FirstTokenDeadline.Sub(p.sim.now), Cost: uint32(r.spec.MaxTokens), Exclude: a.Exclude,
 		Exclusive: alone,
 	})
 }
 
-func (p *pool) stop(r *run, a state.Attempt) {
-	ask := askOf(r, a)
-	if _, waits := p.wants[ask]; !waits {
+func (p *pool) cancel(r *run, a state.Attempt) {
+	id := slotRequestID(r, a)
+	if _, waits := p.pending[id]; !waits {
 		return
 	}
-	delete(p.wants, ask)
-	p.received(r.n, home.CancelSlotRequest{ID: ask, Pool: poolID})
+	delete(p.pending, id)
+	p.deliverToHome(r.n, home.CancelSlotRequest{ID: id, Pool: poolID})
 }
 
-// granted gives a run its slot, with the lives that the engines are seen in.
-func (p *pool) granted(m home.SlotGrant) {
-	r, ok := p.wants[m.ID]
-	delete(p.wants, m.ID)
-	replica, known := p.w.replica(m.Replica)
+// slotGranted delivers a slot to its run, with the current boot IDs of the engines.
+func (p *pool) slotGranted(m home.SlotGrant) {
+	r, ok := p.pending[m.ID]
+	delete(p.pending, m.ID)
+	replica, known := p.sim.replica(m.Replica)
 	if !ok || !known {
-		return // taken back; the home gives the slot on
+		return // canceled; the home grants the slot to another request
 	}
 	replica.Stages = slices.Clone(replica.Stages)
 	for i, s := range replica.Stages {
-		e := p.w.engine(s.Address)
+		e := p.sim.engine(s.Address)
 		if e.dead {
-			r.later(hop, request.SlotUnusable{Grant: m.ID.Attempt, Replica: replica.ID})
+			r.feedAfter(hopDelay, request.SlotUnusable{Grant: m.ID.Attempt, Replica: replica.ID})
 			return
 		}
-		replica.Stages[i].BootID = e.lifeName()
+		replica.Stages[i].BootID = e.bootID()
 	}
 	if q := r.n.quarantine; q != nil {
-		q.granted(r, replica)
+		q.runStarted(r, replica)
 	}
 	r.feed(request.SlotGranted{Grant: m.ID.Attempt, Replica: replica})
 }
 
-func (p *pool) refused(m home.SlotRefusal) {
-	r, ok := p.wants[m.ID]
-	delete(p.wants, m.ID)
+func (p *pool) slotRefused(m home.SlotRefusal) {
+	r, ok := p.pending[m.ID]
+	delete(p.pending, m.ID)
 	if ok {
 		r.feed(request.SlotRefused{Reason: m.Reason, RetryAfter: m.RetryAfter})
 	}
@@ -155,5 +155,5 @@
 	case a.Failed:
 		use = home.OutcomeFailed
 	}
-	p.received(r.n, home.SlotRelease{ID: askOf(r, a.Grant), Pool: poolID, Replica: a.Replica, Outcome: use})
+	p.deliverToHome(r.n, home.SlotRelease{ID: slotRequestID(r, a.Grant), Pool: poolID, Replica: a.Replica, Outcome: use})
 }
--- a/scenario/quarantine.go
+++ b/scenario/quarantine.go
@@ -12,41 +12,42 @@
 // crashMark in a prompt crashes every engine that runs it.
 const crashMark = "crash"
 
-func crashes(prompt string) bool {
+func crashesEngine(prompt string) bool {
 	return strings.Contains(prompt, crashMark)
 }
 
-// quarantined is a daemon's quarantine with what it is asked and told.
-type quarantined struct {
-	n     *node
-	m     *quarantine.Quarantine
-	asks  map[uint64]slotAsk
-	runs  map[*run]quarantinedRun
-	dead  map[string]int // engines seen dead, by the life that they were then in
-	calls uint64
+// daemonQuarantine is a daemon's quarantine state machine with its pending requests and
+// running attempts.
+type daemonQuarantine struct {
+	n              *node
+	m              *quarantine.Quarantine
+	pending        map[uint64]pendingSlotRequest
+	runs           map[*run]slotHolder
+	reportedDeaths map[string]int // incarnation of each engine whose death was reported last
+	calls          uint64
 }
 
-// slotAsk is a request for a slot that waits for the quarantine's word.
-type slotAsk struct {
+// pendingSlotRequest is a slot request that waits for the quarantine's decision.
+type pendingSlotRequest struct {
 	r *run
 	a request.AcquireSlot
 }
 
-// quarantinedRun is an attempt that holds a slot.
-type quarantinedRun struct {
-	id      quarantine.RunID // 0 before it began
-	turn    uint64
+// slotHolder is an attempt that the quarantine allowed.
+type slotHolder struct {
+	id      quarantine.RunID // 0 until it has started
+	lock    uint64
 	replica state.Replica
 }
 
-func newQuarantined(n *node) *quarantined {
+func newDaemonQuarantine(n *node) *daemonQuarantine {
 	cfg := quarantine.Config{Self: n.member}
-	return &quarantined{
-		n:    n,
-		m:    quarantine.New(cfg, n.w.now, n.w.rng),
-		asks: make(map[uint64]slotAsk),
-		runs: make(map[*run]quarantinedRun),
-		dead: make(map[string]int),
+	return &daemonQuarantine{
+		n:              n,
+		m:              quarantine.New(cfg, n.sim.now, n.sim.rng),
+		pending:        make(map[uint64]pendingSlotRequest),
+		runs:           make(map[*run]slotHolder),
+		reportedDeaths: make(map[string]int),
 	}
 }
 
@@ -54,117 +55,117 @@
 	return quarantine.FingerprintOf(r.spec.Service, "notes", "1", r.spec.Prompt)
 }
 
-// ask lets a request ask for a slot once the quarantine allows it.
-func (q *quarantined) ask(r *run, a request.AcquireSlot) {
+// requestSlot requests a slot as soon as the quarantine allows the run.
+func (q *daemonQuarantine) requestSlot(r *run, a request.AcquireSlot) {
 	q.calls++
-	q.asks[q.calls] = slotAsk{r: r, a: a}
+	q.pending[q.calls] = pendingSlotRequest{r: r, a: a}
 	q.step(quarantine.RunRequested{Call: q.calls, Fingerprint: fingerprint(r)})
 }
 
-// stop takes an ask back.
-func (q *quarantined) stop(r *run) {
-	for call, w := range q.asks {
-		if w.r == r {
-			delete(q.asks, call)
+// cancel cancels a run's pending slot request.
+func (q *daemonQuarantine) cancel(r *run) {
+	for call, p := range q.pending {
+		if p.r == r {
+			delete(q.pending, call)
 			q.step(quarantine.Cancel{Call: call})
 			return
 		}
 	}
 }
 
-// granted tells that an attempt is about to be sent.
-func (q *quarantined) granted(r *run, replica state.Replica) {
+// runStarted reports that an attempt is about to be sent.
+func (q *daemonQuarantine) runStarted(r *run, replica state.Replica) {
 	q.calls++
 	held := q.runs[r]
 	held.id = quarantine.RunID(q.calls)
 	held.replica = replica
 	q.runs[r] = held
-	q.step(quarantine.RunStarted{Run: held.id, Fingerprint: fingerprint(r), Replica: replica.ID, Lock: held.turn})
+	q.step(quarantine.RunStarted{Run: held.id, Fingerprint: fingerprint(r), Replica: replica.ID, Lock: held.lock})
 }
 
-// looked tells of the engines of a run's replica that died under it.
-func (q *quarantined) looked(r *run) {
+// reportDeaths reports the engines of a run's replica that died during the run.
+func (q *daemonQuarantine) reportDeaths(r *run) {
 	for _, s := range q.runs[r].replica.Stages {
-		e := q.n.w.engine(s.Address)
-		if e.lifeName() == s.BootID || q.dead[e.name] == e.life {
+		e := q.n.sim.engine(s.Address)
+		if e.bootID() == s.BootID || q.reportedDeaths[e.name] == e.incarnation {
 			continue
 		}
-		q.dead[e.name] = e.life
+		q.reportedDeaths[e.name] = e.incarnation
 		q.step(quarantine.BackendDied{Replica: q.runs[r].replica.ID, Domain: state.FailureDomain(q.runs[r].replica.ID)})
 	}
 }
 
-// released tells that an attempt has ended.
-func (q *quarantined) released(r *run, a request.ReleaseSlot) {
+// runEnded reports that an attempt has ended.
+func (q *daemonQuarantine) runEnded(r *run, a request.ReleaseSlot) {
 	held := q.runs[r]
 	delete(q.runs, r)
-	if held.id == 0 && held.turn == 0 {
+	if held.id == 0 && held.lock == 0 {
 		return
 	}
-	how := quarantine.RunStopped
+	result := quarantine.RunStopped
 	switch {
 	case a.Failed:
-		how = quarantine.RunLost
+		result = quarantine.RunLost
 	case len(r.tokens) >= r.spec.MaxTokens:
-		how = quarantine.RunCompleted
+		result = quarantine.RunCompleted
 	}
-	q.step(quarantine.RunEnded{Run: held.id, Lock: held.turn, Result: how})
+	q.step(quarantine.RunEnded{Run: held.id, Lock: held.lock, Result: result})
 }
 
-func (q *quarantined) step(ev quarantine.Event) {
-	w := q.n.w
-	for _, a := range q.m.Step(w.now, ev) {
+func (q *daemonQuarantine) step(ev quarantine.Event) {
+	sim := q.n.sim
+	for _, a := range q.m.Step(sim.now, ev) {
 		switch a := a.(type) {
 		case quarantine.Allow:
-			q.allowed(a)
+			q.slotAllowed(a)
 		case quarantine.Refuse:
-			if ask, ok := q.asks[a.Call]; ok {
-				delete(q.asks, a.Call)
-				ask.r.later(0, request.SlotRefused{Reason: state.ReasonQuarantined})
+			if req, ok := q.pending[a.Call]; ok {
+				delete(q.pending, a.Call)
+				req.r.feedAfter(0, request.SlotRefused{Reason: state.ReasonQuarantined})
 			}
 		case quarantine.Quarantined:
-			w.say("%s: the content is quarantined", q.n.name)
+			sim.printf("%s: the content is quarantined", q.n.name)
 		case quarantine.CallStore:
-			w.call(a.Call, func(res store.Result) {
-				q.n.do(func() { q.step(quarantine.StoreResult{Result: res}) })
+			sim.callTable(a.Call, func(res store.Result) {
+				q.n.deliver(func() { q.step(quarantine.StoreResult{Result: res}) })
 			})
 		case quarantine.Send:
 			q.send(a)
 		case quarantine.DeathPropagated:
-			// Answers are not held back here.
+			// The model does not delay answers until a death has propagated.
 		}
 	}
 }
 
-func (q *quarantined) allowed(a quarantine.Allow) {
-	ask, ok := q.asks[a.Call]
+func (q *daemonQuarantine) slotAllowed(a quarantine.Allow) {
+	req, ok := q.pending[a.Call]
 	if !ok {
 		return
 	}
-	delete(q.asks, a.Call)
+	delete(q.pending, a.Call)
 	if a.Exclusive {
-		ask.r.say("is to run alone")
+		req.r.printf("must run exclusively")
 	}
-	q.runs[ask.r] = quarantinedRun{turn: a.Lock}
-	q.n.w.pool.ask(ask.r, ask.a, a.Exclusive)
+	q.runs[req.r] = slotHolder{lock: a.Lock}
+	q.n.sim.pool.requestSlot(req.r, req.a, a.Exclusive)
 }
 
-func (q *quarantined) send(a quarantine.Send) {
-	to := q.n.w.node(string(a.To))
-	q.n.w.after(hop, func() {
-		to.do(func() { to.quarantine.step(quarantine.Received{From: q.n.member, Msg: a.Msg}) })
+func (q *daemonQuarantine) send(a quarantine.Send) {
+	to := q.n.sim.node(string(a.To))
+	q.n.sim.after(hopDelay, func() {
+		to.deliver(func() { to.quarantine.step(quarantine.Received{From: q.n.member, Msg: a.Msg}) })
 	})
 }
 
-// tellQuarantines tells every quarantine which daemons live.
-func (w *Simulation) tellQuarantines() {
-	for _, n := range w.nodes {
+// updateQuarantineViews sends the set of live daemons to every quarantine.
+func (sim *Simulation) updateQuarantineViews() {
+	for _, n := range sim.nodes {
 		var live []state.Member
-		for _, o := range w.nodes {
+		for _, o := range sim.nodes {
 			if o != n && !o.dead {
 				live = append(live, o.member)
 			}
 		}
-		n.do(func() { n.quarantine.step(quarantine.ViewChanged{Live: live}) })
+		n.deliver(func() { n.quarantine.step(quarantine.ViewChanged{Live: live}) })
 	}
 }
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -11,8 +11,8 @@
 	"github.com/hibiscuswick/hibiscuswick/scenario"
 )
 
-// TestStories runs each file below testdata: a story that opens with what a user
-// would see. -rewrite writes what the commands print now.
+// TestStories runs each scenario file below testdata and compares the output of its
+// commands. -rewrite replaces the expected output by the current one.
 func TestStories(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		if !strings.HasSuffix(path, ".scenario") {
--- a/scenario/table.go
+++ b/scenario/table.go
@@ -11,33 +11,33 @@
 
 // table is a model of the platform's table service.
 type table struct {
-	rows       map[string]store.Row
-	took       time.Duration
-	down       bool
-	loseAnswer int // so many writes take effect and are not answered
+	rows          map[string]store.Row
+	latency       time.Duration
+	down          bool
+	answersToLose int // number of writes that take effect but are not answered
 }
 
 func newTable(took time.Duration) *table {
-	return &table{rows: make(map[string]store.Row), took: took}
+	return &table{rows: make(map[string]store.Row), latency: took}
 }
 
-// call serves one call; answer comes exactly once.
-func (w *Simulation) call(c store.Call, answer func(store.Result)) {
-	t := w.table
-	w.after(t.took/2, func() {
+// callTable serves one store call. It calls answer exactly once.
+func (sim *Simulation) callTable(c store.Call, answer func(store.Result)) {
+	t := sim.table
+	sim.after(t.latency/2, func() {
 		if t.down {
-			w.after(storeWait, func() { answer(store.Result{Call: c.ID}) })
+			sim.after(storeTimeout, func() { answer(store.Result{Call: c.ID}) })
 			return
 		}
 		res := t.serve(c.Request)
 		res.Call = c.ID
-		if c.Writes() && t.loseAnswer > 0 {
-			t.loseAnswer--
-			w.say("store: a write takes effect, its answer is lost")
-			w.after(storeWait, func() { answer(store.Result{Call: c.ID}) })
+		if c.Writes() && t.answersToLose > 0 {
+			t.answersToLose--
+			sim.printf("store: a write takes effect, but its answer is lost")
+			sim.after(storeTimeout, func() { answer(store.Result{Call: c.ID}) })
 			return
 		}
-		w.after(t.took/2, func() { answer(res) })
+		sim.after(t.latency/2, func() { answer(res) })
 	})
 }
 
--- a/scenario/world.go
+++ b/scenario/world.go
@@ -8,20 +8,20 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Times of the model site.
+// Times of the simulated site.
 const (
-	hop          = time.Millisecond       // one way between any two processes
-	progressWait = 500 * time.Millisecond // after which a call counts as unanswered
-	storeWait    = time.Second            // after which a store call counts as unanswered
+	hopDelay        = time.Millisecond       // one-way delay between any two processes
+	progressTimeout = 500 * time.Millisecond // after which a call counts as unanswered
+	storeTimeout    = time.Second            // after which a store call counts as unanswered
 )
 
-// World is a site in virtual time. It belongs to one goroutine.
+// Simulation is a site in virtual time. It must be used by one goroutine only.
 type Simulation struct {
-	began  time.Time
-	now    time.Time
-	agenda agenda
-	seq    int
-	rng    *rand.Rand
+	startTime time.Time
+	now       time.Time
+	events    eventQueue
+	seq       int
+	rng       *rand.Rand
 
 	stepTime time.Duration
 	engines  []*engine
@@ -30,78 +30,79 @@
 	pool     *pool
 	nodes    []*node
 	callers  []*caller
-	books    *books
+	ledger   *ledger
 
-	out []string
+	output []string
 }
 
-// Layout is what a site is made of.
+// Layout is the configuration of a simulated site.
 type Layout struct {
 	Daemons      int
 	Replicas     int
 	Stages       int
-	Slots        int // requests at one time in a replica
+	Slots        int // concurrent requests of a replica
 	StepTime     time.Duration
-	StoreLatency time.Duration // of one call
-	Documents    bool          // the daemons keep service documents
+	StoreLatency time.Duration // of one store call
+	Documents    bool          // the daemons run the document state machine
 
-	Quarantine bool // the daemons quarantine what crashes engines
+	Quarantine bool // the daemons quarantine contents that crash engines
 }
 
-// seed makes every run of a script alike.
+// seed is fixed so that every run of a script gives the same output.
 const seed = 11
 
-// New returns a site that has been up for long enough to serve.
+// New returns a simulation of a site that is ready to serve requests.
 func New(l Layout) *Simulation {
-	began := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	w := &Simulation{
-		began:    began,
-		now:      began,
-		rng:      rand.New(rand.NewPCG(seed, seed)),
-		stepTime: l.StepTime,
-		table:    newTable(l.StoreLatency),
-		books:    newBooks(),
+	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	sim := &Simulation{
+		startTime: start,
+		now:       start,
+		rng:       rand.New(rand.NewPCG(seed, seed)),
+		stepTime:  l.StepTime,
+		table:     newTable(l.StoreLatency),
+		ledger:    newLedger(),
 	}
 	for r := 1; r <= l.Replicas; r++ {
-		w.addReplica(r, l)
+		sim.addReplica(r, l)
 	}
 	for i := 1; i <= l.Daemons; i++ {
-		w.addNode(fmt.Sprintf("d%d", i), uint32(i), l)
+		sim.addNode(fmt.Sprintf("d%d", i), uint32(i), l)
 	}
-	w.pool = newPool(w)
+	sim.pool = newPool(sim)
 	if l.Quarantine {
-		w.tellQuarantines()
+		sim.updateQuarantineViews()
 	}
-	w.settle()
-	return w
+	sim.waitReady()
+	return sim
 }
 
-// settle lets the home learn who holds what, and the documents become ready.
-func (w *Simulation) settle() {
+// waitReady advances time until the home has recovered its grants and the documents
+// are ready.
+func (sim *Simulation) waitReady() {
 	const settled = 5 * time.Second
-	w.runUntil(w.now.Add(settled), func() bool { return false })
-	w.began = w.now
-	w.out = nil
+	sim.runUntil(sim.now.Add(settled), func() bool { return false })
+	sim.startTime = sim.now
+	sim.output = nil
 }
 
-func (w *Simulation) addReplica(number int, l Layout) {
+func (sim *Simulation) addReplica(number int, l Layout) {
 	r := state.Replica{
 		ID: state.ReplicaID(fmt.Sprintf("r%d", number)), Service: serviceID, Slots: l.Slots, Speed: 1,
 	}
 	for s := 1; s <= l.Stages; s++ {
-		e := newEngine(w, fmt.Sprintf("%s-%d", r.ID, s), s-1, l.Stages)
-		w.engines = append(w.engines, e)
+		e := newEngine(sim, fmt.Sprintf("%s-%d", r.ID, s), s-1, l.Stages)
+		sim.engines = append(sim.engines, e)
 		r.Stages = append(r.Stages, state.Stage{
 			Backend: state.BackendID(e.name),
 			Address: e.name,
 			Layers:  state.LayerRange{First: s - 1, End: s},
 		})
 	}
-	w.replicas = append(w.replicas, r)
+	sim.replicas = append(sim.replicas, r)
 }
 
-func (w *Simulation) engine(name string) *engine {
-	for _, e := range w.engines {
+func (sim *Simulation) engine(name string) *engine {
+	for _, e := range sim.engines {
 		if e.name == name {
 			return e
 		}
@@ -109,8 +110,8 @@
 	return nil
 }
 
-func (w *Simulation) node(name string) *node {
-	for _, n := range w.nodes {
+func (sim *Simulation) node(name string) *node {
+	for _, n := range sim.nodes {
 		if n.name == name {
 			return n
 		}
@@ -118,8 +119,8 @@
 	return nil
 }
 
-func (w *Simulation) caller(name string) *caller {
-	for _, c := range w.callers {
+func (sim *Simulation) caller(name string) *caller {
+	for _, c := range sim.callers {
 		if c.name == name {
 			return c
 		}
@@ -127,8 +128,8 @@
 	return nil
 }
 
-func (w *Simulation) replica(id state.ReplicaID) (state.Replica, bool) {
-	for _, r := range w.replicas {
+func (sim *Simulation) replica(id state.ReplicaID) (state.Replica, bool) {
+	for _, r := range sim.replicas {
 		if r.ID == id {
 			return r, true
 		}
@@ -136,17 +137,17 @@
 	return state.Replica{}, false
 }
 
-// stamp is the time since the story began.
-func (w *Simulation) stamp() string {
-	return fmt.Sprintf("%dms", w.now.Sub(w.began).Milliseconds())
+// timestamp returns the virtual time since the start of the scenario.
+func (sim *Simulation) timestamp() string {
+	return fmt.Sprintf("%dms", sim.now.Sub(sim.startTime).Milliseconds())
 }
 
-// say prints what happens now.
-func (w *Simulation) say(format string, args ...any) {
-	w.out = append(w.out, fmt.Sprintf("%8s  %s", w.stamp(), fmt.Sprintf(format, args...)))
+// printf prints a line with the current virtual time.
+func (sim *Simulation) printf(format string, args ...any) {
+	sim.output = append(sim.output, fmt.Sprintf("%8s  %s", sim.timestamp(), fmt.Sprintf(format, args...)))
 }
 
-// violated prints a promise that was broken.
-func (w *Simulation) violated(format string, args ...any) {
-	w.out = append(w.out, "VIOLATION "+fmt.Sprintf(format, args...))
+// reportViolation prints a broken invariant.
+func (sim *Simulation) reportViolation(format string, args ...any) {
+	sim.output = append(sim.output, "VIOLATION "+fmt.Sprintf(format, args...))
 }
--- a/trace/expect.go
+++ b/trace/expect.go
@@ -10,7 +10,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Expect is a stated outcome, checked when the whole trace has been replayed:
+// Expectation is a stated outcome, checked when the whole trace has been replayed:
 // Count runs match all of the filters that are set. Where Run is set, Count may
 // be left out and is 1.
 type Expectation struct {
--- a/trace/line.go
+++ b/trace/line.go
@@ -11,7 +11,7 @@
 	Version = 1
 )
 
-// MaxLine bounds one line in bytes, its end not counted.
+// MaxLineBytes bounds one line in bytes, its end not counted.
 const MaxLineBytes = 1 << 20
 
 // Line is one line of a trace: what By saw At nanoseconds after it began to
--- a/trace/reader.go
+++ b/trace/reader.go
@@ -36,7 +36,7 @@
 	return &Reader{in: s, known: make(map[string]bool)}
 }
 
-// Number is the number of the line that Next returned last, from 1.
+// LineNumber is the number of the line that Next returned last, from 1.
 func (r *Reader) LineNumber() int {
 	return r.number
 }
