--- a/trace/action.go
+++ b/trace/action.go
@@ -10,31 +10,31 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// actions writes out what a machine returned, one text an action.
-func (m mask) actions(as []request.Action) []string {
+// actions formats the actions that a state machine returned, one string per action.
+func (m masker) actions(as []request.Action) []string {
 	return lo.Map(as, func(a request.Action, _ int) string { return m.action(a) })
 }
 
-// action writes an action as its name and what decides its effect.
-func (m mask) action(a request.Action) string {
+// action formats an action as its name and the parameters that determine its effect.
+func (m masker) action(a request.Action) string {
 	switch a := a.(type) {
 	case request.AcquireSlot:
-		return fmt.Sprintf("ask_slot %s exclude=%s", owned(uint64(a.Attempt)), list(a.Exclude))
+		return fmt.Sprintf("ask_slot %s exclude=%s", formatOwned(uint64(a.Attempt)), list(a.Exclude))
 	case request.CancelSlotRequest:
-		return "stop_asking " + owned(uint64(a.Attempt))
+		return "stop_asking " + formatOwned(uint64(a.Attempt))
 	case request.ReleaseSlot:
-		return fmt.Sprintf("release_slot %s replica=%s unused=%t failed=%t", owned(uint64(a.Grant)), a.Replica, a.Unused, a.Failed)
+		return fmt.Sprintf("release_slot %s replica=%s unused=%t failed=%t", formatOwned(uint64(a.Grant)), a.Replica, a.Unused, a.Failed)
 	case request.RunStep:
 		return fmt.Sprintf("run_step %s at=%s prompt=%s given=%v input=%s last=%d", stepRef(a.Step), a.Stage.Backend,
 			m.text(a.Prompt), m.values(a.PriorTokens), m.bytes(a.Input), m.value(a.LastToken))
 	case request.QueryStage:
 		return fmt.Sprintf("ask_held %s at=%s", stepRef(a.Step), a.Stage.Backend)
 	case request.CancelAttempt:
-		return fmt.Sprintf("cancel_attempt %s replica=%s", owned(uint64(a.Attempt)), a.Replica.ID)
+		return fmt.Sprintf("cancel_attempt %s replica=%s", formatOwned(uint64(a.Attempt)), a.Replica.ID)
 	case request.ReleaseAttempt:
-		return fmt.Sprintf("release_attempt %s replica=%s", owned(uint64(a.Attempt)), a.Replica.ID)
+		return fmt.Sprintf("release_attempt %s replica=%s", formatOwned(uint64(a.Attempt)), a.Replica.ID)
 	case request.AttemptStarted:
-		return fmt.Sprintf("attempt_began %s epoch=%s replica=%s", owned(uint64(a.Attempt)), owned(uint64(a.Epoch)), a.Replica.ID)
+		return fmt.Sprintf("attempt_began %s epoch=%s replica=%s", formatOwned(uint64(a.Attempt)), formatOwned(uint64(a.Epoch)), a.Replica.ID)
 	case request.Emit:
 		return fmt.Sprintf("emit %d value=%d text=%s", a.Index, m.value(a.Value), m.text(a.Text))
 	case request.End:
@@ -44,11 +44,11 @@
 	}
 }
 
-// claimAction writes the actions that concern claims and retries.
+// claimAction formats the actions on claims and retries.
 func claimAction(a request.Action) string {
 	switch a := a.(type) {
 	case request.PutClaim:
-		return fmt.Sprintf("put_claim %s epoch=%s replica=%s proof=%t", owned(uint64(a.Attempt)), owned(uint64(a.Epoch)), a.Replica.ID, a.Proof.Valid())
+		return fmt.Sprintf("put_claim %s epoch=%s replica=%s proof=%t", formatOwned(uint64(a.Attempt)), formatOwned(uint64(a.Epoch)), a.Replica.ID, a.Proof.Valid())
 	case request.AbandonClaim:
 		return "abandon_claim"
 	case request.VoidClaim:
@@ -57,9 +57,9 @@
 		return "settle_claim " + outcome(a.Outcome)
 	case request.DecideRetry:
 		return fmt.Sprintf("ask_retry %s reason=%s replica=%s tried=%s execution=%s",
-			owned(uint64(a.Attempt)), a.Reason, a.Replica, list(a.Tried), a.Execution)
+			formatOwned(uint64(a.Attempt)), a.Reason, a.Replica, list(a.Tried), a.Execution)
 	default:
-		panic(fmt.Sprintf("trace: action %T has no text", a))
+		panic(fmt.Sprintf("trace: unknown action type %T", a))
 	}
 }
 
@@ -67,7 +67,7 @@
 	return strings.Join(lo.Map(ids, func(id state.ReplicaID, _ int) string { return string(id) }), ",")
 }
 
-// The names of outcomes in traces.
+// Names of outcomes in traces.
 const (
 	outcomeCompleted = "completed"
 	outcomeRefused   = "refused"
@@ -75,7 +75,7 @@
 	outcomeUnknown   = "unknown"
 )
 
-// outcome writes an outcome as its name and its parts.
+// outcome formats an outcome as its name and its fields.
 func outcome(o state.Outcome) string {
 	switch o := o.(type) {
 	case state.Completed:
@@ -87,6 +87,6 @@
 	case state.Unknown:
 		return fmt.Sprintf("%s reason=%s", outcomeUnknown, o.Reason)
 	default:
-		panic(fmt.Sprintf("trace: outcome %T has no text", o))
+		panic(fmt.Sprintf("trace: unknown outcome type %T", o))
 	}
 }
--- a/trace/bench_test.go
+++ b/trace/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/hibiscuswick/hibiscuswick/trace"
 )
 
-// BenchmarkRecordStep is the cost of one step of a request to its goroutine.
+// BenchmarkRecordStep measures the cost of recording one step to the request's goroutine.
 func BenchmarkRecordStep(b *testing.B) {
 	out := &counted{}
 	r := trace.NewRecorder(out, "entry-1.5f0c11aa", func(error) { b.Error("recording stopped") })
@@ -27,7 +27,7 @@
 		run.Step(now, ev, actions)
 		if i%1000 == 0 {
 			b.StopTimer()
-			time.Sleep(25 * time.Millisecond) // lets the file keep up
+			time.Sleep(25 * time.Millisecond) // lets the writer drain the queue, whose overflow stops the recording
 			b.StartTimer()
 		}
 	}
@@ -44,12 +44,12 @@
 
 func (*counted) Close() error { return nil }
 
-// BenchmarkReplay replays the kept traces.
+// BenchmarkReplay replays the traces in testdata.
 func BenchmarkReplay(b *testing.B) {
 	events := 0
 	for b.Loop() {
 		events = 0
-		for _, name := range kept() {
+		for _, name := range testdataTraces() {
 			res, err := replayFile(name)
 			if err != nil {
 				b.Fatal(err)
--- a/trace/event.go
+++ b/trace/event.go
@@ -10,7 +10,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Kind names an event of a request's machine.
+// Kind is the type of an event of a request's state machine.
 type Kind string
 
 // The values of Kind.
@@ -32,8 +32,8 @@
 	KindRetryDecided     Kind = "retry_decided"
 )
 
-// Event is one event of a request's machine. The kinds use the fields that they
-// need; docs/TRACES.md lists which.
+// Event is one event of a request's state machine. Each kind uses only some of the
+// fields; docs/TRACES.md lists them.
 type Event struct {
 	Kind Kind    `json:"kind"`
 	Step stepRef `json:"step,omitzero"`
@@ -59,7 +59,7 @@
 	NextToken      int               `json:"next_token,omitempty"`
 	Tokens         []int64           `json:"tokens,omitempty"` // digests
 	Allowed        bool              `json:"allowed,omitempty"`
-	NotBefore      int64             `json:"not_before,omitempty"` // as At
+	NotBefore      int64             `json:"not_before,omitempty"` // in the unit of Line.At
 	Exclude        []state.ReplicaID `json:"exclude,omitempty"`
 }
 
@@ -70,8 +70,9 @@
 	request.ClaimHeldElsewhere: "elsewhere",
 }
 
-// event writes an event of a machine whose recording began at began.
-func (m mask) event(ev request.Event, began time.Time) *Event {
+// event converts an event of a recording that started at the given time to a trace
+// line.
+func (m masker) event(ev request.Event, start time.Time) *Event {
 	switch ev := ev.(type) {
 	case request.Start:
 		return &Event{Kind: KindStart}
@@ -80,19 +81,19 @@
 	case request.Cancel:
 		return &Event{Kind: KindCancel}
 	case request.SlotGranted:
-		return &Event{Kind: KindSlotGranted, Attempt: attempt(ev.Grant), Replica: replicaLine(ev.Replica)}
+		return &Event{Kind: KindSlotGranted, Attempt: attempt(ev.Grant), Replica: newReplica(ev.Replica)}
 	case request.SlotUnusable:
 		return &Event{Kind: KindSlotUnusable, Attempt: attempt(ev.Grant), Replica: &Replica{ID: ev.Replica}, UnknownReplica: ev.UnknownReplica}
 	case request.SlotRefused:
 		return &Event{Kind: KindSlotRefused, Reason: ev.Reason, RetryAfter: ev.RetryAfter}
 	case request.ClaimSettled:
-		return claimLine(ev)
+		return claimEvent(ev)
 	case request.VoidSettled:
 		return &Event{Kind: KindVoidSettled, Voided: ev.Voided}
 	case request.RetryDecided:
 		e := &Event{Kind: KindRetryDecided, Allowed: ev.Allowed, Exclude: ev.Exclude, Reason: ev.Reason}
 		if !ev.At.IsZero() {
-			e.NotBefore = int64(ev.At.Sub(began))
+			e.NotBefore = int64(ev.At.Sub(start))
 		}
 		return e
 	default:
@@ -100,8 +101,8 @@
 	}
 }
 
-// stepEvent writes what a stage answered, or didn't.
-func (m mask) stepEvent(ev request.Event) *Event {
+// stepEvent converts the result of a call to a stage to a trace line.
+func (m masker) stepEvent(ev request.Event) *Event {
 	switch ev := ev.(type) {
 	case request.StepDone:
 		return &Event{
@@ -122,36 +123,36 @@
 	case request.StageQueryFailed:
 		return &Event{Kind: KindStageQueryFailed, Step: stepRef(ev.Step), Superseded: ev.Superseded, NotSent: ev.NotSent}
 	default:
-		panic(fmt.Sprintf("trace: event %T has no line", ev))
+		panic(fmt.Sprintf("trace: unknown event type %T", ev))
 	}
 }
 
-func claimLine(ev request.ClaimSettled) *Event {
+func claimEvent(ev request.ClaimSettled) *Event {
 	e := &Event{Kind: KindClaimSettled, Result: claimResults[ev.Result], Reason: ev.Reason}
 	if ev.Result == request.ClaimTakenOver {
-		e.Takeover = takeoverLine(ev.Takeover)
+		e.Takeover = newTakeover(ev.Takeover)
 	}
 	return e
 }
 
-func takeoverLine(t request.Takeover) *Takeover {
-	return &Takeover{Attempt: attempt(t.Attempt), Epoch: epoch(t.Epoch), Replica: *replicaLine(t.Replica)}
+func newTakeover(t request.Takeover) *Takeover {
+	return &Takeover{Attempt: attempt(t.Attempt), Epoch: epoch(t.Epoch), Replica: *newReplica(t.Replica)}
 }
 
-func replicaLine(r state.Replica) *Replica {
+func newReplica(r state.Replica) *Replica {
 	return &Replica{ID: r.ID, Stages: lo.Map(r.Stages, func(s state.Stage, _ int) Stage {
 		return Stage{Backend: s.Backend, BootID: s.BootID}
 	})}
 }
 
-func requestLine(m mask, s request.Spec, began time.Time) *Request {
+func newRequest(m masker, s request.Spec, start time.Time) *Request {
 	q := &Request{
 		ID: s.ID, Service: s.Service, Customer: s.Customer, Class: s.Class, Key: m.text(string(s.Key)),
 		Priority: s.Priority, Plain: s.Plain, NeverRepeat: s.NeverRepeat, Prompt: m.text(s.Prompt),
-		MaxTokens: s.MaxTokens, Owner: s.Owner, Deadline: int64(s.FirstTokenDeadline.Sub(began)),
+		MaxTokens: s.MaxTokens, Owner: s.Owner, Deadline: int64(s.FirstTokenDeadline.Sub(start)),
 	}
 	if s.Takeover != nil {
-		q.Takeover = takeoverLine(*s.Takeover)
+		q.Takeover = newTakeover(*s.Takeover)
 	}
 	return q
 }
--- a/trace/make/caller.go
+++ b/trace/make/caller.go
@@ -11,10 +11,10 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// send lets a caller send one request and read its answer in the background.
-func (r *rig) send(class state.ClassID) {
-	r.sent[class]++
-	n := r.sent[class]
+// send sends one request and reads its answer in the background.
+func (r *harness) send(class state.ClassID) {
+	r.sentCount[class]++
+	n := r.sentCount[class]
 	s := caller.Submission{
 		Service: drafts, Customer: customer, Class: class, After: -1,
 		Prompt:         fmt.Sprintf("%s of consignment %d", class, n),
@@ -23,40 +23,40 @@
 	if class == classAlert {
 		s.Service = alerts
 	}
-	at := n
+	first := n
 	r.callers.Go(func() {
-		if err := r.call(s, at); err != nil {
+		if err := r.submit(s, first); err != nil {
 			err = fmt.Errorf("%s: %w", s.IdempotencyKey, err)
-			r.failed.CompareAndSwap(nil, &err)
+			r.firstError.CompareAndSwap(nil, &err)
 		}
 	})
 }
 
-// passing are the refusals as not run after which a caller comes back: the daemon is
-// stopping, or has no part of the customer's limit yet.
-var passing = []state.Reason{state.ReasonDraining, state.ReasonCustomerLimit}
+// transientReasons are the reasons of refusals that a caller retries: the daemon is
+// draining, or has no share of the customer's limit yet.
+var transientReasons = []state.Reason{state.ReasonDraining, state.ReasonCustomerLimit}
 
-// call sends s to daemons in turn until one runs it.
-func (r *rig) call(s caller.Submission, at int) error {
+// submit sends s to one daemon after another until one accepts it.
+func (r *harness) submit(s caller.Submission, first int) error {
 	for {
-		using := r.using()
-		d := using[at%len(using)]
+		daemons := r.activeDaemons()
+		d := daemons[first%len(daemons)]
 		stream, outcome := d.Submit(r.ctx, s)
 		if stream != nil {
 			return r.read(d, stream)
 		}
-		if refused, ok := outcome.(state.Refused); !ok || !slices.Contains(passing, refused.Reason) {
+		if refused, ok := outcome.(state.Refused); !ok || !slices.Contains(transientReasons, refused.Reason) {
 			return fmt.Errorf("%T %v", outcome, outcome)
 		}
-		if err := r.sleep(poll); err != nil {
+		if err := r.sleep(pollInterval); err != nil {
 			return err
 		}
-		at++
+		first++
 	}
 }
 
-// read reads an answer to its end.
-func (r *rig) read(d *daemon.Daemon, stream caller.Stream) error {
+// read reads an answer until its end.
+func (r *harness) read(d *daemon.Daemon, stream caller.Stream) error {
 	defer stream.Close()
 	ctx, cancel := context.WithCancel(r.ctx)
 	defer cancel()
@@ -70,7 +70,7 @@
 	for {
 		item, err := stream.Next(ctx)
 		if err != nil {
-			return fmt.Errorf("the daemon stopped under the stream: %w", err)
+			return fmt.Errorf("daemon stopped during the stream: %w", err)
 		}
 		if item.Token != nil {
 			continue
@@ -82,9 +82,9 @@
 	}
 }
 
-// mix sends some requests of each class, spread over a span in an order that is
-// the same in every recording.
-func (r *rig) mix(span time.Duration, counts map[state.ClassID]int) error {
+// sendMix sends a number of requests of each class, spread evenly over a time span, in
+// an order that is the same in every recording.
+func (r *harness) sendMix(span time.Duration, counts map[state.ClassID]int) error {
 	var order []state.ClassID
 	for _, class := range []state.ClassID{classCheck, classDraft, classNote, classAlert} {
 		for range counts[class] {
--- a/trace/make/documents.go
+++ b/trace/make/documents.go
@@ -6,7 +6,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// What the site serves.
+// Services, classes and answer lengths of the recorded site.
 const (
 	drafts state.ServiceID = "drafts"
 	alerts state.ServiceID = "alerts"
--- a/trace/make/main.go
+++ b/trace/make/main.go
@@ -1,11 +1,11 @@
-// Command make records the traces that are kept in trace/testdata, each from a
-// run of daemons and stand-ins on loopback ports:
+// Command make records the traces in trace/testdata, each from a run of daemons and
+// stand-ins on loopback ports:
 //
-//	go run ./trace/make DIRECTORY [STORY]
+//	go run ./trace/make DIRECTORY [SCENARIO]
 //
-// It replays each trace, and fails if that differs or a stated outcome does not
-// hold. The traces are recorded anew where a change of a decision is meant; they
-// are never edited to fit one.
+// It replays each trace, and fails if the replay differs or a stated outcome does not
+// hold. The traces are recorded again when a decision is changed on purpose; they are
+// never edited to match a change.
 package main
 
 import (
@@ -18,14 +18,14 @@
 	"github.com/hibiscuswick/hibiscuswick/trace"
 )
 
-const storyTimeout = time.Minute
+const scenarioTimeout = time.Minute
 
 func main() {
 	if len(os.Args) < 2 {
-		fmt.Fprintln(os.Stderr, "usage: make DIRECTORY [STORY]")
+		fmt.Fprintln(os.Stderr, "usage: make DIRECTORY [SCENARIO]")
 		os.Exit(2)
 	}
-	for _, s := range stories {
+	for _, s := range scenarios {
 		if len(os.Args) > 2 && os.Args[2] != s.name {
 			continue
 		}
@@ -38,14 +38,14 @@
 	}
 }
 
-// record runs a story into the file at path, and replays it.
-func record(s story, path string) (trace.Result, error) {
+// record records a scenario to the file at path and replays it.
+func record(s scenario, path string) (trace.Result, error) {
 	if err := os.Remove(path); err != nil && !os.IsNotExist(err) {
 		return trace.Result{}, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), storyTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 	defer cancel()
-	if err := play(ctx, s, path); err != nil {
+	if err := runScenario(ctx, s, path); err != nil {
 		return trace.Result{}, err
 	}
 	return check(path)
@@ -60,7 +60,7 @@
 	defer func() { _ = f.Close() }()
 	res, err := trace.Replay(f)
 	if err == nil && res.Difference != nil {
-		err = fmt.Errorf("the replay differs: %v", res.Difference)
+		err = fmt.Errorf("replay differs from the recording: %v", res.Difference)
 	}
 	return res, err
 }
--- a/trace/make/rig.go
+++ b/trace/make/rig.go
@@ -21,32 +21,32 @@
 )
 
 const (
-	daemons  = 3
-	stepTime = 3 * time.Millisecond
-	deadline = service.Duration(30 * time.Second)
-	poll     = 10 * time.Millisecond
+	daemons      = 3
+	stepTime     = 3 * time.Millisecond
+	deadline     = service.Duration(30 * time.Second)
+	pollInterval = 10 * time.Millisecond
 )
 
 var chains = site.Chains{Prefix: "drafter", Replicas: 2, Stages: 2, Layers: 8}
 
-// rig is a running site whose daemons record into one file.
-type rig struct {
+// harness is a running site whose daemons record to one file.
+type harness struct {
 	*site.Site
-	ctx   context.Context
-	path  string
-	notes *trace.Recorder // of the faults and stated outcomes
-	rng   *rand.Rand
+	ctx      context.Context
+	path     string
+	recorder *trace.Recorder // records faults and stated outcomes
+	rng      *rand.Rand
 
 	mu      sync.Mutex
-	daemons []*daemon.Daemon // that callers use
+	daemons []*daemon.Daemon // those that callers use
 
-	callers sync.WaitGroup
-	sent    map[state.ClassID]int
-	failed  atomic.Pointer[error]
+	callers    sync.WaitGroup
+	sentCount  map[state.ClassID]int
+	firstError atomic.Pointer[error]
 }
 
-// play runs a story from its start to its stated outcomes.
-func play(ctx context.Context, s story, path string) error {
+// runScenario starts a site, runs a scenario and records its stated outcomes.
+func runScenario(ctx context.Context, s scenario, path string) error {
 	notes, err := trace.Open(path, "site", func(error) {})
 	if err != nil {
 		return err
@@ -56,37 +56,37 @@
 	if err != nil {
 		return err
 	}
-	r := &rig{Site: st, ctx: ctx, path: path, notes: notes, rng: rand.New(rand.NewPCG(1, 2)), sent: make(map[state.ClassID]int)}
+	r := &harness{Site: st, ctx: ctx, path: path, recorder: notes, rng: rand.New(rand.NewPCG(1, 2)), sentCount: make(map[state.ClassID]int)}
 	err = r.start()
 	if err == nil {
 		err = s.run(r)
 	}
 	r.callers.Wait()
 	st.Close()
-	if failed := r.failed.Load(); err == nil && failed != nil {
+	if failed := r.firstError.Load(); err == nil && failed != nil {
 		err = *failed
 	}
-	r.state()
+	r.recordExpectations()
 	return err
 }
 
-// state states the outcomes: every request that was sent got its whole answer
-// from exactly one run, and every life of a daemon ended with the same document.
-func (r *rig) state() {
+// recordExpectations records the stated outcomes: every request was completed by exactly
+// one run, and every incarnation of a daemon ended with the same document version.
+func (r *harness) recordExpectations() {
 	for _, class := range []state.ClassID{classCheck, classDraft, classNote, classAlert} {
-		if n := r.sent[class]; n > 0 {
-			r.notes.Expect(trace.Expectation{Class: class, Outcome: "completed", Count: &n})
+		if n := r.sentCount[class]; n > 0 {
+			r.recorder.Expect(trace.Expectation{Class: class, Outcome: "completed", Count: &n})
 		}
 	}
 	none := 0
 	for _, outcome := range []string{"refused", "failed", "unknown"} {
-		r.notes.Expect(trace.Expectation{Outcome: outcome, Count: &none})
+		r.recorder.Expect(trace.Expectation{Outcome: outcome, Count: &none})
 	}
-	r.notes.Expect(trace.Expectation{Service: drafts, Version: editedVersion})
+	r.recorder.Expect(trace.Expectation{Service: drafts, Version: editedVersion})
 }
 
-// start brings the site up, edits the document once, and waits until all serve.
-func (r *rig) start() error {
+// start starts the site, edits the document once and waits until all daemons serve.
+func (r *harness) start() error {
 	engine := standin.EngineConfig{Service: drafts, Model: "notes", Version: "1", Kind: "large", StepTime: stepTime}
 	if err := r.AddChains(chains, engine); err != nil {
 		return err
@@ -110,7 +110,7 @@
 	return r.awaitServing()
 }
 
-func (r *rig) addDaemon() error {
+func (r *harness) addDaemon() error {
 	d, err := r.AddDaemon(func(s *settings.Settings) { s.RecordFile = r.path })
 	if err != nil {
 		return err
@@ -121,36 +121,36 @@
 	return nil
 }
 
-func (r *rig) apply(base state.DocumentVersion, doc service.Document) error {
+func (r *harness) apply(base state.DocumentVersion, doc service.Document) error {
 	edit := caller.Edit{Base: base, EditID: fmt.Sprintf("%s-%d", doc.Service, base), Text: doc.Encode()}
-	res := r.using()[0].Apply(r.ctx, edit)
+	res := r.activeDaemons()[0].Apply(r.ctx, edit)
 	if res.Status != caller.EditAccepted {
-		return fmt.Errorf("document %s: %s %v", doc.Service, res.Status, res.Faults)
+		return fmt.Errorf("document %s was not accepted: %s %v", doc.Service, res.Status, res.Faults)
 	}
 	return nil
 }
 
-// using lists the daemons that callers use.
-func (r *rig) using() []*daemon.Daemon {
+// activeDaemons lists the daemons that callers use.
+func (r *harness) activeDaemons() []*daemon.Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]*daemon.Daemon(nil), r.daemons...)
 }
 
-// awaitServing waits until every daemon in use has the documents and knows every
-// other one.
-func (r *rig) awaitServing() error {
-	for _, d := range r.using() {
+// awaitServing waits until every active daemon has the documents and sees all others
+// alive.
+func (r *harness) awaitServing() error {
+	for _, d := range r.activeDaemons() {
 		for !r.serves(d) {
-			if err := r.sleep(poll); err != nil {
-				return fmt.Errorf("daemons do not come into service: %w", err)
+			if err := r.sleep(pollInterval); err != nil {
+				return fmt.Errorf("daemons are not serving: %w", err)
 			}
 		}
 	}
 	return nil
 }
 
-func (r *rig) serves(d *daemon.Daemon) bool {
+func (r *harness) serves(d *daemon.Daemon) bool {
 	s := d.DaemonStatus(r.ctx)
 	alive := 0
 	for _, m := range s.Members {
@@ -158,10 +158,10 @@
 			alive++
 		}
 	}
-	return s.Documents[drafts] == editedVersion && len(s.Documents) == 2 && !s.Isolated && alive >= len(r.using())
+	return s.Documents[drafts] == editedVersion && len(s.Documents) == 2 && !s.Isolated && alive >= len(r.activeDaemons())
 }
 
-func (r *rig) sleep(d time.Duration) error {
+func (r *harness) sleep(d time.Duration) error {
 	select {
 	case <-r.ctx.Done():
 		return r.ctx.Err()
@@ -170,8 +170,8 @@
 	}
 }
 
-// forget takes a daemon that has stopped out of use.
-func (r *rig) forget(d *daemon.Daemon) {
+// removeDaemon removes a stopped daemon from those that callers use.
+func (r *harness) removeDaemon(d *daemon.Daemon) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.daemons = slices.DeleteFunc(r.daemons, func(other *daemon.Daemon) bool { return other == d })
--- a/trace/mask.go
+++ b/trace/mask.go
@@ -7,19 +7,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// mask replaces what callers sent and got by digests. Equal contents of one
-// recording have equal digests, so that a trace still shows which output went
-// into which step. The zero mask changes nothing: replay uses it on what is
-// masked already.
-type mask struct {
-	on   bool
-	salt [8]byte
+// masker replaces the contents of requests and answers by digests. Equal contents of
+// one recording have equal digests, so that a trace still shows which output was the
+// input of which step. The zero masker changes nothing; replay uses it, because the
+// contents of a trace are masked already.
+type masker struct {
+	enabled bool
+	salt    [8]byte
 }
 
-// valueBits bounds a masked token value, for short lines.
+// valueBits is the size of a masked token value, kept small for short lines.
 const valueBits = 24
 
-func (m mask) sum(b []byte) uint64 {
+func (m masker) sum(b []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.Write(m.salt[:])
@@ -27,24 +27,24 @@
 	return d.Sum64()
 }
 
-// bytes keeps nil and empty apart, since a lost output is nil.
-func (m mask) bytes(b []byte) string {
-	if b == nil || !m.on {
+// bytes distinguishes nil from empty, since a lost output is nil.
+func (m masker) bytes(b []byte) string {
+	if b == nil || !m.enabled {
 		return string(b)
 	}
 	return fmt.Sprintf("%016x", m.sum(b))
 }
 
-func (m mask) text(s string) string {
-	if s == "" || !m.on {
+func (m masker) text(s string) string {
+	if s == "" || !m.enabled {
 		return s
 	}
 	return m.bytes([]byte(s))
 }
 
-// value keeps 0, which is written where there is no token.
-func (m mask) value(v int64) int64 {
-	if !m.on || v == 0 {
+// value does not mask 0, which stands for no token.
+func (m masker) value(v int64) int64 {
+	if !m.enabled || v == 0 {
 		return v
 	}
 	var b [8]byte
@@ -52,7 +52,7 @@
 	return int64(m.sum(b[:]) >> (64 - valueBits))
 }
 
-func (m mask) values(vs []int64) []int64 {
+func (m masker) values(vs []int64) []int64 {
 	if vs == nil {
 		return nil
 	}
@@ -63,8 +63,8 @@
 	return out
 }
 
-// unmasked gives an output back as it went into a trace.
-func unmasked(s string) []byte {
+// outputBytes converts an output in a trace back to bytes.
+func outputBytes(s string) []byte {
 	if s == "" {
 		return nil
 	}
--- a/trace/property_test.go
+++ b/trace/property_test.go
@@ -16,34 +16,34 @@
 	"github.com/hibiscuswick/hibiscuswick/trace"
 )
 
-// file is a trace in memory.
+// file is an in-memory trace.
 type file struct{ bytes.Buffer }
 
 func (*file) Close() error { return nil }
 
-// owner drives one machine with random answers, as a daemon would, and records.
-type owner struct {
-	t    *rapid.T
-	now  time.Time
-	m    *request.Request
-	run  *trace.Run
-	ops  []request.Action
-	last request.PutClaim
+// driver runs one state machine with random results, as a daemon would, and records it.
+type driver struct {
+	t         *rapid.T
+	now       time.Time
+	m         *request.Request
+	run       *trace.Run
+	pending   []request.Action
+	lastClaim request.PutClaim
 }
 
-func (o *owner) feed(ev request.Event) {
-	if o.m.Ended() {
+func (d *driver) feed(ev request.Event) {
+	if d.m.Ended() {
 		return
 	}
-	actions := o.m.Step(o.now, ev)
-	o.run.Step(o.now, ev, actions)
-	o.ops = append(o.ops, actions...)
+	actions := d.m.Step(d.now, ev)
+	d.run.Step(d.now, ev, actions)
+	d.pending = append(d.pending, actions...)
 }
 
-func (o *owner) chance(name string) bool { return rapid.Bool().Draw(o.t, name) }
+func (d *driver) chance(name string) bool { return rapid.Bool().Draw(d.t, name) }
 
-func (o *owner) replica() state.Replica {
-	n := rapid.IntRange(1, 3).Draw(o.t, "replica")
+func (d *driver) replica() state.Replica {
+	n := rapid.IntRange(1, 3).Draw(d.t, "replica")
 	r := state.Replica{ID: state.ReplicaID(fmt.Sprintf("r%d", n))}
 	for s := range 2 {
 		r.Stages = append(r.Stages, state.Stage{Backend: state.BackendID(fmt.Sprintf("r%d-%d", n, s)), BootID: "one"})
@@ -51,108 +51,108 @@
 	return r
 }
 
-// answer gives one thing that was asked for a random result.
-func (o *owner) answer(a request.Action) {
-	fate := rapid.IntRange(0, 9).Draw(o.t, "fate")
-	o.now = o.now.Add(time.Duration(rapid.Int64Range(0, 5e7).Draw(o.t, "time")))
+// answer feeds a random result of an action.
+func (d *driver) answer(a request.Action) {
+	outcome := rapid.IntRange(0, 9).Draw(d.t, "outcome")
+	d.now = d.now.Add(time.Duration(rapid.Int64Range(0, 5e7).Draw(d.t, "time")))
 	switch a := a.(type) {
 	case request.AcquireSlot:
-		switch fate {
+		switch outcome {
 		case 8:
-			o.feed(request.SlotRefused{Reason: state.ReasonQueueFull, RetryAfter: 2})
+			d.feed(request.SlotRefused{Reason: state.ReasonQueueFull, RetryAfter: 2})
 		case 9:
-			o.feed(request.SlotUnusable{Grant: a.Attempt, Replica: "r1", UnknownReplica: o.chance("unknown")})
+			d.feed(request.SlotUnusable{Grant: a.Attempt, Replica: "r1", UnknownReplica: d.chance("unknown")})
 		default:
-			o.feed(request.SlotGranted{Grant: a.Attempt, Replica: o.replica()})
+			d.feed(request.SlotGranted{Grant: a.Attempt, Replica: d.replica()})
 		}
 	case request.PutClaim:
-		o.last = a
-		o.claim(fate)
+		d.lastClaim = a
+		d.claim(outcome)
 	case request.AbandonClaim:
-		o.feed(request.ClaimSettled{Result: request.ClaimRefused, Reason: state.ReasonStoreUnavailable})
+		d.feed(request.ClaimSettled{Result: request.ClaimRefused, Reason: state.ReasonStoreUnavailable})
 	case request.VoidClaim:
-		o.feed(request.VoidSettled{Voided: fate < 5})
+		d.feed(request.VoidSettled{Voided: outcome < 5})
 	case request.DecideRetry:
-		o.feed(request.RetryDecided{
-			Allowed: fate < 8, At: o.now.Add(time.Duration(fate)), Exclude: []state.ReplicaID{"r1"}, Reason: state.ReasonRetriesExhausted,
+		d.feed(request.RetryDecided{
+			Allowed: outcome < 8, At: d.now.Add(time.Duration(outcome)), Exclude: []state.ReplicaID{"r1"}, Reason: state.ReasonRetriesExhausted,
 		})
 	case request.RunStep:
-		o.step(a, fate)
+		d.step(a, outcome)
 	case request.QueryStage:
-		o.held(a, fate)
+		d.held(a, outcome)
 	}
 }
 
-func (o *owner) claim(fate int) {
-	switch fate {
+func (d *driver) claim(outcome int) {
+	switch outcome {
 	case 7:
-		o.feed(request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate})
+		d.feed(request.ClaimSettled{Result: request.ClaimHeldElsewhere, Reason: state.ReasonDuplicate})
 	case 8:
-		o.feed(request.ClaimSettled{Result: request.ClaimRefused, Reason: state.ReasonStoreUnavailable})
+		d.feed(request.ClaimSettled{Result: request.ClaimRefused, Reason: state.ReasonStoreUnavailable})
 	case 9:
-		o.feed(request.ClaimSettled{Result: request.ClaimTakenOver, Takeover: request.Takeover{
-			Replica: o.replica(), Attempt: o.last.Attempt.Next(9), Epoch: o.last.Epoch.TakeOver(1),
+		d.feed(request.ClaimSettled{Result: request.ClaimTakenOver, Takeover: request.Takeover{
+			Replica: d.replica(), Attempt: d.lastClaim.Attempt.Next(9), Epoch: d.lastClaim.Epoch.TakeOver(1),
 		}})
 	default:
-		o.feed(request.ClaimSettled{Result: request.ClaimWon})
+		d.feed(request.ClaimSettled{Result: request.ClaimWon})
 	}
 }
 
-func (o *owner) step(a request.RunStep, fate int) {
-	switch fate {
+func (d *driver) step(a request.RunStep, outcome int) {
+	switch outcome {
 	case 6:
-		o.feed(request.StepNotRun{Step: a.Step, Superseded: o.chance("overtaken")})
+		d.feed(request.StepNotRun{Step: a.Step, Superseded: d.chance("superseded")})
 	case 7:
-		o.feed(request.StepFailed{Step: a.Step})
+		d.feed(request.StepFailed{Step: a.Step})
 	case 8, 9:
-		o.feed(request.StepUnanswered{Step: a.Step, NotSent: o.chance("not sent"), Silent: o.chance("silent")})
+		d.feed(request.StepUnanswered{Step: a.Step, NotSent: d.chance("not sent"), Silent: d.chance("silent")})
 	default:
-		o.feed(request.StepDone{Step: a.Step, Output: []byte("secret output"), Value: int64(a.Step.Token * 7), Text: "secret"})
+		d.feed(request.StepDone{Step: a.Step, Output: []byte("secret output"), Value: int64(a.Step.Token * 7), Text: "secret"})
 	}
 }
 
-func (o *owner) held(a request.QueryStage, fate int) {
-	if fate == 9 {
-		o.feed(request.StageQueryFailed{Step: a.Step, Superseded: o.chance("overtaken"), NotSent: o.chance("not sent")})
+func (d *driver) held(a request.QueryStage, outcome int) {
+	if outcome == 9 {
+		d.feed(request.StageQueryFailed{Step: a.Step, Superseded: d.chance("superseded"), NotSent: d.chance("not sent")})
 		return
 	}
 	h := request.StageState{
-		Step: a.Step, Life: "one", Known: fate > 2, Canceled: fate == 8, NextToken: a.Step.Token, Tokens: make([]int64, a.Step.Token),
+		Step: a.Step, Life: "one", Known: outcome > 2, Canceled: outcome == 8, NextToken: a.Step.Token, Tokens: make([]int64, a.Step.Token),
 	}
-	if o.chance("ran") {
+	if d.chance("ran") {
 		h.Known = true
 		h.NextToken++
 		h.LastOutput = []byte("secret output")
 		h.Tokens = append(h.Tokens, 5)
 	}
-	o.feed(h)
+	d.feed(h)
 }
 
-// record drives some requests to their end, or a while.
+// record runs several requests until they end or for a random number of answers.
 func record(t *rapid.T) string {
 	out := &file{}
-	began := time.Now()
+	start := time.Now()
 	r := trace.NewRecorder(out, "entry-1.test", func(err error) { t.Fatal(err) })
 	for i := range rapid.IntRange(1, 3).Draw(t, "requests") {
 		spec := request.Spec{
 			ID: state.RequestID(fmt.Sprintf("q%d", i)), Class: "note", Key: "secret key", Prompt: "secret prompt", MaxTokens: 3,
-			Owner: 1, NeverRepeat: rapid.Bool().Draw(t, "never repeat"), FirstTokenDeadline: began.Add(time.Second),
+			Owner: 1, NeverRepeat: rapid.Bool().Draw(t, "never repeat"), FirstTokenDeadline: start.Add(time.Second),
 		}
 		if !spec.NeverRepeat && rapid.Bool().Draw(t, "takeover") {
-			spec.Takeover = &request.Takeover{Replica: (&owner{t: t}).replica(), Attempt: 1 << 32, Epoch: 1 << 32}
+			spec.Takeover = &request.Takeover{Replica: (&driver{t: t}).replica(), Attempt: 1 << 32, Epoch: 1 << 32}
 		}
-		o := &owner{t: t, now: began, m: request.New(spec), run: r.Begin(spec)}
-		o.feed(request.Start{})
+		d := &driver{t: t, now: start, m: request.New(spec), run: r.Begin(spec)}
+		d.feed(request.Start{})
 		for range rapid.IntRange(1, 40).Draw(t, "answers") {
-			if len(o.ops) == 0 || o.m.Ended() {
+			if len(d.pending) == 0 || d.m.Ended() {
 				break
 			}
-			a := o.ops[0]
-			o.ops = o.ops[1:]
-			o.answer(a)
+			a := d.pending[0]
+			d.pending = d.pending[1:]
+			d.answer(a)
 			if rapid.IntRange(0, 30).Draw(t, "tick or cancel") == 0 {
-				o.feed(request.Tick{})
-				o.feed(request.Cancel{})
+				d.feed(request.Tick{})
+				d.feed(request.Cancel{})
 			}
 		}
 	}
@@ -160,15 +160,15 @@
 	return out.String()
 }
 
-// TestReplayEqualsRecording drives requests through random events and shows that
-// the recording replays to the same decisions, holds nothing that a caller sent
-// or got, and that a replay finds each single action that is changed in it.
+// TestReplayEqualsRecording records requests with random events and checks that the
+// recording replays to the same decisions, contains no contents of requests or answers,
+// and that a replay reports a changed action at its line.
 func TestReplayEqualsRecording(t *testing.T) {
 	actions := regexp.MustCompile(`"do":\["([^"]+)"`)
 	rapid.Check(t, func(t *rapid.T) {
 		text := record(t)
 		if strings.Contains(text, "secret") {
-			t.Fatalf("the trace holds contents:\n%s", text)
+			t.Fatalf("the trace contains unmasked contents:\n%s", text)
 		}
 		res, err := trace.Replay(strings.NewReader(text))
 		if err != nil || res.Difference != nil {
@@ -180,7 +180,7 @@
 		lines[i] = actions.ReplaceAllString(lines[i], `"do":["other"`)
 		res, err = trace.Replay(strings.NewReader(strings.Join(lines, "\n")))
 		if err != nil || res.Difference == nil || res.Difference.Line != i+1 || res.Difference.Expected != "other" {
-			t.Fatalf("line %d was changed; %v %v", i+1, err, res.Difference)
+			t.Fatalf("replay did not report the change of line %d: %v %v", i+1, err, res.Difference)
 		}
 	})
 }
--- a/trace/reader.go
+++ b/trace/reader.go
@@ -11,7 +11,7 @@
 	"github.com/samber/lo"
 )
 
-// InputError is a line that is not of a trace.
+// InputError reports an invalid line of a trace.
 type InputError struct {
 	Line    int // from 1
 	Message string
@@ -24,55 +24,55 @@
 
 // Reader reads a trace line by line.
 type Reader struct {
-	in     *bufio.Scanner
-	number int
-	known  map[string]bool // By with a header
+	in         *bufio.Scanner
+	lineNumber int
+	sources    map[string]bool // sources with a header
 }
 
 // NewReader returns a reader of in.
 func NewReader(in io.Reader) *Reader {
 	s := bufio.NewScanner(in)
 	s.Buffer(nil, MaxLineBytes+1)
-	return &Reader{in: s, known: make(map[string]bool)}
+	return &Reader{in: s, sources: make(map[string]bool)}
 }
 
-// LineNumber is the number of the line that Next returned last, from 1.
+// LineNumber returns the number of the line that Next returned last, from 1.
 func (r *Reader) LineNumber() int {
-	return r.number
+	return r.lineNumber
 }
 
-// Next returns the next line; io.EOF ends the trace. Another error is an
-// *InputError or comes from reading.
+// Next returns the next line, or io.EOF at the end of the trace. Any other error is
+// an *InputError or a read error.
 func (r *Reader) Next() (Line, error) {
 	if !r.in.Scan() {
-		return Line{}, r.ended()
+		return Line{}, r.endError()
 	}
-	r.number++
+	r.lineNumber++
 	l, err := decodeLine(r.in.Bytes())
 	if err == nil {
 		err = r.check(l)
 	}
 	if err != nil {
-		return l, &InputError{Line: r.number, Message: err.Error()}
+		return l, &InputError{Line: r.lineNumber, Message: err.Error()}
 	}
 	return l, nil
 }
 
-func (r *Reader) ended() error {
+func (r *Reader) endError() error {
 	err := r.in.Err()
 	switch {
 	case errors.Is(err, bufio.ErrTooLong):
-		return &InputError{Line: r.number + 1, Message: fmt.Sprintf("longer than %d bytes", MaxLineBytes)}
+		return &InputError{Line: r.lineNumber + 1, Message: fmt.Sprintf("longer than %d bytes", MaxLineBytes)}
 	case err != nil:
 		return err
-	case r.number == 0:
+	case r.lineNumber == 0:
 		return &InputError{Line: 1, Message: "no header: the trace is empty"}
 	}
 	return io.EOF
 }
 
-// decodeLine reads one JSON value, strictly: an unknown field is most likely a
-// mistake in a line that was written by hand.
+// decodeLine decodes one JSON value and rejects unknown fields, which are most likely
+// a mistake in a line that was written by hand.
 func decodeLine(text []byte) (Line, error) {
 	var l Line
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -81,12 +81,12 @@
 		return l, err
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return l, errors.New("more than one value")
+		return l, errors.New("more than one JSON value")
 	}
 	return l, nil
 }
 
-// check holds what each line must be, whatever came before it.
+// check validates a line.
 func (r *Reader) check(l Line) error {
 	parts := lo.CountBy([]bool{
 		l.Header != nil, l.Request != nil, l.Event != nil, l.Document != nil, l.Fault != nil, l.Expect != nil,
@@ -99,26 +99,26 @@
 	case l.Source == "":
 		return errors.New(`"by" is missing`)
 	case l.Header != nil:
-		return r.header(l)
-	case !r.known[l.Source]:
+		return r.checkHeader(l)
+	case !r.sources[l.Source]:
 		return fmt.Errorf("no header of %q before this line", l.Source)
 	case l.Actions != nil && l.Event == nil:
 		return errors.New(`"do" without "event"`)
 	case (l.Run == 0) != (l.Request == nil && l.Event == nil):
-		return errors.New(`"run" goes with "request" and "event", from 1`)
+		return errors.New(`"run" must be set, from 1, with "request" and "event" only`)
 	}
 	return nil
 }
 
-func (r *Reader) header(l Line) error {
+func (r *Reader) checkHeader(l Line) error {
 	switch {
 	case l.Header.Format != Format:
 		return fmt.Errorf("format %q, want %q", l.Header.Format, Format)
 	case l.Header.Version != Version:
-		return fmt.Errorf("version %d, this reader knows %d", l.Header.Version, Version)
-	case r.known[l.Source]:
+		return fmt.Errorf("version %d, this reader supports %d", l.Header.Version, Version)
+	case r.sources[l.Source]:
 		return fmt.Errorf("second header of %q", l.Source)
 	}
-	r.known[l.Source] = true
+	r.sources[l.Source] = true
 	return nil
 }
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -14,37 +14,37 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// backlog is how many lines may wait for the file. When a slow disk lets it
-// fill, recording stops: a trace without some of its lines could not be
-// replayed, and a request must not wait for a disk.
-const backlog = 1 << 14
+// maxQueuedLines is the number of lines that may be queued for the file. When a slow
+// disk lets the queue fill up, recording stops: a trace with missing lines could not
+// be replayed, and a request must not wait for a disk.
+const maxQueuedLines = 1 << 14
 
-// writeEvery is how long lines are gathered before they are written.
-const writeEvery = 20 * time.Millisecond
+// writeInterval is the time for which lines are collected into one write.
+const writeInterval = 20 * time.Millisecond
 
 const fileMode = 0o600
 
-// Recorder writes the trace of one life of a daemon. Its methods may be called
-// by many goroutines at once; those of a nil Recorder do nothing.
+// Recorder writes the trace of one incarnation of a daemon. Its methods are safe for
+// concurrent use; those of a nil Recorder do nothing.
 type Recorder struct {
-	by    string
-	began time.Time
-	mask  mask
-	fail  func(error) // at most once
-	out   io.WriteCloser
-	done  chan struct{} // closed when everything is written
+	source    string
+	startTime time.Time
+	mask      masker
+	fail      func(error) // at most once
+	out       io.WriteCloser
+	done      chan struct{} // closed after the last write
 
 	mu      sync.Mutex
-	lines   [][]byte
-	runs    uint64
+	queue   [][]byte
+	lastRun uint64
 	wake    chan struct{}
-	closing bool // nothing more is taken
+	closed  bool // further lines are discarded
 }
 
-// Open appends to the file at path what the life of a daemon called by does;
-// several daemons may append to one file, which has to be on a local file
-// system. fail is called at most once, when recording stops early. Without a
-// path it returns nil, a Recorder that records nothing.
+// Open returns a Recorder that appends to the file at path, where by names the
+// incarnation of the daemon. Several daemons may append to one file, which has to be
+// on a local file system. fail is called at most once, when recording stops early. If
+// path is empty, Open returns nil, which is a Recorder that records nothing.
 func Open(path, by string, fail func(error)) (*Recorder, error) {
 	if path == "" {
 		return nil, nil
@@ -56,39 +56,40 @@
 	return NewRecorder(f, by, fail), nil
 }
 
-// NewRecorder writes to out, whole lines at a time, and closes it in the end.
+// NewRecorder returns a Recorder that writes complete lines to out and closes it at
+// the end.
 func NewRecorder(out io.WriteCloser, by string, fail func(error)) *Recorder {
 	r := &Recorder{
-		by:    by,
-		began: time.Now(),
-		mask:  mask{on: true},
-		out:   out,
-		done:  make(chan struct{}),
-		wake:  make(chan struct{}, 1),
+		source:    by,
+		startTime: time.Now(),
+		mask:      masker{enabled: true},
+		out:       out,
+		done:      make(chan struct{}),
+		wake:      make(chan struct{}, 1),
 	}
 	var once sync.Once
 	r.fail = func(err error) { once.Do(func() { fail(err) }) }
 	_, _ = rand.Read(r.mask.salt[:]) // crypto/rand.Read never fails
-	r.add(Line{Header: &Header{Format: Format, Version: Version, StartedAt: r.began.UTC().Format(time.RFC3339)}})
-	go r.write()
+	r.enqueue(Line{Header: &Header{Format: Format, Version: Version, StartedAt: r.startTime.UTC().Format(time.RFC3339)}})
+	go r.writeLoop()
 	return r
 }
 
-// Document records that a document was put into force.
+// Document records that a document version was applied.
 func (r *Recorder) Document(id state.ServiceID, version state.DocumentVersion) {
 	if r == nil {
 		return
 	}
-	r.add(Line{At: r.at(time.Now()), Document: &Document{Service: id, Version: version}})
+	r.enqueue(Line{At: r.elapsed(time.Now()), Document: &Document{Service: id, Version: version}})
 }
 
-// Fault records what is done to the site, so that a reader of the trace finds
-// the cause of what follows.
+// Fault records a fault that is injected into the site, as the cause of the lines
+// that follow.
 func (r *Recorder) Fault(kind, subject string) {
 	if r == nil {
 		return
 	}
-	r.add(Line{At: r.at(time.Now()), Fault: &Fault{Kind: kind, Subject: subject}})
+	r.enqueue(Line{At: r.elapsed(time.Now()), Fault: &Fault{Kind: kind, Subject: subject}})
 }
 
 // Expect records a stated outcome.
@@ -96,70 +97,70 @@
 	if r == nil {
 		return
 	}
-	r.add(Line{Expect: &e})
+	r.enqueue(Line{Expect: &e})
 }
 
-// Run is the recording of one request. It belongs to the request's goroutine; a
+// Run is the recording of one request. Only the request's goroutine may use it. A
 // nil Run records nothing.
 type Run struct {
 	r      *Recorder
 	number uint64
 }
 
-// Begin records a request's arrival.
+// Begin records the arrival of a request.
 func (r *Recorder) Begin(spec request.Spec) *Run {
 	if r == nil {
 		return nil
 	}
 	r.mu.Lock()
-	r.runs++
-	run := &Run{r: r, number: r.runs}
+	r.lastRun++
+	run := &Run{r: r, number: r.lastRun}
 	r.mu.Unlock()
-	r.add(Line{At: r.at(time.Now()), Run: run.number, Request: requestLine(r.mask, spec, r.began)})
+	r.enqueue(Line{At: r.elapsed(time.Now()), Run: run.number, Request: newRequest(r.mask, spec, r.startTime)})
 	return run
 }
 
-// Step records one step of the request's machine. It must be called before
-// those actions are carried out whose results come back as events.
+// Step records one step of the request's state machine. It must be called before
+// executing the actions whose results are fed back as events.
 func (run *Run) Step(now time.Time, ev request.Event, actions []request.Action) {
 	if run == nil {
 		return
 	}
 	r := run.r
-	r.add(Line{At: r.at(now), Run: run.number, Event: r.mask.event(ev, r.began), Actions: r.mask.actions(actions)})
+	r.enqueue(Line{At: r.elapsed(now), Run: run.number, Event: r.mask.event(ev, r.startTime), Actions: r.mask.actions(actions)})
 }
 
-// Close writes what is left.
+// Close writes the queued lines and closes the output.
 func (r *Recorder) Close() {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
-	r.closing = true
+	r.closed = true
 	r.mu.Unlock()
 	r.signal()
 	<-r.done
 }
 
-func (r *Recorder) at(now time.Time) int64 {
-	return int64(now.Sub(r.began))
+func (r *Recorder) elapsed(now time.Time) int64 {
+	return int64(now.Sub(r.startTime))
 }
 
-func (r *Recorder) add(l Line) {
-	l.Source = r.by
+func (r *Recorder) enqueue(l Line) {
+	l.Source = r.source
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic("trace: a line always encodes: " + err.Error())
+		panic("trace: encoding a line: " + err.Error())
 	}
 	r.mu.Lock()
-	if !r.closing {
-		r.lines = append(r.lines, append(text, '\n'))
+	if !r.closed {
+		r.queue = append(r.queue, append(text, '\n'))
 	}
-	full := !r.closing && len(r.lines) >= backlog
-	r.closing = r.closing || full
+	full := !r.closed && len(r.queue) >= maxQueuedLines
+	r.closed = r.closed || full
 	r.mu.Unlock()
 	if full {
-		r.fail(fmt.Errorf("%d lines wait for the file", backlog))
+		r.fail(fmt.Errorf("%d lines are queued for the file", maxQueuedLines))
 	}
 	r.signal()
 }
@@ -171,40 +172,40 @@
 	}
 }
 
-// take returns the lines that wait, and whether more may come.
-func (r *Recorder) take() ([][]byte, bool) {
+// takeLines returns the queued lines and whether more may follow.
+func (r *Recorder) takeLines() ([][]byte, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lines := r.lines
-	r.lines = nil
-	return lines, !r.closing
+	lines := r.queue
+	r.queue = nil
+	return lines, !r.closed
 }
 
-// write is the recorder's goroutine. Each write call holds whole lines, so that
-// the lines of several daemons don't mix.
-func (r *Recorder) write() {
+// writeLoop runs in the recorder's goroutine. Each write contains complete lines only,
+// so that lines of several daemons are not interleaved.
+func (r *Recorder) writeLoop() {
 	defer close(r.done)
 	defer func() { _ = r.out.Close() }()
 	for more := true; more; {
 		<-r.wake
 		var lines [][]byte
-		if lines, more = r.take(); len(lines) == 0 {
+		if lines, more = r.takeLines(); len(lines) == 0 {
 			continue
 		}
 		if _, err := r.out.Write(bytes.Join(lines, nil)); err != nil {
-			r.stop(err)
+			r.stopWithError(err)
 			return
 		}
 		if more {
-			time.Sleep(writeEvery)
+			time.Sleep(writeInterval)
 		}
 	}
 }
 
-// stop ends recording after the file failed.
-func (r *Recorder) stop(err error) {
+// stopWithError stops recording after a failed write.
+func (r *Recorder) stopWithError(err error) {
 	r.mu.Lock()
-	r.closing = true
+	r.closed = true
 	r.mu.Unlock()
 	r.fail(err)
 }
--- a/trace/ref.go
+++ b/trace/ref.go
@@ -10,13 +10,13 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// attempt and epoch are written as "counter@owner", the owner in hexadecimal.
+// attempt and epoch are encoded as "counter@owner", with the owner in hexadecimal.
 type (
 	attempt state.Attempt
 	epoch   state.Epoch
 )
 
-// stepRef is written as "attempt/epoch/token/stage".
+// stepRef is encoded as "attempt/epoch/token/stage".
 type stepRef request.StepRef
 
 const (
@@ -24,30 +24,30 @@
 	stepParts = 4
 )
 
-var errBadName = errors.New(`want "counter@owner", the owner in hexadecimal`)
+var errBadOwned = errors.New(`want "counter@owner", the owner in hexadecimal`)
 
-func owned(v uint64) string {
+func formatOwned(v uint64) string {
 	return fmt.Sprintf("%d@%x", v>>ownerBits, uint32(v))
 }
 
 func parseOwned(text string) (uint64, error) {
 	counter, owner, ok := strings.Cut(text, "@")
 	if !ok {
-		return 0, errBadName
+		return 0, errBadOwned
 	}
 	c, err := strconv.ParseUint(counter, 10, 32)
 	if err != nil {
-		return 0, errBadName
+		return 0, errBadOwned
 	}
 	o, err := strconv.ParseUint(owner, 16, 32)
 	if err != nil {
-		return 0, errBadName
+		return 0, errBadOwned
 	}
 	return c<<ownerBits | o, nil
 }
 
-func (a attempt) MarshalText() ([]byte, error) { return []byte(owned(uint64(a))), nil }
-func (e epoch) MarshalText() ([]byte, error)   { return []byte(owned(uint64(e))), nil }
+func (a attempt) MarshalText() ([]byte, error) { return []byte(formatOwned(uint64(a))), nil }
+func (e epoch) MarshalText() ([]byte, error)   { return []byte(formatOwned(uint64(e))), nil }
 func (s stepRef) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 func (a *attempt) UnmarshalText(text []byte) error {
@@ -63,7 +63,7 @@
 }
 
 func (s stepRef) String() string {
-	return fmt.Sprintf("%s/%s/%d/%d", owned(uint64(s.Attempt)), owned(uint64(s.Epoch)), s.Token, s.Stage)
+	return fmt.Sprintf("%s/%s/%d/%d", formatOwned(uint64(s.Attempt)), formatOwned(uint64(s.Epoch)), s.Token, s.Stage)
 }
 
 func (s *stepRef) UnmarshalText(text []byte) error {
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -13,7 +13,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Difference is where a replay did not do what the trace says.
+// Difference is the first deviation of a replay from its trace.
 type Difference struct {
 	Line     int // of the trace, from 1
 	Subject  string
@@ -21,33 +21,33 @@
 	Got      string
 }
 
-// String gives the difference on four lines.
+// String formats the difference on three lines.
 func (d Difference) String() string {
 	return fmt.Sprintf("line %d: %s\n  expected: %s\n  got:      %s", d.Line, d.Subject, d.Expected, d.Got)
 }
 
-// Result is what a replay found. It stops at the first difference.
+// Result is the result of a replay, which stops at the first difference.
 type Result struct {
 	Runs         int // requests
 	Events       int
 	Expectations int // stated outcomes that hold
-	Unfinished   int // requests without an outcome, as where a daemon was lost
+	Unfinished   int // requests without an outcome, such as those of a daemon that crashed
 	Difference   *Difference
 }
 
-// Replay feeds a trace's events through new machines and compares what they
-// decide, and then the stated outcomes. Its error is an *InputError where the
-// trace is broken.
+// Replay passes the events of a trace to new state machines, compares their actions
+// with the recorded ones and then checks the stated outcomes. It returns an *InputError
+// if the trace is invalid.
 func Replay(in io.Reader) (Result, error) {
-	p := &replay{
-		runs:      make(map[runKey]*replayed),
+	p := &replayer{
+		runs:      make(map[runKey]*replayedRun),
 		documents: make(map[documentKey]state.DocumentVersion),
 	}
 	lines := NewReader(in)
 	for p.res.Difference == nil {
 		l, err := lines.Next()
 		if errors.Is(err, io.EOF) {
-			p.checkOutcomes()
+			p.checkExpectations()
 			break
 		}
 		if err != nil {
@@ -60,17 +60,17 @@
 	return p.res, nil
 }
 
-// virtual is when every recording begins in a replay. Only differences of times
-// decide anything.
-var virtual = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+// replayStart is the start time of every recording in a replay. Decisions depend on
+// differences between times only.
+var replayStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
 type runKey struct {
-	by  string
-	run uint64
+	source string
+	run    uint64
 }
 
-// replayed is one request in the replay.
-type replayed struct {
+// replayedRun is one request in the replay.
+type replayedRun struct {
 	key     runKey
 	spec    request.Spec
 	m       *request.Request // nil once it has ended
@@ -81,96 +81,96 @@
 }
 
 type documentKey struct {
-	by      string
+	source  string
 	service state.ServiceID
 }
 
-type stated struct {
-	line   int
-	expect *Expectation
+type expectationLine struct {
+	line        int
+	expectation *Expectation
 }
 
-type replay struct {
-	res       Result
-	runs      map[runKey]*replayed
-	documents map[documentKey]state.DocumentVersion
-	expects   []stated
+type replayer struct {
+	res          Result
+	runs         map[runKey]*replayedRun
+	documents    map[documentKey]state.DocumentVersion
+	expectations []expectationLine
 }
 
-func (p *replay) line(number int, l Line) error {
-	key := runKey{by: l.Source, run: l.Run}
+func (p *replayer) line(number int, l Line) error {
+	key := runKey{source: l.Source, run: l.Run}
 	switch {
 	case l.Request != nil:
-		return p.arrive(key, l)
+		return p.addRun(key, l)
 	case l.Event != nil:
 		return p.step(number, key, l)
 	case l.Document != nil:
 		p.document(number, l)
 	case l.Expect != nil:
-		p.expects = append(p.expects, stated{line: number, expect: l.Expect})
+		p.expectations = append(p.expectations, expectationLine{line: number, expectation: l.Expect})
 	}
 	return nil
 }
 
-func (p *replay) arrive(key runKey, l Line) error {
+func (p *replayer) addRun(key runKey, l Line) error {
 	if _, ok := p.runs[key]; ok {
-		return fmt.Errorf("run %d of %s begins twice", key.run, key.by)
+		return fmt.Errorf("duplicate request line of run %d of %s", key.run, key.source)
 	}
-	spec, err := l.Request.restore(virtual)
+	spec, err := l.Request.restore(replayStart)
 	if err != nil {
 		return err
 	}
-	p.runs[key] = &replayed{key: key, spec: spec, m: request.New(spec), outcome: outcomeUnfinished}
+	p.runs[key] = &replayedRun{key: key, spec: spec, m: request.New(spec), outcome: outcomeUnfinished}
 	p.res.Runs++
 	return nil
 }
 
-func (p *replay) step(number int, key runKey, l Line) error {
+func (p *replayer) step(number int, key runKey, l Line) error {
 	r, ok := p.runs[key]
 	if !ok {
-		return fmt.Errorf("run %d of %s has no request line", key.run, key.by)
+		return fmt.Errorf("run %d of %s has no request line", key.run, key.source)
 	}
 	if r.m == nil {
-		return fmt.Errorf("run %d of %s has ended", key.run, key.by)
+		return fmt.Errorf("run %d of %s has ended", key.run, key.source)
 	}
-	ev, err := l.Event.restore(virtual)
+	ev, err := l.Event.restore(replayStart)
 	if err != nil {
 		return err
 	}
 	if first := l.Event.Kind == KindStart; first == r.started {
-		return fmt.Errorf("run %d of %s: start comes first, and once", key.run, key.by)
+		return fmt.Errorf("run %d of %s: start must be the first event and occur once", key.run, key.source)
 	}
 	r.started = true
 	p.res.Events++
-	actions, broken := r.step(virtual.Add(time.Duration(l.At)), ev)
-	if broken != "" {
-		actions = append(actions, broken)
+	actions, panicked := r.step(replayStart.Add(time.Duration(l.At)), ev)
+	if panicked != "" {
+		actions = append(actions, panicked)
 	}
 	p.compare(number, l, actions)
 	return nil
 }
 
-// step runs the machine. A machine that breaks an invariant of its own on a
-// recorded event is a difference, also where the event was made up by hand.
-func (r *replayed) step(now time.Time, ev request.Event) (texts []string, broken string) {
+// step runs the state machine. A panic on a recorded event is reported as a
+// difference, even if the event was written by hand.
+func (r *replayedRun) step(now time.Time, ev request.Event) (texts []string, panicked string) {
 	defer func() {
 		if v := recover(); v != nil {
-			broken = fmt.Sprintf("panic: %v", v)
+			panicked = fmt.Sprintf("panic: %v", v)
 		}
 	}()
 	actions := r.m.Step(now, ev)
 	for _, a := range actions {
-		r.note(a)
+		r.recordOutcome(a)
 	}
-	texts = mask{}.actions(actions)
+	texts = masker{}.actions(actions)
 	if r.m.Ended() {
 		r.m = nil
 	}
 	return texts, ""
 }
 
-// note keeps what the stated outcomes are about.
-func (r *replayed) note(a request.Action) {
+// recordOutcome stores the values that stated outcomes refer to.
+func (r *replayedRun) recordOutcome(a request.Action) {
 	switch a := a.(type) {
 	case request.Emit:
 		r.tokens++
@@ -188,9 +188,9 @@
 	}
 }
 
-// compare finds the first action that differs.
-func (p *replay) compare(number int, l Line, got []string) {
-	const none = "(nothing more)"
+// compare reports the first action that differs.
+func (p *replayer) compare(number int, l Line, got []string) {
+	const none = "(no further action)"
 	for i := range max(len(l.Actions), len(got)) {
 		want, have := none, none
 		if i < len(l.Actions) {
@@ -200,39 +200,39 @@
 			have = got[i]
 		}
 		if want != have {
-			what := fmt.Sprintf("%s run %d, action %d after %s", l.Source, l.Run, i+1, l.Event.Kind)
-			p.differ(number, what, want, have)
+			subject := fmt.Sprintf("%s run %d, action %d after %s", l.Source, l.Run, i+1, l.Event.Kind)
+			p.reportDifference(number, subject, want, have)
 			return
 		}
 	}
 }
 
-func (p *replay) differ(line int, what, want, got string) {
+func (p *replayer) reportDifference(line int, subject, want, got string) {
 	if p.res.Difference == nil {
-		p.res.Difference = &Difference{Line: line, Subject: what, Expected: want, Got: got}
+		p.res.Difference = &Difference{Line: line, Subject: subject, Expected: want, Got: got}
 	}
 }
 
-// document holds that versions in force never go back.
-func (p *replay) document(number int, l Line) {
-	key := documentKey{by: l.Source, service: l.Document.Service}
+// document checks that the active version of a document never decreases.
+func (p *replayer) document(number int, l Line) {
+	key := documentKey{source: l.Source, service: l.Document.Service}
 	last := p.documents[key]
 	if l.Document.Version <= last {
-		what := fmt.Sprintf("%s puts %s into force", l.Source, l.Document.Service)
-		p.differ(number, what, fmt.Sprintf("a version above %d", last), fmt.Sprintf("version %d", l.Document.Version))
+		subject := fmt.Sprintf("%s applies %s", l.Source, l.Document.Service)
+		p.reportDifference(number, subject, fmt.Sprintf("a version above %d", last), fmt.Sprintf("version %d", l.Document.Version))
 	}
 	p.documents[key] = l.Document.Version
 }
 
-// checkOutcomes checks the stated outcomes.
-func (p *replay) checkOutcomes() {
+// checkExpectations checks the stated outcomes.
+func (p *replayer) checkExpectations() {
 	for _, r := range p.runs {
 		if r.outcome == outcomeUnfinished {
 			p.res.Unfinished++
 		}
 	}
-	for _, s := range p.expects {
-		if s.expect.Version != 0 {
+	for _, s := range p.expectations {
+		if s.expectation.Version != 0 {
 			p.checkVersion(s)
 		} else {
 			p.checkCount(s)
@@ -244,35 +244,35 @@
 	}
 }
 
-func (p *replay) checkCount(s stated) {
+func (p *replayer) checkCount(s expectationLine) {
 	got := 0
 	for _, r := range p.runs {
-		if s.expect.matches(r) {
+		if s.expectation.matches(r) {
 			got++
 		}
 	}
-	if want := s.expect.want(); got != want {
-		p.differ(s.line, "requests with "+s.expect.String(), fmt.Sprint(want), fmt.Sprint(got))
+	if want := s.expectation.wantCount(); got != want {
+		p.reportDifference(s.line, "requests with "+s.expectation.String(), fmt.Sprint(want), fmt.Sprint(got))
 	}
 }
 
-func (p *replay) checkVersion(s stated) {
-	e := s.expect
+func (p *replayer) checkVersion(s expectationLine) {
+	e := s.expectation
 	found := false
 	for _, key := range slices.SortedFunc(maps.Keys(p.documents), compareDocuments) {
-		if key.service != e.Service || e.Source != "" && e.Source != key.by {
+		if key.service != e.Service || e.Source != "" && e.Source != key.source {
 			continue
 		}
 		found = true
 		if got := p.documents[key]; got != e.Version {
-			p.differ(s.line, fmt.Sprintf("last version of %s at %s", e.Service, key.by), fmt.Sprint(e.Version), fmt.Sprint(got))
+			p.reportDifference(s.line, fmt.Sprintf("last version of %s at %s", e.Service, key.source), fmt.Sprint(e.Version), fmt.Sprint(got))
 		}
 	}
 	if !found {
-		p.differ(s.line, "last version of "+string(e.Service), fmt.Sprint(e.Version), "none")
+		p.reportDifference(s.line, "last version of "+string(e.Service), fmt.Sprint(e.Version), "none")
 	}
 }
 
 func compareDocuments(a, b documentKey) int {
-	return cmp.Or(cmp.Compare(a.by, b.by), cmp.Compare(a.service, b.service))
+	return cmp.Or(cmp.Compare(a.source, b.source), cmp.Compare(a.service, b.service))
 }
--- a/trace/restore.go
+++ b/trace/restore.go
@@ -11,8 +11,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// restore gives the event back that a line holds.
-func (e *Event) restore(began time.Time) (request.Event, error) {
+// restore converts a trace line back to the event.
+func (e *Event) restore(start time.Time) (request.Event, error) {
 	step := request.StepRef(e.Step)
 	switch e.Kind {
 	case KindStart:
@@ -32,7 +32,7 @@
 	case KindVoidSettled:
 		return request.VoidSettled{Voided: e.Voided}, nil
 	case KindStepDone:
-		return request.StepDone{Step: step, Output: unmasked(e.Output), Value: e.Value, Text: e.Text, Final: e.Final}, nil
+		return request.StepDone{Step: step, Output: outputBytes(e.Output), Value: e.Value, Text: e.Text, Final: e.Final}, nil
 	case KindStepNotRun:
 		return request.StepNotRun{Step: step, Superseded: e.Superseded}, nil
 	case KindStepFailed:
@@ -42,13 +42,13 @@
 	case KindStageState:
 		return request.StageState{
 			Step: step, Life: e.BootID, Known: e.Known, Canceled: e.Canceled, NextToken: e.NextToken,
-			LastOutput: unmasked(e.Output), Tokens: e.Tokens, Final: e.Final,
+			LastOutput: outputBytes(e.Output), Tokens: e.Tokens, Final: e.Final,
 		}, nil
 	case KindStageQueryFailed:
 		return request.StageQueryFailed{Step: step, Superseded: e.Superseded, NotSent: e.NotSent}, nil
 	case KindRetryDecided:
 		return request.RetryDecided{
-			Allowed: e.Allowed, At: began.Add(time.Duration(e.NotBefore)), Exclude: e.Exclude, Reason: e.Reason,
+			Allowed: e.Allowed, At: start.Add(time.Duration(e.NotBefore)), Exclude: e.Exclude, Reason: e.Reason,
 		}, nil
 	default:
 		return nil, fmt.Errorf("event: unknown kind %q", e.Kind)
@@ -57,14 +57,14 @@
 
 func (e *Event) restoreGrant() (request.Event, error) {
 	if e.Replica == nil || len(e.Replica.Stages) == 0 {
-		return nil, fmt.Errorf("event %s: no stages", e.Kind)
+		return nil, fmt.Errorf("event %s: replica has no stages", e.Kind)
 	}
 	return request.SlotGranted{Grant: state.Attempt(e.Attempt), Replica: e.Replica.restore()}, nil
 }
 
 func (e *Event) restoreUnusable() (request.Event, error) {
 	if e.Replica == nil {
-		return nil, fmt.Errorf("event %s: no replica", e.Kind)
+		return nil, fmt.Errorf("event %s: replica is missing", e.Kind)
 	}
 	return request.SlotUnusable{Grant: state.Attempt(e.Attempt), Replica: e.Replica.ID, UnknownReplica: e.UnknownReplica}, nil
 }
@@ -77,7 +77,7 @@
 	ev := request.ClaimSettled{Result: request.ClaimResult(result), Reason: e.Reason}
 	if ev.Result == request.ClaimTakenOver {
 		if e.Takeover == nil || len(e.Takeover.Replica.Stages) == 0 {
-			return nil, fmt.Errorf("event %s: nothing to continue", e.Kind)
+			return nil, fmt.Errorf("event %s: takeover is missing", e.Kind)
 		}
 		ev.Takeover = e.Takeover.restore()
 	}
@@ -96,18 +96,19 @@
 	}
 }
 
-// restore gives the spec back, as far as the machine reads it.
-func (q *Request) restore(began time.Time) (request.Spec, error) {
+// restore converts a request line back to a spec, with the fields that the state
+// machine uses.
+func (q *Request) restore(start time.Time) (request.Spec, error) {
 	s := request.Spec{
 		ID: q.ID, Service: q.Service, Customer: q.Customer, Class: q.Class, Key: state.IdempotencyKey(q.Key),
 		Priority: q.Priority, Plain: q.Plain, NeverRepeat: q.NeverRepeat, Prompt: q.Prompt,
-		MaxTokens: q.MaxTokens, Owner: q.Owner, FirstTokenDeadline: began.Add(time.Duration(q.Deadline)),
+		MaxTokens: q.MaxTokens, Owner: q.Owner, FirstTokenDeadline: start.Add(time.Duration(q.Deadline)),
 	}
 	if q.Takeover == nil {
 		return s, nil
 	}
 	if len(q.Takeover.Replica.Stages) == 0 || q.NeverRepeat {
-		return s, fmt.Errorf("request: a takeover needs stages and a request that may be repeated")
+		return s, fmt.Errorf("request: a takeover requires stages and a request that may be repeated")
 	}
 	t := q.Takeover.restore()
 	s.Takeover = &t
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -23,13 +23,13 @@
 	refusal = `{"by":"a","run":1,"event":{"kind":"slot_refused","reason":"queue_full"},"do":["stop_asking 1@1","end refused reason=queue_full retry_after=0"]}`
 )
 
-func replay(lines ...string) (trace.Result, error) {
+func replayer(lines ...string) (trace.Result, error) {
 	return trace.Replay(strings.NewReader(strings.Join(lines, "\n")))
 }
 
 var _ = Describe("A trace", func() {
-	It("holds its stated outcomes", func() {
-		res, err := replay(header, arrival, start, refusal,
+	It("satisfies its stated outcomes", func() {
+		res, err := replayer(header, arrival, start, refusal,
 			`{"by":"a","document":{"service":"s","version":3}}`,
 			`{"expect":{"class":"k","outcome":"refused","reason":"queue_full","count":1}}`,
 			`{"expect":{"by":"a","run":1,"outcome":"refused","tokens":0}}`,
@@ -39,18 +39,18 @@
 		Expect(res.Expectations).To(Equal(3))
 	})
 
-	DescribeTable("names the first line that differs", func(line int, expected, got string, lines ...string) {
-		res, err := replay(append([]string{header}, lines...)...)
+	DescribeTable("reports the first line that differs", func(line int, expected, got string, lines ...string) {
+		res, err := replayer(append([]string{header}, lines...)...)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(res.Difference).NotTo(BeNil())
 		Expect(res.Difference.Line).To(Equal(line))
 		Expect(res.Difference.Expected).To(Equal(expected))
 		Expect(res.Difference.Got).To(Equal(got))
 	},
-		Entry("another action", 3, "stop_asking 1@1", "ask_slot 1@1 exclude=", arrival, strings.Replace(start, "ask_slot 1@1 exclude=", "stop_asking 1@1", 1)),
-		Entry("an action too few", 3, "(nothing more)", "ask_slot 1@1 exclude=", arrival, strings.Replace(start, `"ask_slot 1@1 exclude="`, ``, 1)),
-		Entry("a stated count", 5, "2", "1", arrival, start, refusal, `{"expect":{"outcome":"refused","count":2}}`),
-		Entry("a version that goes back", 3, "a version above 3", "version 2",
+		Entry("a different action", 3, "stop_asking 1@1", "ask_slot 1@1 exclude=", arrival, strings.Replace(start, "ask_slot 1@1 exclude=", "stop_asking 1@1", 1)),
+		Entry("a missing action", 3, "(no further action)", "ask_slot 1@1 exclude=", arrival, strings.Replace(start, `"ask_slot 1@1 exclude="`, ``, 1)),
+		Entry("a wrong stated count", 5, "2", "1", arrival, start, refusal, `{"expect":{"outcome":"refused","count":2}}`),
+		Entry("a version that decreases", 3, "a version above 3", "version 2",
 			`{"by":"a","document":{"service":"s","version":3}}`, `{"by":"a","document":{"service":"s","version":2}}`),
 		Entry("an answer to a step that was never sent", 4, "end", "panic: runtime error: index out of range [5] with length 1",
 			`{"by":"a","run":1,"request":{"id":"q","service":"s","customer":"c","class":"k","max_tokens":1,"owner":1,"deadline":1000,"takeover":{"attempt":"1@2","epoch":"1@2","replica":{"id":"r","stages":[{"backend":"b"}]}}}}`,
@@ -58,30 +58,30 @@
 			`{"by":"a","run":1,"event":{"kind":"held_answer","step":"1@2/65538@1/0/5"},"do":["end"]}`),
 	)
 
-	DescribeTable("names the line that is broken", func(line int, text string, lines ...string) {
-		_, err := replay(lines...)
-		var broken *trace.InputError
-		Expect(errors.As(err, &broken)).To(BeTrue(), "%v", err)
-		Expect(broken.Line).To(Equal(line))
-		Expect(broken.Message).To(ContainSubstring(text))
+	DescribeTable("reports an invalid line", func(line int, text string, lines ...string) {
+		_, err := replayer(lines...)
+		var invalid *trace.InputError
+		Expect(errors.As(err, &invalid)).To(BeTrue(), "%v", err)
+		Expect(invalid.Line).To(Equal(line))
+		Expect(invalid.Message).To(ContainSubstring(text))
 	},
-		Entry("empty", 1, "no header"),
-		Entry("no JSON", 2, "invalid character", header, "x"),
-		Entry("cut off", 2, "unexpected EOF", header, arrival[:40]),
-		Entry("a later version", 1, "version 2, this reader knows 1", strings.Replace(header, `"version":1`, `"version":2`, 1)),
+		Entry("an empty file", 1, "no header"),
+		Entry("invalid JSON", 2, "invalid character", header, "x"),
+		Entry("a truncated line", 2, "unexpected EOF", header, arrival[:40]),
+		Entry("a later version", 1, "version 2, this reader supports 1", strings.Replace(header, `"version":1`, `"version":2`, 1)),
 		Entry("no header", 1, `no header of "a"`, arrival),
 		Entry("an unknown field", 2, `unknown field "runs"`, header, `{"by":"a","runs":1}`),
-		Entry("two parts", 2, "exactly one of", header, `{"by":"a","fault":{"kind":"x"},"document":{"service":"s","version":1}}`),
+		Entry("two kinds of content in a line", 2, "exactly one of", header, `{"by":"a","fault":{"kind":"x"},"document":{"service":"s","version":1}}`),
 		Entry("an event before its request", 2, "has no request line", header, start),
 		Entry("an event after the end", 5, "has ended", header, arrival, start, refusal, refusal),
-		Entry("a second start", 4, "start comes first, and once", header, arrival, start, start),
+		Entry("a second start", 4, "start must be the first event and occur once", header, arrival, start, start),
 		Entry("an unknown kind", 3, `unknown kind "stat"`, header, arrival, `{"by":"a","run":1,"event":{"kind":"stat"}}`),
-		Entry("a bad step", 3, "attempt/epoch/token/stage", header, arrival, `{"by":"a","run":1,"event":{"kind":"step_done","step":"1"}}`),
+		Entry("a malformed step", 3, "attempt/epoch/token/stage", header, arrival, `{"by":"a","run":1,"event":{"kind":"step_done","step":"1"}}`),
 		Entry("an unknown outcome", 2, `unknown outcome "done"`, header, `{"expect":{"outcome":"done","count":1}}`),
-		Entry("a line without end", 2, "longer than", header, strings.Repeat(" ", trace.MaxLineBytes+1)),
+		Entry("a line that is too long", 2, "longer than", header, strings.Repeat(" ", trace.MaxLineBytes+1)),
 	)
 
-	It("has a kind for each event of a request", func() {
+	It("has a kind for each event type of a request", func() {
 		names := []string{}
 		parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join("..", "coordination", "request", "event.go"), nil, 0)
 		Expect(err).NotTo(HaveOccurred())
@@ -98,9 +98,9 @@
 		Expect(names).NotTo(BeEmpty())
 	})
 
-	It("replays the kept recordings", func() {
-		Expect(kept()).To(HaveLen(3))
-		for _, name := range kept() {
+	It("replays the traces in testdata without a difference", func() {
+		Expect(testdataTraces()).To(HaveLen(3))
+		for _, name := range testdataTraces() {
 			res, err := replayFile(name)
 			Expect(err).NotTo(HaveOccurred(), name)
 			Expect(res.Difference).To(BeNil(), "%s: %v", name, res.Difference)
@@ -109,9 +109,9 @@
 	})
 })
 
-// kept lists the traces in testdata.
-func kept() []string {
-	names, _ := filepath.Glob(filepath.Join("testdata", "*.jsonl")) // a good pattern
+// testdataTraces lists the traces in testdata.
+func testdataTraces() []string {
+	names, _ := filepath.Glob(filepath.Join("testdata", "*.jsonl")) // the error is for bad patterns only
 	return names
 }
 
@@ -130,8 +130,8 @@
 	f.Add(header + "\n" + arrival + "\n" + start + "\n" +
 		`{"by":"a","run":1,"event":{"kind":"slot_granted","attempt":"1@1","replica":{"id":"r","stages":[{"backend":"b"}]}},"do":["run_step"]}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		var broken *trace.InputError
-		if _, err := trace.Replay(strings.NewReader(text)); err != nil && !errors.As(err, &broken) {
+		var invalid *trace.InputError
+		if _, err := trace.Replay(strings.NewReader(text)); err != nil && !errors.As(err, &invalid) {
 			t.Fatal(err)
 		}
 	})
