--- a/measure/anew.go
+++ b/measure/anew.go
@@ -12,29 +12,30 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// maxAnew bounds how often a caller of the baseline begins anew.
-const maxAnew = 20
+// maxRestarts bounds the attempts of a baseline caller, which restarts after each
+// failure.
+const maxRestarts = 20
 
-// beginAnew is the baseline of a stage's failure: an entry that runs the request
-// on another replica from its first token when a step fails.
-func (b *twoChoices) beginAnew() runner {
+// restartRunner is the baseline for a stage failure: when a step fails, the entry runs
+// the request on another replica, from its first token.
+func (b *twoChoices) restartRunner() runner {
 	return func(ctx context.Context, s *stream) {
-		e := b.entries[s.work.number%len(b.entries)]
+		e := b.entries[s.spec.number%len(b.entries)]
 		failed := -1
-		for s.tries = 1; s.tries <= maxAnew; s.tries++ {
-			i := e.takeOther(failed)
-			run := &baseRun{
-				replica: e.replicas[i], work: s.work,
-				id:      state.RequestID(fmt.Sprintf("anew-%d", s.work.number)),
+		for s.tries = 1; s.tries <= maxRestarts; s.tries++ {
+			i := e.acquireOther(failed)
+			run := &baselineRun{
+				replica: e.replicas[i], spec: s.spec,
+				id:      state.RequestID(fmt.Sprintf("anew-%d", s.spec.number)),
 				attempt: state.Attempt(s.tries),
 			}
 			have, index := s.tokens(), 0
-			end := run.all(ctx, func(value int64) {
+			end := run.generate(ctx, func(value int64) {
 				if index++; index > have {
 					s.onToken(value)
 				}
 			})
-			e.give(i)
+			e.release(i)
 			s.ending, s.request = end, run.id
 			if end.outcome == caller.EndCompleted || ctx.Err() != nil {
 				return
@@ -44,25 +45,24 @@
 	}
 }
 
-// takeOther is take without one replica; -1 leaves none out.
-func (e *entry) takeOther(failed int) int {
+// acquireOther is acquire without one replica; -1 excludes none.
+func (e *entry) acquireOther(failed int) int {
 	for {
-		i := e.take()
+		i := e.acquire()
 		if i != failed {
 			return i
 		}
-		e.give(i)
+		e.release(i)
 	}
 }
 
-// sendAnew is the baseline of a daemon's failure: a caller that never takes an
-// answer up again but sends the request anew, as another one, to a daemon that
-// lives.
-func (f *fleet) sendAnew(number int) runner {
+// resubmitRunner is the baseline for a daemon failure: a caller that never re-attaches
+// to an answer, but sends a new request to a live daemon.
+func (f *cluster) resubmitRunner(number int) runner {
 	return func(ctx context.Context, s *stream) {
-		for s.tries = 1; s.tries <= maxAnew; s.tries++ {
+		for s.tries = 1; s.tries <= maxRestarts; s.tries++ {
 			have := s.tokens()
-			res, err := f.sendOnce(ctx, s.work, number, func(t caller.TokenEvent) {
+			res, err := f.submitOnce(ctx, s.spec, number, func(t caller.TokenEvent) {
 				if t.Index >= have {
 					s.onToken(t.Value)
 				}
@@ -75,27 +75,28 @@
 	}
 }
 
-func (f *fleet) sendOnce(ctx context.Context, w work, number int, onToken func(caller.TokenEvent)) (client.Result, error) {
+func (f *cluster) submitOnce(ctx context.Context, w requestSpec, number int, onToken func(caller.TokenEvent)) (client.Result, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	c := f.caller(number, &http.Client{Transport: onlySubmit{http.DefaultTransport, cancel}})
+	c := f.caller(number, &http.Client{Transport: noReattach{http.DefaultTransport, cancel}})
 	return c.Do(ctx, client.Request{Class: w.class, Prompt: w.prompt, MaxTokens: w.tokens}, onToken)
 }
 
-// errReattach ends a request whose client would take its answer up again.
-var errReattach = errors.New("the caller does not re-attach")
+// errReattachDisabled ends a request whose client tries to re-attach to its answer.
+var errReattachDisabled = errors.New("re-attaching is disabled")
 
-// onlySubmit ends a request instead of taking its answer up again.
-type onlySubmit struct {
+// noReattach is a transport that cancels a request instead of re-attaching to its
+// answer.
+type noReattach struct {
 	http.RoundTripper
 	cancel context.CancelCauseFunc
 }
 
 // RoundTrip implements http.RoundTripper.
-func (o onlySubmit) RoundTrip(r *http.Request) (*http.Response, error) {
+func (o noReattach) RoundTrip(r *http.Request) (*http.Response, error) {
 	if strings.HasSuffix(r.URL.Path, caller.PathEvents) {
-		o.cancel(errReattach)
-		return nil, errReattach
+		o.cancel(errReattachDisabled)
+		return nil, errReattachDisabled
 	}
 	return o.RoundTripper.RoundTrip(r)
 }
--- a/measure/baseline.go
+++ b/measure/baseline.go
@@ -16,44 +16,44 @@
 
 const cancelTimeout = 2 * time.Second
 
-// twoChoices is the baseline: each of several entries takes, for each request,
-// two replicas at random and uses the one where it has fewer requests of its own
-// under way. There is no queue and no bound but the engines' memory. A request
-// without its first token at its deadline is given up and canceled. Callers are
-// in the same process, which spares this way the HTTP towards them.
+// twoChoices is the baseline: for each request, an entry picks two replicas at random
+// and uses the one with fewer of its own requests in flight. There is no queue and no
+// limit other than the engines' memory. A request that has no first token by its
+// deadline is canceled. Callers run in the same process, so this strategy does not
+// bear the cost of HTTP between callers and entries.
 type twoChoices struct {
 	entries []*entry
 }
 
-// entry is one of the baseline's entry processes.
+// entry is the model of one entry process of the baseline.
 type entry struct {
-	replicas []baseReplica
+	replicas []baselineReplica
 
-	mu  sync.Mutex
-	rng *rand.Rand
-	own []int // requests under way, by replica
+	mu       sync.Mutex
+	rng      *rand.Rand
+	inFlight []int // own requests in flight, by replica
 }
 
-type baseReplica struct {
-	stages []baseStage
+type baselineReplica struct {
+	stages []baselineStage
 }
 
-type baseStage struct {
+type baselineStage struct {
 	engine *enginehttp.Client
 	steps  *enginehttp.Batcher
 	layers state.LayerRange
 }
 
-// newTwoChoices returns a baseline of n entries over the engines of a site.
+// newTwoChoices returns a baseline with n entries that use the engines of a site.
 func newTwoChoices(s *site.Site, l Layout, n int, seed uint64) *twoChoices {
 	b := &twoChoices{}
 	for i := range n {
 		e := &entry{rng: rand.New(rand.NewPCG(seed, uint64(i)))}
 		for _, r := range l.replicas() {
-			br := baseReplica{}
+			br := baselineReplica{}
 			for _, st := range r.chain.Stages {
 				c := enginehttp.New(s.Engines[st.Backend].Address(), enginehttp.Options{})
-				br.stages = append(br.stages, baseStage{
+				br.stages = append(br.stages, baselineStage{
 					engine: c,
 					steps:  enginehttp.NewBatcher(c, enginehttp.BatcherOptions{}),
 					layers: state.LayerRange{First: st.First, End: st.End},
@@ -61,7 +61,7 @@
 			}
 			e.replicas = append(e.replicas, br)
 		}
-		e.own = make([]int, len(e.replicas))
+		e.inFlight = make([]int, len(e.replicas))
 		b.entries = append(b.entries, e)
 	}
 	return b
@@ -77,51 +77,51 @@
 	}
 }
 
-// take picks a replica and counts the request there.
-func (e *entry) take() int {
+// acquire picks a replica and counts a request in flight there.
+func (e *entry) acquire() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	i, j := e.rng.IntN(len(e.own)), e.rng.IntN(len(e.own))
-	if e.own[j] < e.own[i] {
+	i, j := e.rng.IntN(len(e.inFlight)), e.rng.IntN(len(e.inFlight))
+	if e.inFlight[j] < e.inFlight[i] {
 		i = j
 	}
-	e.own[i]++
+	e.inFlight[i]++
 	return i
 }
 
-func (e *entry) give(i int) {
+func (e *entry) release(i int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.own[i]--
+	e.inFlight[i]--
 }
 
-func (b *twoChoices) send(ctx context.Context, w work, onToken func(int64)) ending {
+func (b *twoChoices) send(ctx context.Context, w requestSpec, onToken func(int64)) ending {
 	e := b.entries[w.number%len(b.entries)]
-	i := e.take()
-	defer e.give(i)
-	run := &baseRun{
+	i := e.acquire()
+	defer e.release(i)
+	run := &baselineRun{
 		replica: e.replicas[i],
-		work:    w,
+		spec:    w,
 		id:      state.RequestID(fmt.Sprintf("baseline-%d", w.number)),
 		attempt: 1,
 	}
-	return run.all(ctx, onToken)
+	return run.generate(ctx, onToken)
 }
 
-// baseRun is one attempt at one request.
-type baseRun struct {
-	replica baseReplica
-	work    work
-	id      state.RequestID
-	attempt state.Attempt
-	last    int64
+// baselineRun is one attempt at one request.
+type baselineRun struct {
+	replica   baselineReplica
+	spec      requestSpec
+	id        state.RequestID
+	attempt   state.Attempt
+	lastToken int64
 }
 
-// all makes tokens until the answer ends.
-func (r *baseRun) all(ctx context.Context, onToken func(int64)) ending {
-	defer func() { go r.cancel() }() // only the last stage frees a whole answer itself
-	first, cancel := context.WithTimeout(ctx, r.work.deadline)
-	res, err := r.token(first, 0)
+// generate runs tokens until the answer ends.
+func (r *baselineRun) generate(ctx context.Context, onToken func(int64)) ending {
+	defer func() { go r.cancel() }() // only the last stage frees a completed answer by itself
+	first, cancel := context.WithTimeout(ctx, r.spec.deadline)
+	res, err := r.runToken(first, 0)
 	late := first.Err() != nil
 	cancel()
 	for token := 1; err == nil; token++ {
@@ -129,8 +129,8 @@
 		if res.Final {
 			return ending{outcome: caller.EndCompleted}
 		}
-		r.last = res.Token
-		res, err = r.token(ctx, token)
+		r.lastToken = res.Token
+		res, err = r.runToken(ctx, token)
 	}
 	if late {
 		return ending{outcome: caller.EndRefused, reason: state.ReasonDeadline}
@@ -138,16 +138,16 @@
 	return ending{outcome: caller.EndFailed, reason: state.ReasonBackendFailed}
 }
 
-// token takes one token through all stages.
-func (r *baseRun) token(ctx context.Context, token int) (engine.StepResult, error) {
+// runToken runs one token through all stages.
+func (r *baselineRun) runToken(ctx context.Context, token int) (engine.StepResult, error) {
 	var res engine.StepResult
 	for i, s := range r.replica.stages {
 		step := engine.StepRequest{
 			Request: r.id, Attempt: r.attempt, Token: token, Layers: s.layers,
-			Input: res.Output, LastToken: r.last, Priority: r.work.priority, MaxTokens: r.work.tokens,
+			Input: res.Output, LastToken: r.lastToken, Priority: r.spec.priority, MaxTokens: r.spec.tokens,
 		}
 		if token == 0 && i == 0 {
-			step.Prompt = r.work.prompt
+			step.Prompt = r.spec.prompt
 		}
 		var err error
 		res, err = s.steps.Step(ctx, step)
@@ -155,14 +155,14 @@
 			return res, err
 		}
 		if res.Status != engine.StepDone {
-			return res, fmt.Errorf("step is %s: %s", res.Status, res.Detail)
+			return res, fmt.Errorf("step ended with status %s: %s", res.Status, res.Detail)
 		}
 	}
 	return res, nil
 }
 
 // cancel frees the attempt's memory on every stage.
-func (r *baseRun) cancel() {
+func (r *baselineRun) cancel() {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	for _, s := range r.replica.stages {
--- a/measure/figures.go
+++ b/measure/figures.go
@@ -12,14 +12,14 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Bounds of the histograms, in microseconds.
+// Range of the histograms in microseconds, and their precision.
 const (
-	leastRecorded = 1
-	mostRecorded  = int64(10 * time.Minute / time.Microsecond)
-	digits        = 3
+	minMicroseconds   = 1
+	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Quantiles are of times, in milliseconds.
+// Quantiles are quantiles of durations, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -28,19 +28,19 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// times records durations.
-type times struct{ h *hdrhistogram.Histogram }
+// latencies is a histogram of durations.
+type latencies struct{ h *hdrhistogram.Histogram }
 
-func newTimes() times {
-	return times{hdrhistogram.New(leastRecorded, mostRecorded, digits)}
+func newLatencies() latencies {
+	return latencies{hdrhistogram.New(minMicroseconds, maxMicroseconds, significantDigits)}
 }
 
-func (t times) add(d time.Duration) {
-	us := min(max(d.Microseconds(), leastRecorded), mostRecorded)
-	_ = t.h.RecordValue(us) // within the bounds, so that it is never refused
+func (t latencies) add(d time.Duration) {
+	us := min(max(d.Microseconds(), minMicroseconds), maxMicroseconds)
+	_ = t.h.RecordValue(us) // never fails: the value is within the range
 }
 
-func (t times) quantiles() Quantiles {
+func (t latencies) quantiles() Quantiles {
 	at := func(q float64) float64 { return float64(t.h.ValueAtQuantile(q)) / 1000 }
 	return Quantiles{Count: t.h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(t.h.Max()) / 1000}
 }
@@ -48,41 +48,41 @@
 // ClassLatencies are the latencies of one class.
 type ClassLatencies struct {
 	Class         state.ClassID `json:"class"`
-	FirstToken    Quantiles     `json:"first_token"`    // from the arrival
-	BetweenTokens Quantiles     `json:"between_tokens"` // of one answer
-	MissedShare   float64       `json:"missed"`         // share refused, or begun after the deadline
+	FirstToken    Quantiles     `json:"first_token"`    // since the arrival
+	BetweenTokens Quantiles     `json:"between_tokens"` // within one answer
+	MissedShare   float64       `json:"missed"`         // share of requests not completed or with a late first token
 }
 
-// ReasonCount counts the ends for one reason.
+// ReasonCount is the number of requests with one outcome and reason.
 type ReasonCount struct {
 	Outcome caller.Ending `json:"outcome"`
 	Reason  state.Reason  `json:"reason"`
 	Count   int           `json:"count"`
 }
 
-// LoadResult is what one offered load showed, within its window.
+// LoadResult is the result of one offered load within its measurement window.
 type LoadResult struct {
 	Offered           float64          `json:"offered"` // of the bound
-	Arrived           float64          `json:"arrived"` // of the bound: what came within the window
+	Arrived           float64          `json:"arrived"` // of the bound: the requests that arrived within the window
 	Requests          int              `json:"requests"`
 	TokensPerSecond   float64          `json:"tokens_per_second"`
 	TokenRatio        float64          `json:"ratio"` // of the bound
 	RequestsPerSecond float64          `json:"requests_per_second"`
 	RequestRatio      float64          `json:"request_ratio"`
-	Goodput           float64          `json:"goodput_ratio"` // tokens of whole answers begun in time
-	PacedGoodput      float64          `json:"paced_ratio"`   // of those whose mean time between tokens is in the goal
+	Goodput           float64          `json:"goodput_ratio"` // of the bound: tokens of complete answers with the first token in time
+	PacedGoodput      float64          `json:"paced_ratio"`   // the part of Goodput with a mean time between tokens within the goal
 	Classes           []ClassLatencies `json:"classes"`
-	OtherOutcomes     []ReasonCount    `json:"ends,omitempty"` // other than whole answers
-	WrongAnswers      int              `json:"lost"`           // told to be whole, but is not
+	OtherOutcomes     []ReasonCount    `json:"ends,omitempty"` // of requests that were not completed
+	WrongAnswers      int              `json:"lost"`           // reported as completed, but with wrong or missing tokens
 	RefusedButRan     int              `json:"refused_but_ran"`
 	Repeated          int              `json:"repeated"` // prompts that ran more than once
 	Violations        int              `json:"layer_order_violations"`
-	CPUShare          float64          `json:"cpu_share"`     // of the whole machine
-	ControlShare      float64          `json:"control_share"` // of a core, the busiest daemon's
+	CPUShare          float64          `json:"cpu_share"`     // of all processors of the machine
+	ControlShare      float64          `json:"control_share"` // of one core, for the control goroutine of the busiest daemon
 }
 
-// evaluate fills in what the callers saw within a window.
-func (lv *LoadResult) evaluate(seen []*observed, opened, closed time.Time, bound, meanTokens float64) {
+// evaluate sets the results from the callers' observations within a window.
+func (lr *LoadResult) evaluate(seen []*observation, opened, closed time.Time, bound, meanTokens float64) {
 	inWindow := func(at time.Time) bool { return !at.Before(opened) && at.Before(closed) }
 	var tokens, good, paced, ended int
 	for _, o := range seen {
@@ -93,10 +93,10 @@
 			}
 		}
 		tokens += n
-		if o.good() {
+		if o.inTime() {
 			good += n
 		}
-		if o.good() && o.pace() <= goalBetween {
+		if o.inTime() && o.meanTokenInterval() <= goalBetweenTokens {
 			paced += n
 		}
 		if o.outcome == caller.EndCompleted && inWindow(o.tokens[len(o.tokens)-1]) {
@@ -104,46 +104,47 @@
 		}
 	}
 	window := closed.Sub(opened).Seconds()
-	lv.TokensPerSecond = float64(tokens) / window
-	lv.TokenRatio = lv.TokensPerSecond / bound
-	lv.Goodput = float64(good) / window / bound
-	lv.PacedGoodput = float64(paced) / window / bound
-	lv.RequestsPerSecond = float64(ended) / window
-	lv.RequestRatio = lv.RequestsPerSecond * meanTokens / bound
-	arrived := slices.DeleteFunc(slices.Clone(seen), func(o *observed) bool { return !inWindow(o.arrived) })
-	lv.Requests = len(arrived)
+	lr.TokensPerSecond = float64(tokens) / window
+	lr.TokenRatio = lr.TokensPerSecond / bound
+	lr.Goodput = float64(good) / window / bound
+	lr.PacedGoodput = float64(paced) / window / bound
+	lr.RequestsPerSecond = float64(ended) / window
+	lr.RequestRatio = lr.RequestsPerSecond * meanTokens / bound
+	arrived := slices.DeleteFunc(slices.Clone(seen), func(o *observation) bool { return !inWindow(o.arrived) })
+	lr.Requests = len(arrived)
 	for _, o := range arrived {
-		lv.Arrived += float64(o.work.tokens) / window / bound
+		lr.Arrived += float64(o.spec.tokens) / window / bound
 	}
-	lv.Classes = []ClassLatencies{classFigures(classCheck, arrived), classFigures(classDraft, arrived)}
-	lv.OtherOutcomes = endsOf(arrived)
+	lr.Classes = []ClassLatencies{classFigures(classCheck, arrived), classFigures(classDraft, arrived)}
+	lr.OtherOutcomes = otherOutcomes(arrived)
 }
 
-// prove counts what the stand-ins know better than the callers.
-func (lv *LoadResult) prove(seen []*observed, ledger *standin.Ledger) {
+// checkLedger counts deviations between the callers' outcomes and what the stand-ins
+// ran.
+func (lr *LoadResult) checkLedger(seen []*observation, ledger *standin.Ledger) {
 	for _, o := range seen {
-		runs := ledger.Runs(o.work.prompt)
+		runs := ledger.Runs(o.spec.prompt)
 		switch {
-		case o.outcome == caller.EndCompleted && !o.whole:
-			lv.WrongAnswers++
+		case o.outcome == caller.EndCompleted && !o.complete:
+			lr.WrongAnswers++
 		case o.outcome == caller.EndRefused && runs > 0:
-			lv.RefusedButRan++
+			lr.RefusedButRan++
 		}
 		if runs > 1 {
-			lv.Repeated++
+			lr.Repeated++
 		}
 	}
 }
 
-func classFigures(class state.ClassID, seen []*observed) ClassLatencies {
-	first, between := newTimes(), newTimes()
+func classFigures(class state.ClassID, seen []*observation) ClassLatencies {
+	first, between := newLatencies(), newLatencies()
 	all, missed := 0, 0
 	for _, o := range seen {
-		if o.work.class != class {
+		if o.spec.class != class {
 			continue
 		}
 		all++
-		if !o.good() {
+		if !o.inTime() {
 			missed++
 		}
 		for i, at := range o.tokens {
@@ -161,7 +162,7 @@
 	return f
 }
 
-func endsOf(seen []*observed) []ReasonCount {
+func otherOutcomes(seen []*observation) []ReasonCount {
 	counts := make(map[ending]int)
 	for _, o := range seen {
 		if o.outcome != caller.EndCompleted {
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -22,22 +22,22 @@
 	memberAlive  = "alive"
 )
 
-// errNotServing says that the daemons did not come up.
-var errNotServing = errors.New("the daemons do not serve")
+// errNotServing is returned if the daemons are not ready in time.
+var errNotServing = errors.New("daemons are not serving")
 
-// fleet is a site that serves one service.
-type fleet struct {
+// cluster is a running site that serves one service.
+type cluster struct {
 	site   *site.Site
-	change func(*settings.Settings)
+	adjust func(*settings.Settings)
 }
 
-// startFleet starts engines and daemons and waits until all serve.
-func startFleet(ctx context.Context, l Layout, daemons int, change func(*settings.Settings)) (*fleet, error) {
+// startCluster starts engines and daemons and waits until all daemons serve.
+func startCluster(ctx context.Context, l Layout, daemons int, change func(*settings.Settings)) (*cluster, error) {
 	s, err := site.New(telemetry.Discard())
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{site: s, change: change}
+	f := &cluster{site: s, adjust: change}
 	if err := f.start(ctx, l, daemons); err != nil {
 		s.Close()
 		return nil, err
@@ -45,26 +45,26 @@
 	return f, nil
 }
 
-func (f *fleet) start(ctx context.Context, l Layout, daemons int) error {
+func (f *cluster) start(ctx context.Context, l Layout, daemons int) error {
 	if err := l.startEngines(f.site); err != nil {
 		return err
 	}
 	for range daemons {
-		if _, err := f.site.AddDaemon(f.change); err != nil {
+		if _, err := f.site.AddDaemon(f.adjust); err != nil {
 			return err
 		}
 	}
 	doc := document(l)
 	res := f.site.Daemons[0].Apply(ctx, caller.Edit{EditID: "measure", Text: doc.Encode()})
 	if res.Status != caller.EditAccepted {
-		return fmt.Errorf("document is not accepted: %s %v", res.Status, res.Faults)
+		return fmt.Errorf("document was not accepted: %s %v", res.Status, res.Faults)
 	}
 	return f.awaitServing(ctx)
 }
 
-// awaitServing waits until every live daemon has the document and knows every
-// other.
-func (f *fleet) awaitServing(ctx context.Context) error {
+// awaitServing waits until every live daemon has the document and sees all others
+// alive.
+func (f *cluster) awaitServing(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	live := f.site.Live()
@@ -86,8 +86,8 @@
 	return lo.CountBy(s.Members, func(m caller.MemberStatus) bool { return m.State == memberAlive })
 }
 
-// urls lists the live daemons.
-func (f *fleet) urls() []string {
+// urls returns the base URLs of the live daemons.
+func (f *cluster) urls() []string {
 	var out []string
 	for _, d := range f.site.Live() {
 		out = append(out, "http://"+d.CallerAddress())
@@ -95,10 +95,10 @@
 	return out
 }
 
-// callers returns one client for each customer. With refusals below 0 they take
-// every refusal as the end, as an open load must.
-func (f *fleet) callers(refusals int) []*client.Client {
-	out := make([]*client.Client, customers)
+// callers returns one client for each customer. With refusals below 0 the clients do
+// not retry a refusal, as an open load requires.
+func (f *cluster) callers(refusals int) []*client.Client {
+	out := make([]*client.Client, customerCount)
 	for i := range out {
 		cfg := f.callerConfig(i)
 		cfg.MaxRefusals = refusals
@@ -107,14 +107,14 @@
 	return out
 }
 
-// caller returns the client of one customer, with connections of its own.
-func (f *fleet) caller(number int, http *http.Client) *client.Client {
+// caller returns a client of one customer that uses the given HTTP client.
+func (f *cluster) caller(number int, http *http.Client) *client.Client {
 	cfg := f.callerConfig(number)
 	cfg.HTTP = http
 	return client.New(cfg)
 }
 
-func (f *fleet) callerConfig(number int) client.Config {
+func (f *cluster) callerConfig(number int) client.Config {
 	return client.Config{
 		Seeds:    f.urls(),
 		Service:  drafts,
--- a/measure/layout.go
+++ b/measure/layout.go
@@ -10,23 +10,24 @@
 	"github.com/hibiscuswick/hibiscuswick/state/service"
 )
 
-// ReplicaGroup is a number of equal replicas.
+// ReplicaGroup is a group of identical replicas.
 type ReplicaGroup struct {
-	Kind      string          `json:"kind"` // of accelerator
+	Kind      string          `json:"kind"` // accelerator kind
 	Replicas  int             `json:"replicas"`
-	StepTimes []time.Duration `json:"step_times_ns"` // of one batch, by stage
+	StepTimes []time.Duration `json:"step_times_ns"` // time of one batch, by stage
 }
 
-// Layout is the engines of a measurement.
+// Layout describes the engines of a measurement.
 type Layout struct {
 	Groups   []ReplicaGroup `json:"groups"`
 	Layers   int            `json:"layers"`
-	BatchCap int            `json:"batch_cap"` // steps of one batch
-	Slots    int            `json:"slots"`     // requests at one time in one replica
+	BatchCap int            `json:"batch_cap"` // maximum steps of one batch
+	Slots    int            `json:"slots"`     // concurrent requests of one replica
 }
 
-// MixedLayout is the layout of the published figures: eight replicas of three kinds.
-// The step times are so long that this machine's processors are not what limits.
+// MixedLayout is the layout of the published results: eight replicas of three kinds.
+// The step times are long enough that the processors of the machine are not the
+// bottleneck.
 func MixedLayout() Layout {
 	const ms = time.Millisecond
 	return Layout{
@@ -41,10 +42,10 @@
 	}
 }
 
-// Bound is the most tokens a second that one replica of the group can make: no
-// stage runs more than a full batch after another, and each of the replica's
-// slots makes one token while every stage takes one step. Links count as free,
-// so that no real link makes the bound smaller than it is.
+// Bound returns the maximum tokens per second of one replica of the group. Each stage
+// runs at most one full batch after another, and each slot generates at most one token
+// per pass through all stages. Links are assumed to take no time, so that the result is
+// an upper bound for any real link.
 func (g ReplicaGroup) Bound(batchCap, slots int) float64 {
 	var round, slowest time.Duration
 	for _, s := range g.StepTimes {
@@ -54,7 +55,7 @@
 	return min(float64(batchCap)/slowest.Seconds(), float64(slots)/round.Seconds())
 }
 
-// Bound is the most tokens a second of all replicas.
+// Bound returns the maximum tokens per second of all replicas.
 func (l Layout) Bound() float64 {
 	sum := 0.0
 	for _, g := range l.Groups {
@@ -70,7 +71,7 @@
 	chain service.Chain
 }
 
-// replicas lists the chains of all groups.
+// replicas returns the chains of all groups.
 func (l Layout) replicas() []replica {
 	var out []replica
 	for _, g := range l.Groups {
@@ -82,8 +83,8 @@
 	return out
 }
 
-// speeds gives each kind's speed beside the fastest.
-func (l Layout) speeds() []service.BackendKind {
+// backendKinds returns the accelerator kinds, with speeds relative to the fastest.
+func (l Layout) backendKinds() []service.BackendKind {
 	best := 0.0
 	for _, g := range l.Groups {
 		best = max(best, g.Bound(l.BatchCap, l.Slots))
--- a/measure/machine.go
+++ b/measure/machine.go
@@ -16,13 +16,13 @@
 
 const loadAverageFile = "/proc/loadavg"
 
-// Machine is where a measurement ran.
+// Machine describes the machine that a measurement ran on.
 type Machine struct {
 	Processors  int     `json:"processors"`
-	LoadAverage float64 `json:"load_average"` // of the minute before; 0 where unknown
+	LoadAverage float64 `json:"load_average"` // over the last minute; 0 if unknown
 }
 
-func thisMachine() Machine {
+func currentMachine() Machine {
 	m := Machine{Processors: runtime.NumCPU()}
 	if text, err := os.ReadFile(loadAverageFile); err == nil {
 		first, _, _ := strings.Cut(string(text), " ")
@@ -31,7 +31,8 @@
 	return m
 }
 
-// processorTime is what this process has used: daemons, stand-ins and callers.
+// processorTime returns the processor time of this process, which runs daemons,
+// stand-ins and callers.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -40,8 +41,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// controlTime is the time that each daemon's control goroutine has worked, by its
-// base URL.
+// controlTime returns the busy time of each daemon's control goroutine, by base URL.
 func controlTime(ctx context.Context, urls []string) map[string]time.Duration {
 	out := make(map[string]time.Duration, len(urls))
 	for _, u := range urls {
@@ -52,7 +52,7 @@
 	return out
 }
 
-// readCounter reads one counter of a daemon's metrics page.
+// readCounter reads one counter from a daemon's metrics endpoint.
 func readCounter(ctx context.Context, url string, name telemetry.Name) (float64, bool) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/metrics", nil)
 	if err != nil {
@@ -74,22 +74,22 @@
 	return 0, false
 }
 
-// usage measures processor time between two moments.
+// usage measures processor time over an interval.
 type usage struct {
 	urls    []string
-	began   time.Time
+	start   time.Time
 	process time.Duration
 	control map[string]time.Duration
 }
 
-func beginUsage(ctx context.Context, urls []string) usage {
-	return usage{urls: urls, began: time.Now(), process: processorTime(), control: controlTime(ctx, urls)}
+func startUsage(ctx context.Context, urls []string) usage {
+	return usage{urls: urls, start: time.Now(), process: processorTime(), control: controlTime(ctx, urls)}
 }
 
-// end returns the share of the machine that the process used, and the share of a
-// core of the busiest control goroutine.
+// end returns the share of all processors that the process used, and the share of one
+// core that the busiest control goroutine used.
 func (u usage) end(ctx context.Context) (process, control float64) {
-	took := time.Since(u.began).Seconds()
+	took := time.Since(u.start).Seconds()
 	process = (processorTime() - u.process).Seconds() / took / float64(runtime.NumCPU())
 	for url, t := range controlTime(ctx, u.urls) {
 		control = max(control, (t-u.control[url]).Seconds()/took)
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -10,7 +10,7 @@
 	"github.com/hibiscuswick/hibiscuswick/measure"
 )
 
-// small is a layout that takes a few milliseconds a token.
+// small is a layout that takes a few milliseconds per token.
 func small() measure.Layout {
 	return measure.Layout{
 		Groups:   []measure.ReplicaGroup{{Kind: "fast", Replicas: 2, StepTimes: []time.Duration{3 * time.Millisecond, 6 * time.Millisecond}}},
@@ -21,11 +21,11 @@
 }
 
 var _ = Describe("The bound", func() {
-	It("is the slowest stage's full batches", func() {
+	It("is the rate of full batches of the slowest stage", func() {
 		Expect(small().Bound()).To(BeNumerically("~", 2*4/0.006))
 	})
 
-	It("is the slots where a round of all stages takes them all", func() {
+	It("is limited by the slots if a pass through all stages occupies them", func() {
 		l := small()
 		l.Slots = 3
 		Expect(l.Bound()).To(BeNumerically("~", 2*3/0.009))
@@ -33,7 +33,7 @@
 })
 
 var _ = Describe("Throughput", func() {
-	It("counts whole answers both ways, and none lost", func() {
+	It("counts completed answers of both strategies, all of them correct", func() {
 		cfg := measure.ThroughputConfig{
 			Layout: small(), Daemons: 2, WarmUp: 500 * time.Millisecond, Window: 500 * time.Millisecond,
 			Mix:          measure.Mix{CheckShare: 0.5, CheckTokens: 4, MinDraftTokens: 8, MaxDraftTokens: 16},
@@ -59,7 +59,7 @@
 })
 
 var _ = Describe("Recovery", func() {
-	It("brings every answer through every failure, whole and once", func() {
+	It("completes every answer through every failure, each token once", func() {
 		cfg := measure.DefaultRecovery()
 		cfg.Layout = small()
 		cfg.Layout.Groups[0].Replicas = 3
--- a/measure/mute.go
+++ b/measure/mute.go
@@ -8,60 +8,61 @@
 	"sync/atomic"
 )
 
-// muter makes connections of callers that can fall silent: what comes on them is
-// thrown away, what is written goes nowhere, and neither end is told.
-type muter struct {
+// blackholeDialer dials connections that can be turned into black holes: data received
+// or written is discarded, and neither end gets an error.
+type blackholeDialer struct {
 	mu    sync.Mutex
-	conns []*muteConn
+	conns []*blackholeConn
 }
 
-type muteConn struct {
+type blackholeConn struct {
 	net.Conn
-	silent atomic.Bool
+	discarding atomic.Bool
 }
 
-func (m *muter) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (bd *blackholeDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	mc := &muteConn{Conn: c}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.conns = append(m.conns, mc)
+	mc := &blackholeConn{Conn: c}
+	bd.mu.Lock()
+	defer bd.mu.Unlock()
+	bd.conns = append(bd.conns, mc)
 	return mc, nil
 }
 
-// client is one whose connections the muter holds.
-func (m *muter) client() *http.Client {
-	return &http.Client{Transport: &http.Transport{DialContext: m.dial, DisableCompression: true}}
+// client returns an HTTP client that uses the dialer.
+func (bd *blackholeDialer) client() *http.Client {
+	return &http.Client{Transport: &http.Transport{DialContext: bd.dial, DisableCompression: true}}
 }
 
-// silence mutes the connections of this moment to one address; new ones work.
-func (m *muter) silence(address string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, c := range m.conns {
+// blackhole makes all current connections to one address discard data. New connections
+// are not affected.
+func (bd *blackholeDialer) blackhole(address string) {
+	bd.mu.Lock()
+	defer bd.mu.Unlock()
+	for _, c := range bd.conns {
 		if c.RemoteAddr().String() == address {
-			c.silent.Store(true)
+			c.discarding.Store(true)
 		}
 	}
 }
 
 // Read implements net.Conn.
-func (c *muteConn) Read(b []byte) (int, error) {
+func (c *blackholeConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
-		if err != nil || !c.silent.Load() {
+		if err != nil || !c.discarding.Load() {
 			return n, err
 		}
 	}
 }
 
 // Write implements net.Conn.
-func (c *muteConn) Write(b []byte) (int, error) {
-	if c.silent.Load() {
+func (c *blackholeConn) Write(b []byte) (int, error) {
+	if c.discarding.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
--- a/measure/recovery.go
+++ b/measure/recovery.go
@@ -10,37 +10,37 @@
 	"github.com/hibiscuswick/hibiscuswick/settings"
 )
 
-// RecoveryConfig says how recovery is measured.
+// RecoveryConfig configures the recovery measurement.
 type RecoveryConfig struct {
 	Layout        Layout
 	Daemons       int
 	Rounds        int
-	Streams       int           // of each way in a round
-	Tokens        int           // of each stream
-	Outage        time.Duration // of the store
-	ShortTimeouts bool          // the short timeouts of the tests in place of the defaults
+	Streams       int           // per strategy in a round
+	Tokens        int           // per stream
+	Outage        time.Duration // duration of the store outage
+	ShortTimeouts bool          // use the short timeouts of the tests instead of the defaults
 	Seed          uint64
 	Faults        []Fault
 }
 
-// Fault is a kind of failure.
+// Fault is a kind of injected failure.
 type Fault string
 
 // The values of Fault.
 const (
 	FaultStageDies          Fault = "stage-dies"
 	FaultStageUnresponsive  Fault = "stage-silent"  // all connections to one stage
-	FaultDaemonDies         Fault = "daemon-dies"   // the caller re-attaches elsewhere
+	FaultDaemonDies         Fault = "daemon-dies"   // the caller re-attaches to another daemon
 	FaultCallerUnresponsive Fault = "caller-silent" // callers' connections to one daemon
 	FaultStoreOutageEnds    Fault = "store-outage-ends"
 )
 
-// Faults lists all.
+// Faults lists all kinds of faults.
 func Faults() []Fault {
 	return []Fault{FaultStageDies, FaultStageUnresponsive, FaultDaemonDies, FaultCallerUnresponsive, FaultStoreOutageEnds}
 }
 
-// DefaultRecovery is the published measurement.
+// DefaultRecovery returns the configuration of the published results.
 func DefaultRecovery() RecoveryConfig {
 	const step = 10 * time.Millisecond
 	return RecoveryConfig{
@@ -52,22 +52,22 @@
 	}
 }
 
-// FaultResult is what one way showed under one fault.
+// FaultResult is the result of one strategy under one fault.
 type FaultResult struct {
 	Fault    Fault     `json:"fault"`
 	Strategy string    `json:"way"`
-	Times    Quantiles `json:"times"` // from the fault to the next token, or from the outage's end to the first
+	Times    Quantiles `json:"times"` // from the fault to the next token, or from the end of the outage to the first token
 
-	Streams      int `json:"streams"`     // all, met by the fault or not
-	Incomplete   int `json:"not_whole"`   // answers that ended without all tokens, and said so
-	WrongAnswers int `json:"lost"`        // told to be whole, but is not
-	RanTwice     int `json:"ran_twice"`   // never to be repeated, but was
-	Violations   int `json:"layer_order"` // of both ways together
+	Streams      int `json:"streams"`     // all streams, affected by the fault or not
+	Incomplete   int `json:"not_whole"`   // answers that were not reported as completed
+	WrongAnswers int `json:"lost"`        // reported as completed, but with wrong or missing tokens
+	RanTwice     int `json:"ran_twice"`   // requests that must not be repeated, but ran twice
+	Violations   int `json:"layer_order"` // of both strategies together
 
-	OtherOutcomes []ReasonCount `json:"ends,omitempty"` // of those not whole
+	OtherOutcomes []ReasonCount `json:"ends,omitempty"` // of the incomplete answers
 }
 
-// Recovery is the result.
+// Recovery is the result of the recovery measurement.
 type Recovery struct {
 	Machine  Machine       `json:"machine"`
 	Timeouts Timeouts      `json:"timeouts"`
@@ -78,7 +78,7 @@
 	Goals    []Goal        `json:"goals"`
 }
 
-// Timeouts are the settings that recovery hangs on, as text.
+// Timeouts are the settings that determine recovery times, encoded as text.
 type Timeouts struct {
 	Progress   settings.Duration `json:"backends_progress_timeout"`
 	Connect    settings.Duration `json:"backends_connect_timeout"`
@@ -88,12 +88,12 @@
 	AddressTTL settings.Duration `json:"address_answer_valid"`
 }
 
-// errDefaults says that the built-in settings can't be read.
+// errDefaults is returned if the default settings cannot be decoded.
 var errDefaults = errors.New("default settings do not decode")
 
-// production returns a change of the site's settings, which are made for tests,
-// to the defaults.
-func production() (func(*settings.Settings), error) {
+// productionSettings returns a function that replaces the test settings of a site by
+// the defaults.
+func productionSettings() (func(*settings.Settings), error) {
 	text, err := json.Marshal(map[string]any{
 		"id": "x", "instance": "x", "failure_domain": "x", "region": "x",
 		"peer_address": "127.0.0.1:0", "caller_address": "127.0.0.1:0",
@@ -115,17 +115,17 @@
 	}, nil
 }
 
-// RunRecovery measures recovery and tells each step through say.
-func RunRecovery(ctx context.Context, cfg RecoveryConfig, say func(string)) (Recovery, error) {
-	res := Recovery{Machine: thisMachine(), Layout: cfg.Layout, Daemons: cfg.Daemons, Rounds: cfg.Rounds}
-	change, err := production()
+// RunRecovery measures recovery and reports each step through report.
+func RunRecovery(ctx context.Context, cfg RecoveryConfig, report func(string)) (Recovery, error) {
+	res := Recovery{Machine: currentMachine(), Layout: cfg.Layout, Daemons: cfg.Daemons, Rounds: cfg.Rounds}
+	change, err := productionSettings()
 	if err != nil {
 		return res, err
 	}
 	if cfg.ShortTimeouts {
 		change = func(*settings.Settings) {}
 	}
-	f, err := startFleet(ctx, cfg.Layout, cfg.Daemons, func(s *settings.Settings) {
+	f, err := startCluster(ctx, cfg.Layout, cfg.Daemons, func(s *settings.Settings) {
 		change(s)
 		res.Timeouts = Timeouts{
 			Progress: s.Backends.ProgressTimeout, Connect: s.Backends.ConnectTimeout,
@@ -137,9 +137,9 @@
 		return res, err
 	}
 	defer f.site.Close()
-	base := newTwoChoices(f.site, cfg.Layout, cfg.Daemons, cfg.Seed)
-	defer base.close()
-	r := &recovery{cfg: cfg, fleet: f, base: base, say: say}
+	baseline := newTwoChoices(f.site, cfg.Layout, cfg.Daemons, cfg.Seed)
+	defer baseline.close()
+	r := &recovery{cfg: cfg, cluster: f, baseline: baseline, report: report}
 	if err := r.warmUp(ctx); err != nil {
 		return res, err
 	}
@@ -160,9 +160,9 @@
 		switch {
 		case r.Strategy != StrategyDaemons:
 		case r.Fault == FaultStageDies:
-			out = append(out, atMost("next token after a stage's death, p99, ms", ms(goalStage), r.Times.P99))
+			out = append(out, atMost("next token after a stage's death, p99, ms", milliseconds(goalStageRecovery), r.Times.P99))
 		case r.Fault == FaultDaemonDies:
-			out = append(out, atMost("re-attached answer after a daemon's death, p99, ms", ms(goalDaemon), r.Times.P99))
+			out = append(out, atMost("re-attached answer after a daemon's death, p99, ms", milliseconds(goalDaemonRecovery), r.Times.P99))
 		}
 	}
 	return out
--- a/measure/rounds.go
+++ b/measure/rounds.go
@@ -14,126 +14,126 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// StrategyRestart is the baseline of recovery: whoever notices the failure begins anew,
-// from the first token.
+// StrategyRestart is the baseline of recovery: the process that notices the failure
+// restarts the request from the first token.
 const StrategyRestart = "begin anew"
 
 const (
-	roundTimeout = 2 * time.Minute
-	beforeFault  = 5 // tokens that every stream has
-	noteTokens   = 2
-	noteInterval = 100 * time.Millisecond // between one customer's notes
+	roundTimeout      = 2 * time.Minute
+	tokensBeforeFault = 5 // tokens that every stream has received by then
+	noteTokens        = 2
+	noteInterval      = 100 * time.Millisecond // between notes of one customer
 )
 
-// recovery is one run.
+// recovery is one run of the recovery measurement.
 type recovery struct {
-	cfg   RecoveryConfig
-	fleet *fleet
-	base  *twoChoices
-	say   func(string)
-	sent  int
+	cfg       RecoveryConfig
+	cluster   *cluster
+	baseline  *twoChoices
+	report    func(string)
+	sentCount int
 }
 
-// tally gathers what one way showed under one fault.
+// tally accumulates the results of one strategy under one fault.
 type tally struct {
 	FaultResult
-	times times
-	ends  map[ending]int
+	latencies     latencies
+	otherOutcomes map[ending]int
 }
 
-func newTally(fault Fault, way string) *tally {
-	return &tally{FaultResult: FaultResult{Fault: fault, Strategy: way}, times: newTimes(), ends: make(map[ending]int)}
+func newTally(fault Fault, strategy string) *tally {
+	return &tally{FaultResult: FaultResult{Fault: fault, Strategy: strategy}, latencies: newLatencies(), otherOutcomes: make(map[ending]int)}
 }
 
 func (t *tally) result() FaultResult {
-	t.Times = t.times.quantiles()
-	t.OtherOutcomes = reasonCounts(t.ends)
+	t.Times = t.latencies.quantiles()
+	t.OtherOutcomes = reasonCounts(t.otherOutcomes)
 	return t.FaultResult
 }
 
-// add takes a round's streams in. The function met says whether the fault met a
+// add adds the streams of a round. affected reports whether the fault affected a
 // stream.
-func (t *tally) add(ss *streams, at time.Time, met func(*stream) bool) {
+func (t *tally) add(ss *streams, at time.Time, affected func(*stream) bool) {
 	for _, s := range ss.all {
 		t.Streams++
 		switch {
 		case s.outcome != caller.EndCompleted:
 			t.Incomplete++
-			t.ends[s.ending]++
-		case !s.whole():
+			t.otherOutcomes[s.ending]++
+		case !s.complete():
 			t.WrongAnswers++
 		}
-		if d, ok := s.next(at); ok && met(s) {
-			t.times.add(d)
+		if d, ok := s.timeToNextToken(at); ok && affected(s) {
+			t.latencies.add(d)
 		}
 	}
 }
 
-// warmUp has every daemon reach every engine once.
+// warmUp sends requests so that the daemons connect to all engines.
 func (r *recovery) warmUp(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
-	callers := r.fleet.callers(0)
-	ss := begin(ctx, "warm", customers, r.sent, noteTokens, func(i int) runner { return reattaching(callers[i]) })
-	r.sent += customers
+	callers := r.cluster.callers(0)
+	ss := startStreams(ctx, "warm", customerCount, r.sentCount, noteTokens, func(i int) runner { return reattachingRunner(callers[i]) })
+	r.sentCount += customerCount
 	ss.wg.Wait()
 	return ctx.Err()
 }
 
 // measure runs all rounds of one fault.
 func (r *recovery) measure(ctx context.Context, fault Fault) ([]FaultResult, error) {
-	ours, base := newTally(fault, StrategyDaemons), newTally(fault, StrategyRestart)
-	violations := len(r.fleet.site.Ledger.Violations())
+	daemonTally, baselineTally := newTally(fault, StrategyDaemons), newTally(fault, StrategyRestart)
+	violations := len(r.cluster.site.Ledger.Violations())
 	for round := range r.cfg.Rounds {
-		if err := r.round(ctx, fault, round, ours, base); err != nil {
+		if err := r.runRound(ctx, fault, round, daemonTally, baselineTally); err != nil {
 			return nil, err
 		}
 	}
-	out := []FaultResult{ours.result()}
-	if base.Streams > 0 {
-		out = append(out, base.result())
+	out := []FaultResult{daemonTally.result()}
+	if baselineTally.Streams > 0 {
+		out = append(out, baselineTally.result())
 	}
 	for i := range out {
-		out[i].Violations = len(r.fleet.site.Ledger.Violations()) - violations
-		r.say(out[i].String())
+		out[i].Violations = len(r.cluster.site.Ledger.Violations()) - violations
+		r.report(out[i].String())
 	}
 	return out, nil
 }
 
-func (r *recovery) round(ctx context.Context, fault Fault, round int, ours, base *tally) error {
+func (r *recovery) runRound(ctx context.Context, fault Fault, round int, daemonTally, baselineTally *tally) error {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	var err error
 	switch fault {
 	case FaultStageDies:
-		err = r.stageRound(ctx, round, ours, base, (*standin.Engine).Kill)
+		err = r.stageRound(ctx, round, daemonTally, baselineTally, (*standin.Engine).Kill)
 	case FaultStageUnresponsive:
-		err = r.stageRound(ctx, round, ours, base, (*standin.Engine).BlackholeConnections)
+		err = r.stageRound(ctx, round, daemonTally, baselineTally, (*standin.Engine).BlackholeConnections)
 	case FaultDaemonDies:
-		err = r.daemonRound(ctx, ours, base)
+		err = r.daemonRound(ctx, daemonTally, baselineTally)
 	case FaultCallerUnresponsive:
-		err = r.silentRound(ctx, round, ours)
+		err = r.callerConnectionRound(ctx, round, daemonTally)
 	default:
-		err = r.storeRound(ctx, ours)
+		err = r.storeRound(ctx, daemonTally)
 	}
 	if err != nil {
 		return err
 	}
-	return r.fleet.awaitServing(ctx)
+	return r.cluster.awaitServing(ctx)
 }
 
-// start begins a round's streams of one way and counts them.
-func (r *recovery) start(ctx context.Context, way string, run func(i int) runner) *streams {
-	ss := begin(ctx, way, r.cfg.Streams, r.sent, r.cfg.Tokens, run)
-	r.sent += r.cfg.Streams
+// startRoundStreams starts the streams of one strategy in a round, with consecutive numbers.
+func (r *recovery) startRoundStreams(ctx context.Context, strategy string, run func(i int) runner) *streams {
+	ss := startStreams(ctx, strategy, r.cfg.Streams, r.sentCount, r.cfg.Tokens, run)
+	r.sentCount += r.cfg.Streams
 	return ss
 }
 
-// strike waits until all streams are under way, fails something and waits for
-// the streams' ends. It returns when it failed it.
-func strike(ctx context.Context, fail func(), all ...*streams) (time.Time, error) {
+// injectFault waits until every stream has tokensBeforeFault tokens, calls fail and
+// waits until the streams have ended. It returns the time of the fault.
+func injectFault(ctx context.Context, fail func(), all ...*streams) (time.Time, error) {
 	for _, ss := range all {
-		if err := ss.awaitTokens(ctx, beforeFault); err != nil {
+		if err := ss.awaitTokens(ctx, tokensBeforeFault); err != nil {
 			return time.Time{}, err
 		}
 	}
@@ -145,137 +145,137 @@
 	return at, ctx.Err()
 }
 
-// stageRound fails one engine under streams through daemons and streams of the
+// stageRound fails one engine during streams through daemons and streams of the
 // baseline.
-func (r *recovery) stageRound(ctx context.Context, round int, ours, base *tally, fail func(*standin.Engine)) error {
+func (r *recovery) stageRound(ctx context.Context, round int, daemonTally, baselineTally *tally, fail func(*standin.Engine)) error {
 	replicas := r.cfg.Layout.replicas()
 	chain := replicas[round%len(replicas)].chain
-	e := r.fleet.site.Engines[chain.Stages[round%len(chain.Stages)].Backend]
-	callers := r.fleet.callers(0)
-	a := r.start(ctx, StrategyDaemons, func(i int) runner { return reattaching(callers[i%len(callers)]) })
-	b := r.start(ctx, StrategyRestart, func(int) runner { return r.base.beginAnew() })
-	var there []state.RequestID
-	at, err := strike(ctx, func() {
-		there = e.Requests()
+	e := r.cluster.site.Engines[chain.Stages[round%len(chain.Stages)].Backend]
+	callers := r.cluster.callers(0)
+	a := r.startRoundStreams(ctx, StrategyDaemons, func(i int) runner { return reattachingRunner(callers[i%len(callers)]) })
+	b := r.startRoundStreams(ctx, StrategyRestart, func(int) runner { return r.baseline.restartRunner() })
+	var affectedIDs []state.RequestID
+	at, err := injectFault(ctx, func() {
+		affectedIDs = e.Requests()
 		fail(e)
 	}, a, b)
 	if err != nil {
 		return err
 	}
-	met := func(s *stream) bool { return slices.Contains(there, s.request) }
-	ours.add(a, at, met)
-	base.add(b, at, met)
+	affected := func(s *stream) bool { return slices.Contains(affectedIDs, s.request) }
+	daemonTally.add(a, at, affected)
+	baselineTally.add(b, at, affected)
 	if e.Alive() {
 		return nil
 	}
 	return e.Restart()
 }
 
-// daemonRound kills the oldest daemon under callers that re-attach and callers
-// that send anew, and puts another in its place.
-func (r *recovery) daemonRound(ctx context.Context, ours, base *tally) error {
-	callers := r.fleet.callers(0)
-	a := r.start(ctx, StrategyDaemons, func(i int) runner { return reattaching(callers[i%len(callers)]) })
-	b := r.start(ctx, StrategyRestart, r.fleet.sendAnew)
-	oldest := r.fleet.site.Live()[0]
+// daemonRound kills the oldest daemon during streams of callers that re-attach and of
+// callers that resubmit, and starts a replacement.
+func (r *recovery) daemonRound(ctx context.Context, daemonTally, baselineTally *tally) error {
+	callers := r.cluster.callers(0)
+	a := r.startRoundStreams(ctx, StrategyDaemons, func(i int) runner { return reattachingRunner(callers[i%len(callers)]) })
+	b := r.startRoundStreams(ctx, StrategyRestart, r.cluster.resubmitRunner)
+	oldest := r.cluster.site.Live()[0]
 	name := oldest.DaemonStatus(ctx).ID
-	at, err := strike(ctx, oldest.Kill, a, b)
+	at, err := injectFault(ctx, oldest.Kill, a, b)
 	if err != nil {
 		return err
 	}
-	met := func(s *stream) bool { return s.tries > 1 }
-	ours.add(a, at, met)
-	base.add(b, at, met)
-	// A replacement keeps the name, and with it the seat in customers' limits.
-	_, err = r.fleet.site.AddDaemon(func(set *settings.Settings) {
-		r.fleet.change(set)
+	affected := func(s *stream) bool { return s.tries > 1 }
+	daemonTally.add(a, at, affected)
+	baselineTally.add(b, at, affected)
+	// The replacement keeps the name, and with it the seat in customers' limits.
+	_, err = r.cluster.site.AddDaemon(func(set *settings.Settings) {
+		r.cluster.adjust(set)
 		set.ID, set.Instance = name, state.InstanceID(name)
 	})
 	return err
 }
 
-// silentRound silences the connections of callers to one daemon. A caller without
-// signs of life could only guess when to give up, so that there is no baseline.
-func (r *recovery) silentRound(ctx context.Context, round int, ours *tally) error {
-	m := &muter{}
-	a := r.start(ctx, StrategyDaemons, func(i int) runner { return reattaching(r.fleet.caller(i, m.client())) })
-	live := r.fleet.site.Live()
+// callerConnectionRound makes the callers' connections to one daemon unresponsive. There
+// is no baseline: a caller that gets no keep-alives could not detect the failure.
+func (r *recovery) callerConnectionRound(ctx context.Context, round int, daemonTally *tally) error {
+	dialer := &blackholeDialer{}
+	a := r.startRoundStreams(ctx, StrategyDaemons, func(i int) runner { return reattachingRunner(r.cluster.caller(i, dialer.client())) })
+	live := r.cluster.site.Live()
 	address := live[round%len(live)].CallerAddress()
-	at, err := strike(ctx, func() { m.silence(address) }, a)
+	at, err := injectFault(ctx, func() { dialer.blackhole(address) }, a)
 	if err != nil {
 		return err
 	}
-	ours.add(a, at, func(s *stream) bool { return s.tries > 1 })
+	daemonTally.add(a, at, func(s *stream) bool { return s.tries > 1 })
 	return nil
 }
 
-// storeRound ends an outage of the store under customers that keep sending
-// requests that are never to be repeated.
-func (r *recovery) storeRound(ctx context.Context, ours *tally) error {
-	store := r.fleet.site.Platform
+// storeRound ends an outage of the store while customers keep sending requests that
+// must not be repeated.
+func (r *recovery) storeRound(ctx context.Context, daemonTally *tally) error {
+	store := r.cluster.site.Platform
 	store.Down(true)
 	defer store.Down(false)
-	asking, stop := context.WithCancel(ctx)
+	running, stop := context.WithCancel(ctx)
 	defer stop()
-	all := make([]*noteTaker, customers)
-	var ended noted
+	all := make([]*noteCaller, customerCount)
+	var ended recordedTime
 	var over sync.WaitGroup
-	for i, c := range r.fleet.callers(-1) {
-		all[i] = &noteTaker{caller: c, ledger: r.fleet.site.Ledger, name: fmt.Sprintf("note %d", r.sent)}
-		r.sent++
-		over.Go(func() { all[i].run(asking, &ended) })
+	for i, c := range r.cluster.callers(-1) {
+		all[i] = &noteCaller{caller: c, ledger: r.cluster.site.Ledger, name: fmt.Sprintf("note %d", r.sentCount)}
+		r.sentCount++
+		over.Go(func() { all[i].run(running, &ended) })
 	}
 	if err := sleepUntil(ctx, time.Now().Add(r.cfg.Outage)); err != nil {
 		return err
 	}
-	at := ended.now()
+	at := ended.record()
 	store.Down(false)
 	over.Wait()
 	for _, n := range all {
-		ours.Streams++
-		ours.RanTwice += n.ranTwice
+		daemonTally.Streams++
+		daemonTally.RanTwice += n.ranTwice
 		if n.first.IsZero() {
-			ours.Incomplete++
+			daemonTally.Incomplete++
 			continue
 		}
-		ours.times.add(n.first.Sub(at))
+		daemonTally.latencies.add(n.first.Sub(at))
 	}
 	return ctx.Err()
 }
 
-// noted is a moment that one goroutine notes and others ask about.
-type noted struct {
+// recordedTime is a time that one goroutine records and others read.
+type recordedTime struct {
 	mu sync.Mutex
 	at time.Time
 }
 
-func (n *noted) now() time.Time {
+func (n *recordedTime) record() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.at = time.Now()
 	return n.at
 }
 
-// before reports whether the moment came before t.
-func (n *noted) before(t time.Time) bool {
+// before reports whether the time has been recorded and is before t.
+func (n *recordedTime) before(t time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.at.IsZero() && n.at.Before(t)
 }
 
-// noteTaker is a customer that sends requests that are never to be repeated.
-type noteTaker struct {
+// noteCaller is a customer that sends requests that must not be repeated.
+type noteCaller struct {
 	caller *client.Client
 	ledger *standin.Ledger
 	name   string
 
-	first    time.Time // the first token after the outage's end
+	first    time.Time // time of the first token after the end of the outage
 	ranTwice int
 }
 
-// run sends one request after another until one gives a token after the outage's
-// end.
-func (n *noteTaker) run(ctx context.Context, ended *noted) {
+// run sends one request after another until a token arrives after the end of the
+// outage.
+func (n *noteCaller) run(ctx context.Context, ended *recordedTime) {
 	for i := 0; n.first.IsZero() && ctx.Err() == nil; i++ {
 		prompt := fmt.Sprintf("%s/%d tokens=%d", n.name, i, noteTokens)
 		req := client.Request{Class: classNote, Prompt: prompt, MaxTokens: noteTokens}
--- a/measure/stream.go
+++ b/measure/stream.go
@@ -13,18 +13,18 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// stream is one caller's answer in a round.
+// stream is the answer to one caller in a round.
 type stream struct {
-	work work
+	spec requestSpec
 
 	mu     sync.Mutex
-	times  []time.Time // of each token
+	times  []time.Time // arrival of each token
 	values []int64
 
 	// Set at the end.
 	ending
 	request state.RequestID
-	tries   int // connections, or executions where the caller begins anew
+	tries   int // connections, or executions if the caller restarts the request
 
 	done chan struct{} // closed at the end
 }
@@ -51,15 +51,16 @@
 	}
 }
 
-// whole reports whether every token came once, in order, with the right value.
-func (s *stream) whole() bool {
+// complete reports whether all tokens arrived once, in order and with the expected
+// values.
+func (s *stream) complete() bool {
 	return s.outcome == caller.EndCompleted &&
-		slices.Equal(s.values, standin.ExpectedTokens(s.work.prompt, s.work.tokens))
+		slices.Equal(s.values, standin.ExpectedTokens(s.spec.prompt, s.spec.tokens))
 }
 
-// next is the time from at to the next token. It reports false if the answer was
-// whole by then or never went on.
-func (s *stream) next(at time.Time) (time.Duration, bool) {
+// timeToNextToken returns the time from at to the next token, and false if no token
+// followed.
+func (s *stream) timeToNextToken(at time.Time) (time.Duration, bool) {
 	i := slices.IndexFunc(s.times, func(t time.Time) bool { return t.After(at) })
 	if i < 0 {
 		return 0, false
@@ -67,32 +68,33 @@
 	return s.times[i].Sub(at), true
 }
 
-// runner gets one stream's answer.
+// runner runs one request and reads its answer into a stream.
 type runner func(ctx context.Context, s *stream)
 
-// reattaching is a caller of the client library.
-func reattaching(c *client.Client) runner {
+// reattachingRunner runs requests with the client library, which re-attaches to an
+// answer.
+func reattachingRunner(c *client.Client) runner {
 	return func(ctx context.Context, s *stream) {
-		res, _ := c.Do(ctx, client.Request{Class: s.work.class, Prompt: s.work.prompt, MaxTokens: s.work.tokens},
+		res, _ := c.Do(ctx, client.Request{Class: s.spec.class, Prompt: s.spec.prompt, MaxTokens: s.spec.tokens},
 			func(t caller.TokenEvent) { s.onToken(t.Value) })
 		s.ending = ending{res.End.Outcome, res.End.Reason}
 		s.request, s.tries = res.Request, res.Attempts
 	}
 }
 
-// streams are the answers of one round under one way.
+// streams are the answers of one strategy in one round.
 type streams struct {
 	all []*stream
 	wg  sync.WaitGroup
 }
 
-// begin starts n streams of equal length.
-func begin(ctx context.Context, way string, n, first, tokens int, run func(i int) runner) *streams {
+// startStreams starts n streams of equal length.
+func startStreams(ctx context.Context, strategy string, n, first, tokens int, run func(i int) runner) *streams {
 	ss := &streams{}
 	for i := range n {
-		s := &stream{done: make(chan struct{}), work: work{
+		s := &stream{done: make(chan struct{}), spec: requestSpec{
 			number: first + i, class: classDraft, priority: 1, tokens: tokens, deadline: draftDeadline,
-			prompt: fmt.Sprintf("%s %d tokens=%d", way, first+i, tokens),
+			prompt: fmt.Sprintf("%s %d tokens=%d", strategy, first+i, tokens),
 		}}
 		ss.all = append(ss.all, s)
 		get := run(i)
@@ -104,7 +106,7 @@
 	return ss
 }
 
-// awaitTokens waits until every stream has n tokens or has ended.
+// awaitTokens waits until every stream has at least n tokens or has ended.
 func (ss *streams) awaitTokens(ctx context.Context, n int) error {
 	for _, s := range ss.all {
 		for s.tokens() < n && !s.ended() {
--- a/measure/throughput.go
+++ b/measure/throughput.go
@@ -8,18 +8,18 @@
 	"github.com/hibiscuswick/hibiscuswick/internal/site"
 )
 
-// ThroughputConfig says how throughput is measured.
+// ThroughputConfig configures the throughput measurement.
 type ThroughputConfig struct {
 	Layout       Layout
 	Mix          Mix
 	Daemons      int
-	WarmUp       time.Duration // of each load, before its window
-	Window       time.Duration // of each load
-	OfferedLoads []float64     // loads, of the bound
+	WarmUp       time.Duration // before the window of each load
+	Window       time.Duration // measurement window of each load
+	OfferedLoads []float64     // as shares of the bound
 	Seed         uint64
 }
 
-// DefaultThroughput is the published measurement.
+// DefaultThroughput returns the configuration of the published results.
 func DefaultThroughput() ThroughputConfig {
 	return ThroughputConfig{
 		Layout: MixedLayout(), Mix: DefaultMix(), Daemons: 3, WarmUp: 6 * time.Second, Window: 12 * time.Second,
@@ -27,19 +27,19 @@
 	}
 }
 
-// Names of the ways that are compared.
+// Names of the strategies that are compared.
 const (
 	StrategyDaemons    = "hibiscuswick"
 	StrategyTwoChoices = "two choices, own counts"
 )
 
-// StrategyResult is what one way to spread requests showed.
+// StrategyResult is the result of one strategy of distributing requests.
 type StrategyResult struct {
 	Name   string       `json:"name"`
 	Levels []LoadResult `json:"levels"`
 }
 
-// Goal is one aim and what was measured.
+// Goal is a target and the measured value.
 type Goal struct {
 	Description string  `json:"what"`
 	Limit       float64 `json:"limit"`
@@ -47,7 +47,7 @@
 	Met         bool    `json:"met"`
 }
 
-// Throughput is the result.
+// Throughput is the result of the throughput measurement.
 type Throughput struct {
 	Machine       Machine `json:"machine"`
 	Layout        Layout  `json:"layout"`
@@ -62,89 +62,89 @@
 	Goals      []Goal           `json:"goals"`
 }
 
-// RunThroughput measures throughput and tells each step through say.
-func RunThroughput(ctx context.Context, cfg ThroughputConfig, say func(string)) (Throughput, error) {
+// RunThroughput measures throughput and reports each step through report.
+func RunThroughput(ctx context.Context, cfg ThroughputConfig, report func(string)) (Throughput, error) {
 	bound := cfg.Layout.Bound()
 	res := Throughput{
-		Machine: thisMachine(), Layout: cfg.Layout, Mix: cfg.Mix, Daemons: cfg.Daemons, WindowSeconds: cfg.Window.Seconds(),
+		Machine: currentMachine(), Layout: cfg.Layout, Mix: cfg.Mix, Daemons: cfg.Daemons, WindowSeconds: cfg.Window.Seconds(),
 		Bound: bound, RequestBound: bound / cfg.Mix.MeanTokens(),
 	}
-	f, err := startFleet(ctx, cfg.Layout, cfg.Daemons, nil)
+	f, err := startCluster(ctx, cfg.Layout, cfg.Daemons, nil)
 	if err != nil {
 		return res, err
 	}
 	defer f.site.Close()
-	m := &throughput{cfg: cfg, site: f.site, urls: f.urls(), say: say}
-	res.Strategies = append(res.Strategies, m.way(ctx, StrategyDaemons, viaDaemons{f.callers(-1)}))
-	base := newTwoChoices(f.site, cfg.Layout, cfg.Daemons, cfg.Seed)
-	defer base.close()
-	res.Strategies = append(res.Strategies, m.way(ctx, StrategyTwoChoices, base))
+	m := &throughput{cfg: cfg, site: f.site, urls: f.urls(), report: report}
+	res.Strategies = append(res.Strategies, m.measureStrategy(ctx, StrategyDaemons, daemonSender{f.callers(-1)}))
+	baseline := newTwoChoices(f.site, cfg.Layout, cfg.Daemons, cfg.Seed)
+	defer baseline.close()
+	res.Strategies = append(res.Strategies, m.measureStrategy(ctx, StrategyTwoChoices, baseline))
 	res.Goals = throughputGoals(res.Strategies[0].Levels)
 	return res, ctx.Err()
 }
 
-// throughput is one run.
+// throughput is one run of the throughput measurement.
 type throughput struct {
-	cfg  ThroughputConfig
-	site *site.Site
-	urls []string
-	say  func(string)
-	sent int
+	cfg       ThroughputConfig
+	site      *site.Site
+	urls      []string
+	report    func(string)
+	sentCount int
 }
 
-// way offers every load, one after another.
-func (t *throughput) way(ctx context.Context, name string, s sender) StrategyResult {
+// measureStrategy offers all loads to one strategy, one after another.
+func (t *throughput) measureStrategy(ctx context.Context, name string, s requestSender) StrategyResult {
 	w := StrategyResult{Name: name}
 	for _, offered := range t.cfg.OfferedLoads {
-		lv := t.level(ctx, offered, s)
-		t.say(name + ": " + lv.Summary())
-		w.Levels = append(w.Levels, lv)
+		lr := t.measureLoad(ctx, offered, s)
+		t.report(name + ": " + lr.Summary())
+		w.Levels = append(w.Levels, lr)
 	}
 	return w
 }
 
-func (t *throughput) level(ctx context.Context, offered float64, s sender) LoadResult {
-	lv := LoadResult{Offered: offered}
+func (t *throughput) measureLoad(ctx context.Context, offered float64, s requestSender) LoadResult {
+	lr := LoadResult{Offered: offered}
 	bound := t.cfg.Layout.Bound()
 	violations := len(t.site.Ledger.Violations())
 	l := load{
-		mix: t.cfg.Mix, perSecond: offered * bound / t.cfg.Mix.MeanTokens(), warm: t.cfg.WarmUp, window: t.cfg.Window,
-		rng: rand.New(rand.NewPCG(t.cfg.Seed, uint64(offered*1000))), first: t.sent,
+		mix: t.cfg.Mix, perSecond: offered * bound / t.cfg.Mix.MeanTokens(), warmUp: t.cfg.WarmUp, window: t.cfg.Window,
+		rng: rand.New(rand.NewPCG(t.cfg.Seed, uint64(offered*1000))), firstNumber: t.sentCount,
 	}
 	seen, opened, closed := l.run(ctx, s, func() func() {
-		used := beginUsage(ctx, t.urls)
-		return func() { lv.CPUShare, lv.ControlShare = used.end(ctx) }
+		used := startUsage(ctx, t.urls)
+		return func() { lr.CPUShare, lr.ControlShare = used.end(ctx) }
 	})
-	t.sent += len(seen)
-	lv.evaluate(seen, opened, closed, bound, t.cfg.Mix.MeanTokens())
-	lv.prove(seen, t.site.Ledger)
-	lv.Violations = len(t.site.Ledger.Violations()) - violations
-	return lv
+	t.sentCount += len(seen)
+	lr.evaluate(seen, opened, closed, bound, t.cfg.Mix.MeanTokens())
+	lr.checkLedger(seen, t.site.Ledger)
+	lr.Violations = len(t.site.Ledger.Violations()) - violations
+	return lr
 }
 
-// throughputGoals compares with the goals. The load of saturation is the one
-// nearest above the bound.
+// throughputGoals compares the results with the goals. The load at saturation is the
+// smallest one that is not below the bound.
 func throughputGoals(levels []LoadResult) []Goal {
 	var saturated, twice *LoadResult
 	peak := 0.0
 	for i := range levels {
-		lv := &levels[i]
-		peak = max(peak, lv.Goodput)
-		if lv.Offered >= 1 && (saturated == nil || lv.Offered < saturated.Offered) {
-			saturated = lv
+		lr := &levels[i]
+		peak = max(peak, lr.Goodput)
+		if lr.Offered >= 1 && (saturated == nil || lr.Offered < saturated.Offered) {
+			saturated = lr
 		}
-		if lv.Offered == 2 {
-			twice = lv
+		if lr.Offered == 2 {
+			twice = lr
 		}
 	}
 	var out []Goal
 	if saturated != nil {
 		check, draft := saturated.Classes[0], saturated.Classes[1]
 		out = append(out,
-			atLeast("tokens at saturation, of the bound", goalRatio, saturated.TokenRatio),
-			atMost("checks' first token at saturation, p95, ms", ms(goalFirst), check.FirstToken.P95),
-			atMost("checks' time between tokens at saturation, p95, ms", ms(goalBetween), check.BetweenTokens.P95),
-			atMost("drafts' time between tokens at saturation, p95, ms", ms(goalBetween), draft.BetweenTokens.P95))
+			atLeast("tokens at saturation, of the bound", goalTokenRatio, saturated.TokenRatio),
+			atMost("checks' first token at saturation, p95, ms", milliseconds(goalFirstToken), check.FirstToken.P95),
+			atMost("checks' time between tokens at saturation, p95, ms", milliseconds(goalBetweenTokens), check.BetweenTokens.P95),
+			atMost("drafts' time between tokens at saturation, p95, ms", milliseconds(goalBetweenTokens), draft.BetweenTokens.P95))
 	}
 	if twice != nil && peak > 0 {
 		out = append(out, atLeast("goodput at twice the bound, of its peak", goalGoodput, twice.Goodput/peak))
@@ -152,7 +152,7 @@
 	return out
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func atLeast(what string, limit, measured float64) Goal {
 	return Goal{Description: what, Limit: limit, Measured: measured, Met: measured >= limit}
