--- a/coordination/home/doc.go
+++ b/coordination/home/doc.go
@@ -25,7 +25,7 @@
 // # Failures handled here
 //
 //   - A home dies: the next one asks all members for the grants they hold before it
-//     grants anything (see learn.go), and entry daemons repeat their requests.
+//     grants anything (see recovery.go), and entry daemons repeat their requests.
 //   - An entry daemon dies: its grants and its queued requests are dropped when it
 //     leaves the membership view.
 //   - A message is lost: renewals carry a digest of what the holder has. A lasting
