--- a/coordination/catalog/catalog_test.go
+++ b/coordination/catalog/catalog_test.go
@@ -182,7 +182,7 @@
 }
 
 var _ = Describe("catalog", func() {
-	// A chain dies in a site of the planned size. Every daemon keeps sending requests to it
+	// A chain of servers fails in a site of up to 420 daemons, the planned size. Every daemon keeps sending requests to it
 	// until the daemon receives the change, so the change must reach all daemons within
 	// seconds, at a cost that does not grow with the number of daemons.
 	It("propagates a change to 420 daemons", func() {
--- a/coordination/claims/record.go
+++ b/coordination/claims/record.go
@@ -85,7 +85,7 @@
 	At      int64           `json:"at" msgpack:"at"`                   // Unix seconds of the write, for the sweep only
 }
 
-// Encode returns the row value.
+// Encode returns r as the value of its claim row.
 func (r Record) Encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return b
 }
 
-// DecodeRecord decodes a row value.
+// DecodeRecord decodes the value of a claim row.
 func DecodeRecord(row store.Row) (Record, error) {
 	var r Record
 	err := json.Unmarshal(row.Value, &r)
--- a/coordination/claims/world_test.go
+++ b/coordination/claims/world_test.go
@@ -19,9 +19,9 @@
 	attempts  map[string]bool
 }
 
-// firstStep is the first step of an attempt in flight to a server, or a query
-// about that attempt.
-type firstStep struct {
+// attemptMessage is a message in flight from a daemon to a server: the first step of an
+// attempt, or a query about that attempt.
+type attemptMessage struct {
 	owner  *node
 	claim  *trackedClaim
 	record claims.Record
@@ -79,8 +79,8 @@
 	nodes      []*node
 	servers    map[state.ReplicaID]*backend
 	storeCalls []storeCall
-	firstSteps []firstStep
-	queries    []firstStep
+	firstSteps []attemptMessage
+	queries    []attemptMessage
 	started    map[state.RequestID]int // executions started, by request
 	executions int
 	verdicts   map[state.RequestID][]claims.Verdict
@@ -176,12 +176,12 @@
 	case claims.Dispatch:
 		k.dispatched = true
 		k.dispatches.MarkSent(a.Record.Slot.Attempt)
-		sim.firstSteps = append(sim.firstSteps, firstStep{n, k, a.Record})
+		sim.firstSteps = append(sim.firstSteps, attemptMessage{n, k, a.Record})
 	case claims.Continue:
 		k.dispatched = true
 		k.tookOver = true
 	case claims.QueryAttempt:
-		sim.queries = append(sim.queries, firstStep{n, k, a.Record})
+		sim.queries = append(sim.queries, attemptMessage{n, k, a.Record})
 	case claims.Verdict:
 		id := k.Request().ID
 		sim.verdicts[id] = append(sim.verdicts[id], a)
--- a/coordination/claims/worldsteps_test.go
+++ b/coordination/claims/worldsteps_test.go
@@ -52,7 +52,7 @@
 
 // handleNotStarted makes the owner dispatch the request in another slot or give it
 // up.
-func (sim *simulation) handleNotStarted(s firstStep) {
+func (sim *simulation) handleNotStarted(s attemptMessage) {
 	s.claim.dispatches.MarkNotStarted(s.record.Slot.Attempt)
 	proof, _ := s.claim.dispatches.NotRun()
 	if sim.pick(2, "move") == 1 {
--- a/coordination/claims/worldstore_test.go
+++ b/coordination/claims/worldstore_test.go
@@ -75,6 +75,8 @@
 	return store.Result{}
 }
 
+// scan returns the rows whose keys start with prefix. All prefixes must have the same
+// length: the first scan indexes the keys by their first len(prefix) bytes.
 func (s *fakeStore) scan(prefix string) store.Result {
 	if s.byPrefix == nil {
 		s.byPrefix = map[string][]string{}
--- a/coordination/controller/events.go
+++ b/coordination/controller/events.go
@@ -124,8 +124,9 @@
 // one.
 type Publish struct{ Table ReplicaTable }
 
-// QueryRequestCounts asks the homes of replicas and the servers themselves for
-// their request counts.
+// QueryRequestCounts asks the homes of replicas (the daemons that grant their
+// slots) and the servers themselves for their current request counts: how many
+// requests hold a grant on a replica, and how many run or are queued at a server.
 type QueryRequestCounts struct {
 	Replicas []state.ReplicaID
 	Backends []state.BackendID
--- a/coordination/documents/gossip.go
+++ b/coordination/documents/gossip.go
@@ -114,7 +114,8 @@
 	d.pull(from)
 }
 
-// markMissing records a version that other daemons have.
+// markMissing records that other daemons have version v of a service's document, if that
+// is newer than the version here and any other one recorded as missing.
 func (d *Documents) markMissing(id state.ServiceID, v state.DocumentVersion) {
 	if v > d.version(id) && v > d.missing[id] {
 		d.missing[id] = v
--- a/coordination/following/tree.go
+++ b/coordination/following/tree.go
@@ -56,24 +56,25 @@
 	return out
 }
 
-// head returns the daemon of a domain to which a follower in another domain sends. Different
-// followers use different heads, so that a paused head does not block the announcements of both.
+// head returns the daemon of a domain to which root, a follower in another domain, sends. Different
+// followers use different heads, so that a paused head does not block the announcements of all of
+// them.
 func (m *Machine) head(domain state.FailureDomain, root state.DaemonID) state.DaemonID {
-	var all, steady []state.DaemonID
+	var all, eligible []state.DaemonID
 	for _, d := range m.daemons {
 		if d.Domain != domain {
 			continue
 		}
 		all = append(all, d.ID)
 		if d.Eligible {
-			steady = append(steady, d.ID)
+			eligible = append(eligible, d.ID)
 		}
 	}
-	if len(steady) > 0 {
-		all = steady
+	if len(eligible) > 0 {
+		all = eligible
 	}
-	turn := max(slices.Index(m.followers, root), 0)
-	return all[turn%len(all)]
+	rank := max(slices.Index(m.followers, root), 0)
+	return all[rank%len(all)]
 }
 
 // children returns the daemons directly under this one in the tree of a domain.
--- a/coordination/home/choose.go
+++ b/coordination/home/choose.go
@@ -61,7 +61,7 @@
 	if len(w.exclude) > 0 && slices.Contains(w.exclude, r.id) {
 		return false
 	}
-	return r.hasFreeSlot(p.terms, w.class, p.grantable(r))
+	return r.hasFreeSlot(p.terms, w.rank, p.grantable(r))
 }
 
 // chooseByPrefix returns the replica that is estimated to have the longest prefix of w
--- a/coordination/home/dispatch.go
+++ b/coordination/home/dispatch.go
@@ -45,11 +45,11 @@
 
 // grantSlot grants w a slot of r.
 func (p *pool) grantSlot(w *waiter, r *replica, now time.Time) {
-	p.queues[w.class].removeAndCharge(w)
+	p.queues[w.rank].removeAndCharge(w)
 	p.dequeue(w)
 	p.addGrant(&grant{
-		requestID: w.requestID, holder: w.from, target: r, class: p.terms.classes[w.class].name,
-		rank: w.class, at: now, exclusive: w.exclusive, staggered: w.staggered,
+		requestID: w.requestID, holder: w.from, target: r, class: p.terms.classes[w.rank].name,
+		rank: w.rank, at: now, exclusive: w.exclusive, staggered: w.staggered,
 	})
 	if r.failures > 0 {
 		r.probing, r.probe, r.probeAt = true, w.requestID, now
--- a/coordination/home/estimate.go
+++ b/coordination/home/estimate.go
@@ -53,8 +53,8 @@
 	if rate == 0 {
 		return 0, false
 	}
-	ahead := p.queues[w.class].estimateAhead(f) + 1
-	for i := range w.class {
+	ahead := p.queues[w.rank].estimateAhead(f) + 1
+	for i := range w.rank {
 		ahead += float64(p.queues[i].count)
 	}
 	total := 0.0
--- a/coordination/home/message.go
+++ b/coordination/home/message.go
@@ -58,15 +58,16 @@
 	// that may have crashed a backend server.
 	Exclusive bool `msgpack:"l,omitempty"`
 
-	// Staggered, together with Exclusive, does not wait until the replica is idle, but
-	// only until nothing has started there for Config.StaggerInterval. Other requests
-	// may start there after ExclusiveEnded. A backend server's death in between can
-	// still be attributed to the request.
+	// Staggered, together with Exclusive, requests a replica on which nothing has started
+	// for Config.StaggerInterval, instead of an idle one. Other requests may start there
+	// again after ExclusiveEnded. Since nothing else starts in between, a backend
+	// server's death in that time can still be attributed to this request.
 	Staggered bool `msgpack:"q,omitempty"`
 }
 
-// ExclusiveEnded reports that the request of a staggered grant is past the point at
-// which it may crash its replica.
+// ExclusiveEnded is sent by the entry daemon of a staggered grant when the request is
+// past the point at which it may crash its replica, so that other requests may start
+// there.
 type ExclusiveEnded struct {
 	ID   SlotRequestID `msgpack:"k"`
 	Pool PoolID        `msgpack:"p"`
--- a/coordination/home/pool.go
+++ b/coordination/home/pool.go
@@ -164,7 +164,7 @@
 		p.count(g, +1)
 	}
 	for _, w := range waits {
-		p.requeue(now, w, names[w.class])
+		p.requeue(now, w, names[w.rank])
 	}
 }
 
@@ -200,7 +200,7 @@
 		p.refuseWaiter(w, reason, 0, now)
 		return
 	}
-	w.class = rank
+	w.rank = rank
 	q := p.queues[rank]
 	q.add(q.flow(w.customer, weight), w)
 }
@@ -267,7 +267,7 @@
 	p.lastSeq++
 	w.seq = p.lastSeq
 	p.waiters[w.requestID] = w
-	p.queues[w.class].add(f, w)
+	p.queues[w.rank].add(f, w)
 	heap.Push(&p.expiry, w)
 	p.holder(w.from).waiting ^= w.requestID.Digest()
 }
@@ -285,7 +285,7 @@
 // dropWaiter removes a waiter without an answer.
 func (p *pool) dropWaiter(w *waiter) {
 	if w.flow != nil {
-		p.queues[w.class].remove(w)
+		p.queues[w.rank].remove(w)
 	}
 	p.dequeue(w)
 }
@@ -296,6 +296,8 @@
 	p.refuse(w.from.ID, w.requestID, reason, after, now)
 }
 
+// refuse refuses a slot request. after is the time in seconds after which a retry may
+// succeed, or 0 if that is unknown.
 func (p *pool) refuse(to state.DaemonID, requestID SlotRequestID, reason state.Reason, after state.RetryAfter, now time.Time) {
 	p.send(to, SlotRefusal{ID: requestID, Pool: p.id, Reason: reason, RetryAfter: after, Summary: p.summary(now)})
 }
--- a/coordination/home/queue.go
+++ b/coordination/home/queue.go
@@ -11,7 +11,7 @@
 	seq               uint64 // order of arrival in the pool
 	requestID         SlotRequestID
 	from              state.Member
-	class             int // rank
+	rank              int // of the request's class
 	customer          state.CustomerID
 	cost              float64
 	prefixes          []uint64
--- a/coordination/home/receive.go
+++ b/coordination/home/receive.go
@@ -74,9 +74,10 @@
 	}
 	p.holder(from).lastHeard = now
 	w := &waiter{
-		requestID: m.ID, from: from, class: rank, customer: m.Customer,
+		requestID: m.ID, from: from, rank: rank, customer: m.Customer,
 		cost: float64(max(m.Cost, 1)), prefixes: m.Prefixes, exclude: m.Exclude,
-		exclusive: m.Exclusive, staggered: m.Exclusive && m.Staggered, arrived: now, firstTokenLatency: m.FirstTokenLatency, deadline: now.Add(m.Budget),
+		exclusive: m.Exclusive, staggered: m.Exclusive && m.Staggered, arrived: now,
+		firstTokenLatency: m.FirstTokenLatency, deadline: now.Add(m.Budget),
 	}
 	w.expires = w.deadline.Add(-w.firstTokenLatencyAt(p.order[0].speed))
 	if !now.Before(w.expires) {
@@ -141,7 +142,7 @@
 		p.refuse(w.from.ID, w.requestID, state.ReasonDeadline, retryAfterSeconds(estimate-w.deadline.Sub(now)), now)
 		return false
 	}
-	q := p.queues[w.class]
+	q := p.queues[w.rank]
 	if q.count < p.terms.maxQueued {
 		return true
 	}
@@ -179,7 +180,7 @@
 		p.markRecovered(g.target)
 	}
 	if m.Tokens >= minSampleTokens && m.DecodeTime > 0 {
-		p.recordSpeed(now, g.target, float64(m.Tokens)/m.DecodeTime.Seconds())
+		p.recordDecodeRate(now, g.target, float64(m.Tokens)/m.DecodeTime.Seconds())
 	}
 }
 
@@ -199,15 +200,16 @@
 	}
 }
 
-// recordSpeed records a sample of a replica's tokens per second.
-func (p *pool) recordSpeed(now time.Time, r *replica, rate float64) {
+// recordDecodeRate records a sample of a replica's decode rate in tokens per second. Divided
+// by the replica's relative speed, it is also a sample of baseRate, the rate at speed 1.
+func (p *pool) recordDecodeRate(now time.Time, r *replica, rate float64) {
 	r.observe(now, rate)
-	normal := rate / r.speed
+	normalized := rate / r.speed
 	if p.baseRate == 0 {
-		p.baseRate = normal
+		p.baseRate = normalized
 		return
 	}
-	p.baseRate += baseSmoothing * (normal - p.baseRate)
+	p.baseRate += baseSmoothing * (normalized - p.baseRate)
 }
 
 // cancel ends a waiter, or the grant that was sent before the cancel arrived.
--- a/coordination/home/recovery.go
+++ b/coordination/home/recovery.go
@@ -20,7 +20,7 @@
 // they report later counts at once.
 type grantRecovery struct {
 	startedAt    time.Time
-	waiting      bool // nothing is granted
+	waiting      bool // nothing is granted until all members have reported or ReportWindow has passed
 	halfCapacity bool // half of the slots are granted
 	unreported   map[state.Member]bool
 }
--- a/coordination/home/replica.go
+++ b/coordination/home/replica.go
@@ -23,7 +23,7 @@
 // replica tracks the slots of one replica exactly.
 type replica struct {
 	id      state.ReplicaID
-	speed   float64
+	speed   float64 // relative decode speed, from the document
 	slots   int
 	leaving bool
 	spec    state.Replica // as last received
--- a/coordination/lease/world_test.go
+++ b/coordination/lease/world_test.go
@@ -38,7 +38,7 @@
 	sim              *simulation
 	id               state.DaemonID
 	m                *lease.Machine
-	rate             float64
+	rate             float64 // speed of the node's clock relative to true time
 	clockStart       time.Time
 	pausedUntil      time.Duration // true time until which the node runs nothing
 	status           map[state.ServiceID]lease.Status
@@ -83,13 +83,13 @@
 			status:     map[state.ServiceID]lease.Status{},
 		}
 		sim.nodes = append(sim.nodes, n)
-		sim.at(0, func() { n.step(lease.Members{Live: live}) })
-		sim.at(0, func() { n.step(lease.Services{IDs: services}) })
+		sim.schedule(0, func() { n.step(lease.Members{Live: live}) })
+		sim.schedule(0, func() { n.step(lease.Services{IDs: services}) })
 	}
 	return sim
 }
 
-func (sim *simulation) at(t time.Duration, run func()) {
+func (sim *simulation) schedule(t time.Duration, run func()) {
 	sim.seq++
 	heap.Push(&sim.queue, scheduledEvent{at: max(t, sim.now), seq: sim.seq, run: run})
 }
@@ -131,7 +131,7 @@
 // step delivers an event, after the node's pause if it is paused, and performs the actions.
 func (n *node) step(ev lease.Event) {
 	if n.sim.now < n.pausedUntil {
-		n.sim.at(n.pausedUntil, func() { n.step(ev) })
+		n.sim.schedule(n.pausedUntil, func() { n.step(ev) })
 		return
 	}
 	for _, a := range n.m.Step(n.localTime(), ev) {
@@ -141,7 +141,7 @@
 		case lease.Send:
 			for _, peer := range n.sim.nodes {
 				if peer.id == a.To {
-					n.sim.at(n.sim.now+time.Millisecond, func() { peer.step(lease.Received{Msg: a.Msg}) })
+					n.sim.schedule(n.sim.now+time.Millisecond, func() { peer.step(lease.Received{Msg: a.Msg}) })
 				}
 			}
 		case lease.Read:
@@ -171,30 +171,30 @@
 	}
 	n.tickAt = t
 	at := time.Duration(float64(t.Sub(n.clockStart))/n.rate) + time.Microsecond
-	n.sim.at(at, func() {
+	n.sim.schedule(at, func() {
 		n.tickAt = time.Time{}
 		n.step(lease.Tick{})
 	})
 }
 
 // call simulates a store call: effect and answer are delayed at random, and the request or the
-// answer may be lost. A pause of the caller delays the request as well.
+// answer may be lost. If the caller is paused, the request is sent at the end of its pause.
 func (sim *simulation) call(n *node, c lease.CallID, effect func() lease.Event) {
 	sent := sim.now
 	if n.pausedUntil > sent {
 		sent = n.pausedUntil
 	}
 	if sim.faults.storeDown || n.storeUnreachable || sim.rng.Float64() < sim.faults.lostRequest {
-		sim.at(sent+time.Second, func() { n.step(lease.Unanswered{Call: c}) })
+		sim.schedule(sent+time.Second, func() { n.step(lease.Unanswered{Call: c}) })
 		return
 	}
 	lost := sim.rng.Float64() < sim.faults.lostReply
-	sim.at(sent+sim.delay(), func() {
+	sim.schedule(sent+sim.delay(), func() {
 		ev := effect()
 		if lost {
 			ev = lease.Unanswered{Call: c}
 		}
-		sim.at(sim.now+sim.delay(), func() { n.step(ev) })
+		sim.schedule(sim.now+sim.delay(), func() { n.step(ev) })
 	})
 }
 
--- a/coordination/limit/message.go
+++ b/coordination/limit/message.go
@@ -7,8 +7,9 @@
 	message()
 }
 
-// Report is sent by a daemon, as seat and holder, to an owner, which answers with
-// one Grant. Stamps are nanoseconds on the sender's clock since the start of its
+// Report is sent by a daemon in its roles of seat and holder to one in its role of owner,
+// which answers with one Grant. The package documentation describes the three roles.
+// Stamps are nanoseconds on the sender's clock since the start of its
 // incarnation, from 1.
 type Report struct {
 	Stamp int64 `msgpack:"s"`
@@ -18,8 +19,8 @@
 	Echo int64             `msgpack:"e,omitempty"`
 	To   state.Incarnation `msgpack:"t,omitempty"`
 
-	// Lent has a bit for each shard for which the sender lends its seat to the
-	// receiver, for LoanTTL after Echo. Loans of all other shards are reclaimed.
+	// Lent has a bit for each shard of the keys for which the sender lends its seat,
+	// its fixed share of every limit, to the receiver, for LoanTTL after Echo. Loans of all other shards are reclaimed.
 	Lent uint64 `msgpack:"l,omitempty"`
 
 	Usages []Usage `msgpack:"u,omitempty"`
--- a/coordination/limit/world_test.go
+++ b/coordination/limit/world_test.go
@@ -141,13 +141,14 @@
 	sim.step(n, limit.Limits{Service: "s", Customers: customers})
 }
 
-// replaceAt pauses node i at a time and starts its next incarnation after a while;
-// the old one resumes while that one runs.
-func (sim *simulation) replaceAt(i int, at, after, pause time.Duration) {
+// replaceAt pauses node i at the simulated time at, for the duration pause, and starts
+// the node's next incarnation delay after at. The old incarnation resumes at the end of
+// its pause, while the new one runs.
+func (sim *simulation) replaceAt(i int, at, delay, pause time.Duration) {
 	sim.schedule(at, func() {
 		old := sim.nodes[i]
 		old.pausedTo = sim.now + pause
-		sim.schedule(sim.now+after, func() {
+		sim.schedule(sim.now+delay, func() {
 			sim.replacedNodes = append(sim.replacedNodes, old)
 			sim.nodes[i] = &node{id: old.id, incarnation: old.incarnation + 1}
 			sim.start(sim.nodes[i], sim.seats)
--- a/coordination/membership/event.go
+++ b/coordination/membership/event.go
@@ -100,7 +100,8 @@
 	Fact Fact
 }
 
-// DigestChanged delivers a neighbour's digest that differs from its previous one.
+// DigestChanged delivers the Digest of a neighbour, a summary of that daemon, when it
+// differs from the neighbour's previous one.
 type DigestChanged struct {
 	From   state.Member
 	Digest Digest
--- a/coordination/membership/exchange.go
+++ b/coordination/membership/exchange.go
@@ -65,6 +65,9 @@
 	m.emit(s)
 }
 
+// onExchangeRequest answers with the records of the buckets whose hashes differ from the
+// peer's, all facts (see Fact) if the hash of the facts differs, and a correction if this
+// daemon has a newer update of the peer than the peer itself sent.
 func (m *Membership) onExchangeRequest(from state.DaemonID, msg ExchangeRequest) {
 	e, ok := m.table.get(from)
 	if !ok || len(msg.BucketHashes) != numBuckets {
--- a/coordination/membership/gossip.go
+++ b/coordination/membership/gossip.go
@@ -44,7 +44,8 @@
 	return subject{kind: f.Kind.subject(), id: f.Subject}
 }
 
-// broadcast is an update or fact that has not yet been sent to every neighbour.
+// broadcast is an update or fact that has not yet been sent to every neighbour. It
+// reaches the other daemons because each neighbour queues what is new to it in turn.
 type broadcast struct {
 	subject       subject
 	update        Update
@@ -67,7 +68,8 @@
 	return broadcastQueue{index: make(map[subject]*broadcast), tokens: float64(burst)}
 }
 
-// queueUpdate queues u for every neighbour except the one that sent it.
+// queueUpdate queues u for every neighbour except sender, the daemon that it came from, which may
+// be this one.
 func (q *broadcastQueue) queueUpdate(u Update, sender state.DaemonID, now time.Time) {
 	s := memberSubject(u.ID)
 	if old, ok := q.index[s]; ok && u.Meta == nil && old.update.Incarnation == u.Incarnation {
@@ -82,11 +84,14 @@
 	q.put(&broadcast{subject: s, update: u, size: size}, sender, now)
 }
 
-// queueFact queues the fact about s, which is stored in facts.
+// queueFact queues the fact about s, which is stored in facts, for every neighbour except
+// sender.
 func (q *broadcastQueue) queueFact(s subject, sender state.DaemonID, now time.Time) {
 	q.put(&broadcast{subject: s, size: factSize + len(s.id)}, sender, now)
 }
 
+// put queues bc from now on in place of an older broadcast about the same subject, and
+// marks it as sent to sender.
 func (q *broadcastQueue) put(bc *broadcast, sender state.DaemonID, now time.Time) {
 	q.drop(bc.subject)
 	bc.sentTo = map[state.DaemonID]int{sender: math.MaxInt32}
--- a/coordination/pathing/cost.go
+++ b/coordination/pathing/cost.go
@@ -88,7 +88,8 @@
 	return ms
 }
 
-// TransferMS returns how long a prompt's activations occupy the link between two domains, in ms.
+// TransferMS returns how long a prompt's activations occupy the link between two failure domains,
+// in ms. It returns 0 if no bandwidth of the link (PipeMbps) is set.
 func TransferMS(e *fleet.Engine, prompt int) float64 {
 	if e.PipeMbps <= 0 {
 		return 0
--- a/coordination/permits/permits.go
+++ b/coordination/permits/permits.go
@@ -34,14 +34,14 @@
 type server struct {
 	incarnation state.BackendIncarnation
 	limit       fleet.RateLimit
-	// observedAt is when the limit was last confirmed: when an answer declared it, or when the
-	// request was sent whose answer declared none.
+	// observedAt is the time of the last observation of the limit: the time of an answer that
+	// declared it, or, if the answer declared none, the time at which its request was sent.
 	observedAt  time.Time
 	lastUsed    time.Time
-	owner       state.DaemonID // "" if no daemon is known
-	holder      holder
-	issuer      issuer
-	announcedAt time.Time // when the limit was last announced, if this daemon is the owner
+	owner       state.DaemonID // daemon that issues the permits; "" if no daemon is known
+	holder      holder         // permits that this daemon has received
+	issuer      issuer         // permits that this daemon issues, if it is the owner
+	announcedAt time.Time      // when the limit was last announced, if this daemon is the owner
 }
 
 // New returns a limiter that knows no limits.
--- a/coordination/placement/improve.go
+++ b/coordination/placement/improve.go
@@ -47,7 +47,8 @@
 	return l
 }
 
-// rebuildIfBetter replaces c if the bottleneck improves by more than ratio, and
+// rebuildIfBetter replaces c if its bottleneck, the time of its slowest stage, is more
+// than ratio times that of a chain built from the free servers and those of c, and
 // keeps it otherwise. It reports whether c was replaced.
 func (s *siteIndex) rebuildIfBetter(l *Layout, svc *Service, c Chain, ratio float64) bool {
 	for _, st := range c.Stages {
--- a/coordination/quarantine/event.go
+++ b/coordination/quarantine/event.go
@@ -7,7 +7,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// RunID identifies one run of one daemon.
+// RunID identifies one run of one daemon. A run is one execution of a content on a
+// replica.
 type RunID uint64
 
 // Event is an input of a Quarantine.
@@ -97,16 +98,17 @@
 	action()
 }
 
-// Allow permits one run. Exclusive requires a replica that runs nothing else until the
-// run has ended. The run must start and end before Until.
+// Allow permits the run that RunRequested with the same Call requested. Exclusive
+// requires a replica that runs nothing else until the run has ended. The run must start
+// and end before Until.
 type Allow struct {
 	Call      uint64
 	Exclusive bool
-	Lock      uint64 // 0 unless Exclusive
+	Lock      uint64 // ID of the lock under which the content runs; 0 unless Exclusive
 	Until     time.Time
 }
 
-// Refuse reports that the content is quarantined.
+// Refuse rejects the RunRequested with the same Call: the content is quarantined.
 type Refuse struct {
 	Call  uint64
 	Until time.Time // when the quarantine entry expires
--- a/coordination/quarantine/lock.go
+++ b/coordination/quarantine/lock.go
@@ -68,7 +68,7 @@
 	m.calls[lk.call] = lk
 }
 
-// rowAnswered handles the answer to the open call of lk.
+// rowAnswered handles the answer to the store call of lk that is in flight.
 func (m *Quarantine) rowAnswered(now time.Time, lk *lock, res store.Result) {
 	lk.call = 0
 	switch {
--- a/coordination/route/fleet_test.go
+++ b/coordination/route/fleet_test.go
@@ -110,7 +110,8 @@
 	return most
 }
 
-// drain stops the load and waits until all requests in flight have ended.
+// drain stops the load and simulates 3 more minutes, in which the requests in flight are
+// expected to end.
 func (s *cluster) drain() {
 	s.rate = 0
 	s.loop.Run(3 * time.Minute)
--- a/coordination/route/router.go
+++ b/coordination/route/router.go
@@ -85,7 +85,7 @@
 	return r.renewAt
 }
 
-// Home returns the pool's home daemon in this daemon's view.
+// Home returns the pool's home, the daemon that grants its slots, in this daemon's view.
 func (r *Router) Home(pool home.PoolID) (state.DaemonID, bool) {
 	p := r.layout.pools[pool]
 	if p == nil {
--- a/internal/standin/engine_kv.go
+++ b/internal/standin/engine_kv.go
@@ -177,6 +177,9 @@
 	return engine.KV{Request: c.Request, Attempt: c.Attempt, KV: kv}, err
 }
 
+// importKV stores the KV cache of an attempt that another engine exported. It refuses a
+// cache of layers other than its own, and an attempt that was started, canceled or
+// fenced by a higher epoch here.
 func (e *Engine) importKV(kv engine.KV) (struct{}, error) {
 	var in kvExport
 	if err := json.Unmarshal(kv.KV, &in); err != nil {
--- a/scenario/claim.go
+++ b/scenario/claim.go
@@ -15,7 +15,7 @@
 // claim is one claim at one daemon and the run that uses it. It remains until the
 // claim is released, even after the run has ended.
 type claim struct {
-	n       *node
+	node    *node
 	m       *claims.Claim
 	r       *run // nil when the request has ended
 	voiding bool // r is waiting for VoidSettled
@@ -78,7 +78,7 @@
 
 func (n *node) startClaim(r *run, slot claims.Slot) {
 	n.sim.seq++
-	c := &claim{n: n, r: r}
+	c := &claim{node: n, r: r}
 	c.m = claims.New(claims.DefaultConfig(), n.sim.rng, n, claims.Request{
 		Key:         keyOf(r),
 		Content:     r.spec.Prompt,
@@ -132,17 +132,17 @@
 	if c.m.Released() {
 		return
 	}
-	for _, a := range c.m.Step(c.n.sim.now, ev) {
+	for _, a := range c.m.Step(c.node.sim.now, ev) {
 		c.execute(a)
 	}
 }
 
 func (c *claim) execute(a claims.Action) {
-	sim := c.n.sim
+	sim := c.node.sim
 	switch a := a.(type) {
 	case claims.CallStore:
 		sim.callTable(a.Call, func(res store.Result) {
-			c.n.deliver(func() { c.step(claims.StoreResult{Result: res}) })
+			c.node.deliver(func() { c.step(claims.StoreResult{Result: res}) })
 		})
 	case claims.Dispatch:
 		c.settle(request.ClaimSettled{Result: request.ClaimWon})
@@ -151,12 +151,12 @@
 	case claims.QueryAttempt:
 		sim.after(hopDelay, func() {
 			ev := sim.evidence(a.Record)
-			sim.after(hopDelay, func() { c.n.deliver(func() { c.step(ev) }) })
+			sim.after(hopDelay, func() { c.node.deliver(func() { c.step(ev) }) })
 		})
 	case claims.Verdict:
 		c.verdict(a)
 	case claims.Released:
-		c.n.claims = slices.DeleteFunc(slices.Clone(c.n.claims), func(other *claim) bool { return other == c })
+		c.node.claims = slices.DeleteFunc(slices.Clone(c.node.claims), func(other *claim) bool { return other == c })
 	}
 }
 
@@ -186,7 +186,8 @@
 	return ev
 }
 
-// settle delivers the answer to the run's PutClaim, at most once.
+// settle delivers the answer to the run's PutClaim, at most once. The zero delay makes it
+// an event of its own instead of a part of the current step.
 func (c *claim) settle(ev request.ClaimSettled) {
 	if c.r == nil || c.settled {
 		return
@@ -197,7 +198,7 @@
 
 // takeOver makes the run continue an attempt that another daemon started.
 func (c *claim) takeOver(rec claims.Record) {
-	replica, ok := c.n.sim.replica(rec.Slot.Replica)
+	replica, ok := c.node.sim.replica(rec.Slot.Replica)
 	if c.r == nil || !ok {
 		c.step(claims.Ended{Phase: claims.PhaseUnknown})
 		return
@@ -233,13 +234,13 @@
 	case claims.VerdictNotRun:
 		settled.Result = request.ClaimRefused
 	case claims.VerdictJoin, claims.VerdictDuplicate:
-		if owner := c.n.sim.node(string(v.Record.Owner.ID)); owner.isLive() {
+		if owner := c.node.sim.node(string(v.Record.Owner.ID)); owner.isLive() {
 			r.joined = owner.run(v.Record.Request)
 		}
 	default:
 	}
 	if v.Kind == claims.VerdictJoin {
-		c.n.claims = slices.DeleteFunc(slices.Clone(c.n.claims), func(other *claim) bool { return other == c })
+		c.node.claims = slices.DeleteFunc(slices.Clone(c.node.claims), func(other *claim) bool { return other == c })
 	}
 	c.settle(settled)
 }
--- a/scenario/command_requests.go
+++ b/scenario/command_requests.go
@@ -78,8 +78,8 @@
 
 func (n *node) attach(c *caller, last *run) {
 	switch {
-	case last.n.isLive():
-		n.sim.printf("%s continues reading through %s, from %s", c.name, n.name, last.n.name)
+	case last.node.isLive():
+		n.sim.printf("%s continues reading through %s, from %s", c.name, n.name, last.node.name)
 		c.readFrom(last)
 	case last.lastStarted.Attempt == 0:
 		c.onEnd(state.Unknown{Reason: state.ReasonUnknownRequest})
@@ -101,6 +101,6 @@
 	if c == nil || c.run == nil {
 		return fmt.Errorf("cancel: want the name of a running request")
 	}
-	c.run.n.deliver(func() { c.run.feed(request.Cancel{}) })
+	c.run.node.deliver(func() { c.run.feed(request.Cancel{}) })
 	return nil
 }
--- a/scenario/pool.go
+++ b/scenario/pool.go
@@ -35,12 +35,12 @@
 	}
 }
 
-// pool is the home of all replicas, on an instance that does not fail. Failures of
-// a home are covered by other tests.
+// pool is the home of all replicas, which grants their slots, on an instance that does
+// not fail. Failures of a home are covered by other tests.
 type pool struct {
 	sim     *Simulation
 	home    *home.Home
-	pending map[home.SlotRequestID]*run
+	pending map[home.SlotRequestID]*run // runs that wait for a slot
 }
 
 func newPool(sim *Simulation) *pool {
@@ -94,16 +94,16 @@
 }
 
 func slotRequestID(r *run, a state.Attempt) home.SlotRequestID {
-	return home.SlotRequestID{Request: state.RequestID(r.n.name + "/" + r.name()), Attempt: a}
+	return home.SlotRequestID{Request: state.RequestID(r.node.name + "/" + r.name()), Attempt: a}
 }
 
-func (p *pool) requestSlot(r *run, a request.AcquireSlot, alone bool) {
+func (p *pool) requestSlot(r *run, a request.AcquireSlot, exclusive bool) {
 	id := slotRequestID(r, a.Attempt)
 	p.pending[id] = r
-	p.deliverToHome(r.n, home.SlotRequest{
+	p.deliverToHome(r.node, home.SlotRequest{
 		ID: id, Pool: poolID, Class: r.spec.Class, Customer: r.spec.Customer,
 		Budget: r.spec.FirstTokenDeadline.Sub(p.sim.now), Cost: uint32(r.spec.MaxTokens), Exclude: a.Exclude,
-		Exclusive: alone,
+		Exclusive: exclusive,
 	})
 }
 
@@ -113,7 +113,7 @@
 		return
 	}
 	delete(p.pending, id)
-	p.deliverToHome(r.n, home.CancelSlotRequest{ID: id, Pool: poolID})
+	p.deliverToHome(r.node, home.CancelSlotRequest{ID: id, Pool: poolID})
 }
 
 // slotGranted delivers a slot to its run, with the current boot IDs of the engines.
@@ -133,7 +133,7 @@
 		}
 		replica.Stages[i].BootID = e.bootID()
 	}
-	if q := r.n.quarantine; q != nil {
+	if q := r.node.quarantine; q != nil {
 		q.runStarted(r, replica)
 	}
 	r.feed(request.SlotGranted{Grant: m.ID.Attempt, Replica: replica})
@@ -155,5 +155,5 @@
 	case a.Failed:
 		use = home.OutcomeFailed
 	}
-	p.deliverToHome(r.n, home.SlotRelease{ID: slotRequestID(r, a.Grant), Pool: poolID, Replica: a.Replica, Outcome: use})
+	p.deliverToHome(r.node, home.SlotRelease{ID: slotRequestID(r, a.Grant), Pool: poolID, Replica: a.Replica, Outcome: use})
 }
--- a/scenario/quarantine.go
+++ b/scenario/quarantine.go
@@ -19,7 +19,7 @@
 // daemonQuarantine is a daemon's quarantine state machine with its pending requests and
 // running attempts.
 type daemonQuarantine struct {
-	n              *node
+	node           *node
 	m              *quarantine.Quarantine
 	pending        map[uint64]pendingSlotRequest
 	runs           map[*run]slotHolder
@@ -43,7 +43,7 @@
 func newDaemonQuarantine(n *node) *daemonQuarantine {
 	cfg := quarantine.Config{Self: n.member}
 	return &daemonQuarantine{
-		n:              n,
+		node:           n,
 		m:              quarantine.New(cfg, n.sim.now, n.sim.rng),
 		pending:        make(map[uint64]pendingSlotRequest),
 		runs:           make(map[*run]slotHolder),
@@ -86,7 +86,7 @@
 // reportDeaths reports the engines of a run's replica that died during the run.
 func (q *daemonQuarantine) reportDeaths(r *run) {
 	for _, s := range q.runs[r].replica.Stages {
-		e := q.n.sim.engine(s.Address)
+		e := q.node.sim.engine(s.Address)
 		if e.bootID() == s.BootID || q.reportedDeaths[e.name] == e.incarnation {
 			continue
 		}
@@ -113,7 +113,7 @@
 }
 
 func (q *daemonQuarantine) step(ev quarantine.Event) {
-	sim := q.n.sim
+	sim := q.node.sim
 	for _, a := range q.m.Step(sim.now, ev) {
 		switch a := a.(type) {
 		case quarantine.Allow:
@@ -124,10 +124,10 @@
 				req.r.feedAfter(0, request.SlotRefused{Reason: state.ReasonQuarantined})
 			}
 		case quarantine.Quarantined:
-			sim.printf("%s: the content is quarantined", q.n.name)
+			sim.printf("%s: the content is quarantined", q.node.name)
 		case quarantine.CallStore:
 			sim.callTable(a.Call, func(res store.Result) {
-				q.n.deliver(func() { q.step(quarantine.StoreResult{Result: res}) })
+				q.node.deliver(func() { q.step(quarantine.StoreResult{Result: res}) })
 			})
 		case quarantine.Send:
 			q.send(a)
@@ -147,13 +147,13 @@
 		req.r.printf("must run exclusively")
 	}
 	q.runs[req.r] = slotHolder{lock: a.Lock}
-	q.n.sim.pool.requestSlot(req.r, req.a, a.Exclusive)
+	q.node.sim.pool.requestSlot(req.r, req.a, a.Exclusive)
 }
 
 func (q *daemonQuarantine) send(a quarantine.Send) {
-	to := q.n.sim.node(string(a.To))
-	q.n.sim.after(hopDelay, func() {
-		to.deliver(func() { to.quarantine.step(quarantine.Received{From: q.n.member, Msg: a.Msg}) })
+	to := q.node.sim.node(string(a.To))
+	q.node.sim.after(hopDelay, func() {
+		to.deliver(func() { to.quarantine.step(quarantine.Received{From: q.node.member, Msg: a.Msg}) })
 	})
 }
 
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -12,7 +12,7 @@
 
 // run is the state machine of one request at one daemon.
 type run struct {
-	n       *node
+	node    *node
 	spec    request.Spec
 	m       *request.Request
 	callers []*caller
@@ -27,7 +27,7 @@
 }
 
 func (n *node) start(spec request.Spec, c *caller) {
-	r := &run{n: n, spec: spec, m: request.New(spec), execution: spec.ID, attempts: make(map[attemptKey]bool)}
+	r := &run{node: n, spec: spec, m: request.New(spec), execution: spec.ID, attempts: make(map[attemptKey]bool)}
 	n.runs = append(n.runs, r)
 	c.readFrom(r)
 	r.feed(request.Start{})
@@ -36,20 +36,20 @@
 func (r *run) name() string { return string(r.spec.ID) }
 
 func (r *run) printf(format string, args ...any) {
-	r.n.sim.printf(r.n.name+" "+r.name()+" "+format, args...)
+	r.node.sim.printf(r.node.name+" "+r.name()+" "+format, args...)
 }
 
 // feed passes an event to the state machine and executes the resulting actions.
 func (r *run) feed(ev request.Event) {
 	r.printEvent(ev)
-	for _, a := range slices.Clone(r.m.Step(r.n.sim.now, ev)) {
+	for _, a := range slices.Clone(r.m.Step(r.node.sim.now, ev)) {
 		r.execute(a)
 	}
 }
 
 // feedAfter feeds an event after d, unless the daemon is dead by then.
 func (r *run) feedAfter(d time.Duration, ev request.Event) {
-	r.n.sim.after(d, func() { r.n.deliver(func() { r.feed(ev) }) })
+	r.node.sim.after(d, func() { r.node.deliver(func() { r.feed(ev) }) })
 }
 
 // printEvent prints the events that explain the course of a scenario.
@@ -109,13 +109,13 @@
 	case request.End:
 		r.end(a.Outcome)
 	case request.PutClaim:
-		r.n.putClaim(r, a)
+		r.node.putClaim(r, a)
 	case request.AbandonClaim:
-		r.n.abandonClaim(r)
+		r.node.abandonClaim(r)
 	case request.VoidClaim:
-		r.n.voidClaim(r, a.Proof)
+		r.node.voidClaim(r, a.Proof)
 	case request.SettleClaim:
-		r.n.settleClaim(r, a.Outcome)
+		r.node.settleClaim(r, a.Outcome)
 	case request.ReleaseAttempt:
 		// The engines' memory is not modeled.
 	}
@@ -123,7 +123,7 @@
 
 // executeSlotAction executes an action on slots, through the quarantine if there is one.
 func (r *run) executeSlotAction(a request.Action) {
-	sim, q := r.n.sim, r.n.quarantine
+	sim, q := r.node.sim, r.node.quarantine
 	switch a := a.(type) {
 	case request.AcquireSlot:
 		if q != nil {
@@ -147,7 +147,7 @@
 
 // sendStep sends a step to its stage, subject to the fault that is set there.
 func (r *run) sendStep(a request.RunStep) {
-	sim := r.n.sim
+	sim := r.node.sim
 	e := sim.engine(a.Stage.Address)
 	k := attemptKey{request: r.execution, attempt: a.Step.Attempt}
 	r.attempts[k] = true
@@ -173,7 +173,7 @@
 
 // deliverStep delivers a step without a fault, unless the engine dies before it runs.
 func (r *run) deliverStep(e *engine, a request.RunStep) {
-	sim := r.n.sim
+	sim := r.node.sim
 	incarnation := e.incarnation
 	sim.after(hopDelay+sim.stepTime, func() {
 		if crashesEngine(r.spec.Prompt) && e.incarnation == incarnation {
@@ -193,12 +193,12 @@
 	if e.dead {
 		return
 	}
-	r.n.sim.printf("a step of %s arrives late at %s", r.name(), e.name)
+	r.node.sim.printf("a step of %s arrives late at %s", r.name(), e.name)
 	e.runStep(r.execution, a, r.spec.MaxTokens)
 }
 
 func (r *run) queryStage(a request.QueryStage) {
-	sim := r.n.sim
+	sim := r.node.sim
 	e := sim.engine(a.Stage.Address)
 	r.printf("queries the state of its attempt at %s", e.name)
 	r.attempts[attemptKey{request: r.execution, attempt: a.Step.Attempt}] = true
@@ -214,8 +214,8 @@
 func (r *run) cancelAttempt(attempt state.Attempt, replica state.Replica) {
 	k := attemptKey{request: r.execution, attempt: attempt}
 	for _, s := range replica.Stages {
-		if e := r.n.sim.engine(s.Address); !e.dead {
-			r.n.sim.after(hopDelay, func() { e.cancel(k) })
+		if e := r.node.sim.engine(s.Address); !e.dead {
+			r.node.sim.after(hopDelay, func() { e.cancel(k) })
 		}
 	}
 }
@@ -225,13 +225,13 @@
 
 func (r *run) requestRetry(a request.DecideRetry) {
 	r.printf("abandons its attempt at %s: %s", a.Replica, a.Reason)
-	decision := r.n.retries.Decide(r.n.sim.now, retry.Failure{
+	decision := r.node.retries.Decide(r.node.sim.now, retry.Failure{
 		Service: r.spec.Service, Customer: r.spec.Customer, Policy: retryPolicy, Cause: a.Reason, Attempts: len(a.Tried) + 1,
 		Execution: a.Execution, Repeatable: !r.spec.NeverRepeat, Tried: a.Tried, Replica: a.Replica,
 	})
 	switch d := decision.(type) {
 	case retry.Allow:
-		r.feedAfter(0, request.RetryDecided{Allowed: true, At: r.n.sim.now.Add(d.After), Exclude: d.Exclude})
+		r.feedAfter(0, request.RetryDecided{Allowed: true, At: r.node.sim.now.Add(d.After), Exclude: d.Exclude})
 	case retry.Deny:
 		r.feedAfter(0, request.RetryDecided{Reason: d.Denial.Reason()})
 	}
@@ -247,9 +247,9 @@
 func (r *run) end(o state.Outcome) {
 	r.outcome = o
 	if _, refused := o.(state.Refused); refused {
-		r.n.sim.ledger.recordRefusal(r.n.sim, r)
+		r.node.sim.ledger.recordRefusal(r.node.sim, r)
 	}
-	r.n.detachClaim(r)
+	r.node.detachClaim(r)
 	if r.joined != nil {
 		for _, c := range r.callers {
 			c.readFrom(r.joined)
@@ -258,7 +258,7 @@
 		return
 	}
 	if _, ok := o.(state.Completed); ok {
-		r.n.retries.Succeeded(r.n.sim.now, r.spec.Service, r.spec.Customer)
+		r.node.retries.Succeeded(r.node.sim.now, r.spec.Service, r.spec.Customer)
 	}
 	for _, c := range r.callers {
 		c.onEnd(o)
