--- a/daemon/control.go
+++ b/daemon/control.go
@@ -140,9 +140,9 @@
 	for _, f := range inbox {
 		c.call(f)
 	}
-	for _, p := range c.components {
-		if at := p.nextTick(c.now); !at.IsZero() && !at.After(c.now) {
-			c.call(func() { p.tick(c.now) })
+	for _, comp := range c.components {
+		if at := comp.nextTick(c.now); !at.IsZero() && !at.After(c.now) {
+			c.call(func() { comp.tick(c.now) })
 		}
 	}
 }
@@ -160,8 +160,8 @@
 func (c *control) untilTick() time.Duration {
 	wait := maxIdleWait
 	now := time.Now()
-	for _, p := range c.components {
-		if at := p.nextTick(now); !at.IsZero() {
+	for _, comp := range c.components {
+		if at := comp.nextTick(now); !at.IsZero() {
 			wait = min(wait, at.Sub(now))
 		}
 	}
--- a/daemon/layout.go
+++ b/daemon/layout.go
@@ -64,7 +64,7 @@
 
 // layoutJob is one computation with a copy of all its inputs.
 type layoutJob struct {
-	documents map[state.ServiceID]*service.Versioned
+	documents map[state.ServiceID]*service.Versioned // of the services with automatic placement
 	old       placement.Layout
 	input     placement.Input
 	busy      map[state.BackendID]bool // servers with layers that no kept chain uses
@@ -124,7 +124,9 @@
 	lc.reading = missing > 0
 }
 
-// compute computes the layout in a separate goroutine, on a copy of its inputs.
+// compute computes the layout in a separate goroutine, on a copy of its inputs, and
+// publishes it if this daemon then still has the same lease term and may decide on the
+// layout.
 func (lc *layoutComponent) compute() {
 	job := lc.newJob()
 	if len(job.documents) == 0 {
--- a/daemon/operations_test.go
+++ b/daemon/operations_test.go
@@ -43,6 +43,8 @@
 	return l
 }
 
+// caller submits repeatable summaries and never-repeat notes alternately until the load
+// is stopped, and counts their outcomes. c is the number of the caller.
 func (l *load) caller(c int, daemons []*daemon.Daemon) {
 	for i := 0; ; i++ {
 		select {
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -126,8 +126,8 @@
 	return in.Address, ok
 }
 
-// queryRequestCounts queries the homes of replicas and the servers for their
-// numbers of requests. Unanswered queries are repeated while the chain drains.
+// queryRequestCounts queries the homes of replicas (the daemons that grant their
+// slots) and the servers for their current request counts. Unanswered queries are repeated while the chain drains.
 func (s *serviceController) queryRequestCounts(a controller.QueryRequestCounts) {
 	byHome := make(map[state.DaemonID][]state.ReplicaID)
 	for _, id := range a.Replicas {
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -172,7 +172,9 @@
 	}
 }
 
-// tokenEmitted records that a suspect's run produced the token of that index.
+// tokenEmitted records that the run of a suspect, a request whose content was
+// implicated in a server's death, produced the token of that index. The exclusive phase
+// ends when the answer is longer than the one recorded in positions; see quarantineRun.
 func (qc *quarantineComponent) tokenEmitted(r *runner, index int) {
 	run, ok := qc.runs[r]
 	if !ok || !r.suspect.Load() {
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -204,7 +204,10 @@
 	}
 }
 
-// carryOut performs the actions of a request that concern control state.
+// carryOut performs the actions of a request that concern control state. A slot is
+// requested once the quarantine permits the run. AbandonClaim cancels a PutClaim,
+// VoidClaim releases the claim of a request that was not dispatched, and SettleClaim
+// records how a claimed request ended.
 func (c *control) carryOut(r *runner, a request.Action) {
 	switch a := a.(type) {
 	case request.AcquireSlot:
--- a/daemon/tables.go
+++ b/daemon/tables.go
@@ -163,7 +163,8 @@
 	tc.write(r)
 }
 
-// read reads a table's row; ok is false if the store did not answer.
+// read reads the store row that holds the complete replica table of a service, from the
+// store's table catalog.Table; ok is false if the store did not answer.
 func (tc *tablesComponent) read(id state.ServiceID, then func(t controller.ReplicaTable, revision uint64, ok bool)) {
 	call := store.Call{Class: store.ClassLease, Request: store.Get{Table: catalog.Table, Key: string(id)}}
 	tc.c.store.do(call, func(res store.Result) {
--- a/explain/cause.go
+++ b/explain/cause.go
@@ -188,6 +188,8 @@
 	}
 }
 
+// explainAnswerLost returns the cause of a failure in which the answer of a request that
+// must not run twice was lost. A request is implicated if a server died while running it.
 func (t *Timeline) explainAnswerLost(end *Line) Cause {
 	c := Cause{
 		Kind:    KindAnswerLost,
--- a/explain/timeline.go
+++ b/explain/timeline.go
@@ -21,7 +21,8 @@
 	CachedState []CachedState `json:"beliefs,omitempty"`
 }
 
-// CachedState is what a daemon knew about a subject, as of Line.
+// CachedState is what the daemon of a Step knew about a subject at the time of the step.
+// Line is the log line that last reported it, and Age the time from Line to the step.
 type CachedState struct {
 	Subject string        `json:"about"`
 	Line    Line          `json:"line"`
@@ -109,7 +110,8 @@
 }
 
 // addresses returns the addresses of the servers that a line is about: the hops of a
-// path, or a single server.
+// path, or a single server. A request_sent line lists the hops in Detail, as fields of
+// the form ADDRESS=FROM-TO, where FROM-TO are layers.
 func (x *Line) addresses() []string {
 	if x.Event != eventSent {
 		if x.Address == "" {
--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -178,7 +178,10 @@
 	s.c.post(func() { s.step(ev) })
 }
 
-// orderNames are the results of orders in log lines.
+// orderNames are the results of layer orders (commands to an engine about its layers) in log
+// lines. "begun" means that the engine accepted the order and carries it out, "holds" that it is
+// already in the requested state, "conflict" that the order does not match its state, and "fenced"
+// that it has seen a higher fencing number.
 var orderNames = map[backend.OrderResult]string{
 	backend.OrderUnknown:   "unanswered",
 	backend.OrderAccepted:  "begun",
--- a/gateway/fake_test.go
+++ b/gateway/fake_test.go
@@ -274,7 +274,9 @@
 	}
 }
 
-// populate lists two plain servers and two chains of two engines.
+// populate lists two plain servers and two chains of two engines. Engines e0 and e1 are
+// the chain in domain a, e2 and e3 the one in domain b; the first engine of each chain
+// has the lower half of the layers.
 func (h *harness) populate() {
 	for i := range 2 {
 		id := fmt.Sprintf("p%d", i)
--- a/gateway/permitrequest.go
+++ b/gateway/permitrequest.go
@@ -125,9 +125,9 @@
 	g.shared.permits.Dequeue(q.queuedFor)
 }
 
-// permitTooLate reports whether a request that only rate-limited servers can take won't get
-// a permit in time.
-func (r *requestHandler) permitTooLate(until time.Time) bool {
+// permitWaitExceeds reports whether a request that only rate-limited servers can take won't get
+// a permit before until. It is false once the header of an answer was written to the caller.
+func (r *requestHandler) permitWaitExceeds(until time.Time) bool {
 	if !r.permit.queued() || r.headSent {
 		return false
 	}
--- a/gateway/wait.go
+++ b/gateway/wait.go
@@ -37,7 +37,7 @@
 	r.g.waitingRequests.Add(1)
 	defer r.g.waitingRequests.Add(-1)
 	for until := waiting.RejectAt(); time.Now().Before(until) && ctx.Err() == nil; {
-		if r.permitTooLate(until) {
+		if r.permitWaitExceeds(until) {
 			return false
 		}
 		sleep(ctx, r.permit.pollInterval())
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -13,8 +13,9 @@
 	Level  string    // "debug", "info", "warning" or "error"; default "info"
 	Format string    // "json" or "text"; default "json"
 	Output io.Writer // default standard error
-	// Bounded limits the log to 40 lines per event and second and never blocks on
-	// Output. The event lines_left_out reports the number of suppressed lines.
+	// Bounded limits the log to 40 lines per second of each event, and drops lines
+	// instead of blocking on Output. The event lines_left_out reports how many lines
+	// were suppressed by the limit or dropped.
 	Bounded bool
 }
 
@@ -71,15 +72,16 @@
 // limit.
 func (l *Log) Emit(e Event, fields ...Field) {
 	info := e.info()
-	if !l.logger.IsLevelEnabled(info.Level) || !l.withinLimit(e) {
+	if !l.logger.IsLevelEnabled(info.Level) || !l.admitLine(e) {
 		return
 	}
 	l.write(info, e, fields)
 }
 
-// withinLimit reports whether a line of e is within the limit of the log. It also
-// writes the number of lines that were suppressed or dropped before.
-func (l *Log) withinLimit(e Event) bool {
+// admitLine counts a line of e against the limit of the log and reports whether the
+// line may be written. It also writes how many earlier lines were suppressed by the limit
+// or dropped because the output was blocked.
+func (l *Log) admitLine(e Event) bool {
 	if l.limiter == nil {
 		return true
 	}
