--- a/client/client_test.go
+++ b/client/client_test.go
@@ -71,8 +71,8 @@
 	s.Close()
 }
 
-// next removes and returns the next fault. ok is false when none is left.
-func (s *fakeServer) next(r *http.Request) (f fault, ok bool) {
+// nextFault removes and returns the next fault. ok is false when none is left.
+func (s *fakeServer) nextFault(r *http.Request) (f fault, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.Method == http.MethodPost {
@@ -99,7 +99,7 @@
 	if text := r.Header.Get(caller.LastEventHeader); text != "" {
 		after, _ = strconv.Atoi(text)
 	}
-	f, faulty := s.next(r)
+	f, faulty := s.nextFault(r)
 	switch {
 	case faulty && f == noResponse:
 		s.hang(r)
--- a/measure/rounds.go
+++ b/measure/rounds.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// warmUp sends requests so that the daemons connect to all engines.
+// warmUp sends one request per customer, so that the daemons connect to the engines, and
+// waits until all have ended.
 func (r *recovery) warmUp(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
@@ -122,24 +123,25 @@
 	return r.cluster.awaitServing(ctx)
 }
 
-// startRoundStreams starts the streams of one strategy in a round, with consecutive numbers.
+// startRoundStreams starts the streams of one strategy of recovery (StrategyDaemons or
+// StrategyRestart) in a round. Their requests are numbered on from those sent before.
 func (r *recovery) startRoundStreams(ctx context.Context, strategy string, run func(i int) runner) *streams {
 	ss := startStreams(ctx, strategy, r.cfg.Streams, r.sentCount, r.cfg.Tokens, run)
 	r.sentCount += r.cfg.Streams
 	return ss
 }
 
-// injectFault waits until every stream has tokensBeforeFault tokens, calls fail and
+// injectFault waits until every stream has tokensBeforeFault tokens, calls inject and
 // waits until the streams have ended. It returns the time of the fault.
-func injectFault(ctx context.Context, fail func(), all ...*streams) (time.Time, error) {
-	for _, ss := range all {
+func injectFault(ctx context.Context, inject func(), streamSets ...*streams) (time.Time, error) {
+	for _, ss := range streamSets {
 		if err := ss.awaitTokens(ctx, tokensBeforeFault); err != nil {
 			return time.Time{}, err
 		}
 	}
 	at := time.Now()
-	fail()
-	for _, ss := range all {
+	inject()
+	for _, ss := range streamSets {
 		ss.wg.Wait()
 	}
 	return at, ctx.Err()
--- a/protocol/backend/backend.go
+++ b/protocol/backend/backend.go
@@ -13,7 +13,7 @@
 	"github.com/hibiscuswick/hibiscuswick/state/fleet"
 )
 
-// Errors of calls.
+// Errors of calls to backend servers.
 var (
 	// ErrNotSent: no byte of the call left this process, so the request has not
 	// run and will not run.
--- a/protocol/peer/envelope.go
+++ b/protocol/peer/envelope.go
@@ -17,11 +17,11 @@
 
 // Sizes of frames and of their parts.
 const (
-	MaxFrame        = 1 << 20 // default limit of the length field, in bytes
-	lengthSize      = 4       // bytes of the length field
-	envelopeFields  = 5       // elements of the envelope array
-	minFrameSize    = 2       // the version and at least one byte of the envelope
-	maxPooledBuffer = 64 << 10
+	MaxFrame        = 1 << 20  // default limit of the length field, in bytes
+	lengthSize      = 4        // bytes of the length field
+	envelopeFields  = 5        // elements of the envelope array
+	minFrameSize    = 2        // the version and at least one byte of the envelope
+	maxPooledBuffer = 64 << 10 // capacity in bytes of the largest encode buffer that is pooled
 )
 
 // Role is the purpose of a frame.
@@ -160,7 +160,8 @@
 	return dec.DecodeUint64()
 }
 
-// DecodeBody decodes a body into v, a pointer.
+// DecodeBody decodes a body into v, a pointer. Its error is a FrameError with
+// FaultMsgpack.
 func DecodeBody(body []byte, v any) error {
 	if err := msgpack.Unmarshal(body, v); err != nil {
 		return newFrameError(FaultMsgpack, "body: %v", err)
--- a/protocol/streams/streams.go
+++ b/protocol/streams/streams.go
@@ -14,7 +14,8 @@
 	"github.com/hibiscuswick/hibiscuswick/state"
 )
 
-// Record is the record of one request at its registrars.
+// Record describes one request. Its owner registers it with two other daemons, the
+// registrars, at which other daemons look it up; see the package comment.
 type Record struct {
 	Request  state.RequestID      `msgpack:"r"`
 	Owner    state.Member         `msgpack:"o"`
@@ -26,7 +27,7 @@
 	Adapter  string               `msgpack:"d"`
 
 	MaxTokens int           `msgpack:"m"`
-	Deadline  time.Duration `msgpack:"t"` // to the first token
+	Deadline  time.Duration `msgpack:"t"` // from the arrival of the request to its first token
 
 	// The attempt that currently runs it.
 	Replica state.Replica `msgpack:"i"`
--- a/state/fleet/config.go
+++ b/state/fleet/config.go
@@ -112,7 +112,8 @@
 	Engine   *Engine // nil for a plain service
 }
 
-// Engine describes the model engines of a service.
+// Engine describes the model engines of a service. Values at pace 1 are those of an
+// AcceleratorKind whose Pace and ReadPace are 1.
 type Engine struct {
 	Layers     int
 	LayerMB    float64 // memory for the weights of one layer
--- a/transport/front/fake_test.go
+++ b/transport/front/fake_test.go
@@ -90,11 +90,11 @@
 
 // fakeDaemon is a caller.Daemon whose answers a test sets.
 type fakeDaemon struct {
-	mu        sync.Mutex
-	answers   map[state.RequestID]*scriptedAnswer
-	submitted []caller.Submission
-	edits     []caller.Edit
-	drained   int
+	mu         sync.Mutex
+	answers    map[state.RequestID]*scriptedAnswer
+	submitted  []caller.Submission
+	edits      []caller.Edit
+	drainCount int
 
 	next    *scriptedAnswer   // returned by the next Submit
 	refusal state.Outcome     // returned by Submit instead, if set
@@ -189,11 +189,11 @@
 func (d *fakeDaemon) DaemonStatus(context.Context) caller.DaemonStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return caller.DaemonStatus{ID: "entry-1", Draining: d.drained > 0}
+	return caller.DaemonStatus{ID: "entry-1", Draining: d.drainCount > 0}
 }
 
 func (d *fakeDaemon) Drain(context.Context) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.drained++
+	d.drainCount++
 }
